--- /dev/null
+++ b/tests/replay/main.rs
@@ -0,0 +1,91 @@
+//! Replays fixed streams of events through the decision module, and compares every action that it returns
+//! with recorded digests.
+//!
+//! A change that is not meant to alter decisions must leave the digests alone. One that is meant to alter
+//! them renews the digests, and says in its commit which decisions differ and why:
+//!
+//! ```text
+//! RENEW_REPLAY_DIGESTS=1 cargo test --release --test replay
+//! ```
+//!
+//! The digests hold the exact bits of all times, and so of `exp`, which may differ in the last bit from one
+//! mathematics library to the next. The recorded ones are those of x86_64 Linux with glibc, as in CI.
+
+mod agenda;
+mod attempts;
+mod coverage;
+mod digest;
+mod recording;
+mod scenario;
+mod scenarios;
+mod simulated_backends;
+mod simulation;
+
+use coverage::Coverage;
+use digest::RunningDigest;
+use recording::{RecordedDigests, path_of_recording};
+use scenario::Scenario;
+use std::collections::BTreeMap;
+
+/// Set to rewrite the recorded digests instead of comparing with them.
+const RENEWAL_VARIABLE: &str = "RENEW_REPLAY_DIGESTS";
+/// Occurrences over all scenarios that each kind of event, action and outcome needs.
+const MIN_OCCURRENCES: usize = 5;
+
+/// Plays the scenario, and returns the digests after each of its events.
+fn digests_of(scenario: &Scenario) -> RecordedDigests {
+    let mut running = RunningDigest::default();
+    let mut digests = RecordedDigests::default();
+    simulation::play(scenario, &mut |handled| {
+        running.add_event(handled.time, handled.actions);
+        digests.push(running.value());
+    });
+    digests
+}
+
+/// Describes an event of the scenario by its number, with the actions that are returned now.
+fn describe_event(scenario: &Scenario, number: usize) -> String {
+    let mut description = format!("event {number} no longer occurs");
+    simulation::play(scenario, &mut |handled| {
+        if handled.number == number {
+            let (time, event, actions) = (handled.time, handled.event, handled.actions);
+            description = format!("event {number} at {time} s, {event:?}, which now returns {actions:?}");
+        }
+    });
+    description
+}
+
+#[test]
+fn returns_the_recorded_actions() {
+    let scenarios = scenarios::all();
+    let current: BTreeMap<_, _> =
+        scenarios.iter().map(|scenario| (scenario.name.to_string(), digests_of(scenario))).collect();
+    if std::env::var_os(RENEWAL_VARIABLE).is_some() {
+        recording::write(&current);
+        println!("renewed {}", path_of_recording().display());
+    }
+
+    let recorded = recording::read();
+
+    let recorded_names: Vec<_> = recorded.keys().collect();
+    assert_eq!(recorded_names, current.keys().collect::<Vec<_>>(), "other scenarios than were recorded");
+    let differences: Vec<_> = scenarios
+        .iter()
+        .filter_map(|scenario| {
+            let number = recorded[scenario.name].first_difference(&current[scenario.name])?;
+            Some(format!("{}: first differs at {}", scenario.name, describe_event(scenario, number)))
+        })
+        .collect();
+    assert!(differences.is_empty(), "decisions differ from the recorded ones:\n{}", differences.join("\n"));
+}
+
+#[test]
+fn scenarios_contain_every_kind_of_event_action_and_outcome() {
+    let mut coverage = Coverage::default();
+
+    for scenario in scenarios::all() {
+        simulation::play(&scenario, &mut |handled| coverage.count(handled.event, handled.actions));
+    }
+
+    assert_eq!(coverage.rarer_than(MIN_OCCURRENCES), Vec::<String>::new());
+}
--- /dev/null
+++ b/tests/replay/scenario.rs
@@ -0,0 +1,152 @@
+//! What a scenario consists of: settings, traffic, backends, and changes at fixed times.
+
+use balancer_proxy::{BackendId, Endpoint, MaintenanceChange, Outcome, Settings, Status, Time};
+
+/// How a backend behaves.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Behaviour {
+    /// It serves requests, with a service time this many times the usual one.
+    Serves {
+        /// Multiple of the usual service time.
+        slowness: f64,
+    },
+    /// It accepts requests, and never answers.
+    Hangs,
+    /// It ends each attempt in this way, within a fraction of the usual service time.
+    Fails(Outcome),
+}
+
+/// A change at a fixed time of a scenario.
+#[derive(Clone, Debug)]
+pub enum Change {
+    /// Requests arrive at this rate from now on, in requests a second.
+    Rate(f64),
+    /// A backend behaves in another way.
+    Behaviour(BackendId, Behaviour),
+    /// The endpoint list says something else of a backend, or has a new one.
+    List(Endpoint),
+    /// A backend disappears from the endpoint list without having been listed as removed.
+    Unlist(BackendId),
+    /// The complete endpoint list is sent.
+    SendList,
+    /// Discovery fails, or works again.
+    DiscoveryWorks(bool),
+    /// Operators remove a backend from service, or put it back.
+    Maintenance(BackendId, MaintenanceChange),
+    /// A second process begins or ceases to run.
+    SecondProcess(bool),
+    /// Other settings are in force.
+    Settings(Box<Settings>),
+}
+
+/// The requests that arrive.
+#[derive(Clone, Copy, Debug)]
+pub struct Traffic {
+    /// Requests a second at first.
+    pub rate: f64,
+    /// The mean time that a request takes an idle backend, in seconds.
+    pub service_time: Time,
+    /// The fraction of requests whose body is streamed.
+    pub streamed: f64,
+    /// The fraction of requests whose client disconnects before the deadline.
+    pub disconnecting: f64,
+    /// The fraction of attempts that fail at backends that serve.
+    pub failing: f64,
+    /// The least timeout of a request, as a fraction of the longest of its class.
+    pub least_timeout: f64,
+}
+
+impl Default for Traffic {
+    fn default() -> Self {
+        Self {
+            rate: 60.0,
+            service_time: 0.02,
+            streamed: 0.0,
+            disconnecting: 0.01,
+            failing: 0.02,
+            least_timeout: 0.5,
+        }
+    }
+}
+
+/// What backends report of their load with their responses, or with health checks.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Reporting {
+    /// Nothing.
+    #[default]
+    Nothing,
+    /// Their service times.
+    ServiceTimes,
+    /// Their service times and the requests a second that they serve.
+    ServiceTimesAndRates,
+}
+
+/// A change with its time.
+#[derive(Clone, Debug)]
+pub struct PlannedChange {
+    /// When it happens, in seconds.
+    pub at: Time,
+    /// What changes.
+    pub change: Change,
+}
+
+/// A stream of events, generated from a fixed seed.
+#[derive(Clone, Debug)]
+pub struct Scenario {
+    /// Its name in the recording.
+    pub name: &'static str,
+    /// The seed of the balancer and of the simulation.
+    pub seed: u64,
+    /// The time after which no more requests arrive, in seconds.
+    pub duration: Time,
+    /// The settings at first.
+    pub settings: Settings,
+    /// The requests.
+    pub traffic: Traffic,
+    /// What backends report.
+    pub reporting: Reporting,
+    /// The endpoint list at first.
+    pub endpoints: Vec<Endpoint>,
+    /// The changes.
+    pub changes: Vec<PlannedChange>,
+}
+
+impl Scenario {
+    /// A scenario of a few seconds with usual traffic, nothing reported and no changes.
+    pub fn new(name: &'static str, seed: u64, settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        Self {
+            name,
+            seed,
+            duration: 8.0,
+            settings,
+            traffic: Traffic::default(),
+            reporting: Reporting::Nothing,
+            endpoints,
+            changes: Vec::new(),
+        }
+    }
+
+    /// Adds a change at this time, in seconds.
+    pub fn at(mut self, at: Time, change: Change) -> Self {
+        self.changes.push(PlannedChange { at, change });
+        self
+    }
+}
+
+/// Backends with the ids from 1 on, spread over two zones and three cells.
+pub fn endpoints(count: u32) -> Vec<Endpoint> {
+    (1..=count).map(endpoint).collect()
+}
+
+/// A backend in service, whose zone, cell and weight follow from its id.
+pub fn endpoint(id: u32) -> Endpoint {
+    let weight = if id.is_multiple_of(4) { 1.5 } else { 1.0 };
+    Endpoint {
+        id: BackendId(id),
+        cell: id % 3,
+        zone: id % 2,
+        weight,
+        status: Status::InService,
+        started_at: None,
+    }
+}
--- /dev/null
+++ b/tests/replay/scenarios/backends.rs
@@ -0,0 +1,96 @@
+//! Backends that start, hang or are slow, maintenance, zones, and the endpoint list.
+
+use super::{behaves, listed, maintenance, settings, slow, started};
+use crate::scenario::{Behaviour, Change, Reporting, Scenario, Traffic, endpoints};
+use balancer_proxy::{BackendId, MaintenanceChange, Outcome, Settings, Status};
+
+pub fn slow_start_by_own_rate() -> Scenario {
+    let settings = Settings {
+        tier: 1,
+        instance_count: 1,
+        instance_index: 0,
+        slow_start_duration: 4.0,
+        must_poll_endpoints: true,
+        endpoint_poll_limit: 1.0,
+        ..settings()
+    };
+    let mut scenario = Scenario::new("slow_start_by_own_rate", 6, settings, endpoints(5));
+    scenario.duration = 6.5;
+    scenario.traffic.rate = 100.0;
+    scenario
+        .at(1.0, maintenance(1, MaintenanceChange::Begins))
+        .at(1.5, started(3, 1.4))
+        .at(2.0, started(4, 1.0))
+        .at(2.0, maintenance(1, MaintenanceChange::Ends))
+        .at(2.5, maintenance(2, MaintenanceChange::Begins))
+        .at(3.0, started(9, 2.9))
+        .at(3.5, started(10, 3.4))
+        .at(3.6, started(2, 3.5))
+        .at(3.7, maintenance(2, MaintenanceChange::Ends))
+        .at(5.0, started(5, 4.5))
+}
+
+pub fn slow_start_by_reported_rates() -> Scenario {
+    let mut scenario = slow_start_by_own_rate();
+    scenario.name = "slow_start_by_reported_rates";
+    scenario.seed = 7;
+    scenario.reporting = Reporting::ServiceTimesAndRates;
+    scenario.at(4.0, slow(6, 2.0)).at(6.0, maintenance(7, MaintenanceChange::Begins))
+}
+
+pub fn polled_endpoint_list() -> Scenario {
+    let settings = Settings {
+        must_poll_endpoints: true,
+        endpoint_poll_limit: 2.0,
+        idle_close_limit: Some(1.0),
+        ..settings()
+    };
+    let mut scenario = Scenario::new("polled_endpoint_list", 8, settings, endpoints(7));
+    scenario.duration = 10.0;
+    scenario.traffic.rate = 30.0;
+    scenario
+        .at(2.0, listed(3, Status::Draining))
+        .at(2.5, listed(3, Status::Removed))
+        .at(3.0, Change::DiscoveryWorks(false))
+        .at(3.5, listed(8, Status::InService))
+        .at(6.0, Change::DiscoveryWorks(true))
+        .at(7.0, listed(5, Status::Draining))
+        .at(7.5, Change::Unlist(BackendId(6)))
+        .at(8.0, Change::DiscoveryWorks(false))
+        .at(9.0, Change::DiscoveryWorks(true))
+}
+
+pub fn cross_zone_cost() -> Scenario {
+    let settings = Settings {
+        tier: 1,
+        zone: 1,
+        cross_zone_cost: 0.05,
+        health_checks_for_load_reports: true,
+        ..settings()
+    };
+    let mut scenario = Scenario::new("cross_zone_cost", 9, settings, endpoints(10));
+    scenario.reporting = Reporting::ServiceTimes;
+    scenario.traffic = Traffic { rate: 90.0, ..Traffic::default() };
+    scenario
+        .at(1.0, slow(1, 3.0))
+        .at(2.0, slow(3, 2.0))
+        .at(3.0, behaves(5, Behaviour::Hangs))
+        .at(4.0, Change::Rate(250.0))
+        .at(5.0, Change::Rate(60.0))
+}
+
+pub fn hung_and_outlying_backends() -> Scenario {
+    let settings =
+        Settings { instance_count: 2, cancellation_allowed: false, must_poll_endpoints: true, ..settings() };
+    let mut scenario = Scenario::new("hung_and_outlying_backends", 11, settings, endpoints(6));
+    scenario.traffic.rate = 100.0;
+    scenario
+        .at(1.0, slow(1, 4.0))
+        .at(2.0, behaves(2, Behaviour::Fails(Outcome::Error)))
+        .at(3.0, behaves(3, Behaviour::Hangs))
+        .at(4.0, behaves(2, Behaviour::Fails(Outcome::Reset)))
+        .at(4.2, maintenance(4, MaintenanceChange::Begins))
+        .at(4.6, maintenance(4, MaintenanceChange::Ends))
+        .at(5.0, slow(3, 1.0))
+        .at(6.0, slow(2, 2.4))
+}
--- /dev/null
+++ b/tests/replay/scenarios/mod.rs
@@ -0,0 +1,88 @@
+//! The scenarios. Together they are to come near the thresholds that tuning constants set, so that a change of
+//! a constant by 1% alters at least one action.
+
+mod backends;
+mod overload;
+mod requests;
+
+use crate::scenario::{Behaviour, Change, Scenario, endpoint};
+use balancer_proxy::{
+    BackendId, Effect, Endpoint, IdempotencyGroup, MaintenanceChange, RequestClass, Settings, Status, Tenant,
+    Time,
+};
+
+/// Returns all scenarios.
+pub fn all() -> Vec<Scenario> {
+    vec![
+        overload::entry_overload(),
+        overload::lower_tier_overload(),
+        requests::effects_with_failures(),
+        requests::ordered_keys(),
+        requests::streamed_bodies(),
+        backends::slow_start_by_own_rate(),
+        backends::slow_start_by_reported_rates(),
+        backends::polled_endpoint_list(),
+        backends::cross_zone_cost(),
+        requests::changing_settings(),
+        backends::hung_and_outlying_backends(),
+        overload::connections_with_cost(),
+        overload::retries_under_overload(),
+        requests::quiet_balancer(),
+        requests::brief_timeouts(),
+        overload::busy_entry_balancer(),
+    ]
+}
+
+fn class(name: &str, effect: Effect) -> RequestClass {
+    RequestClass {
+        name: name.to_string(),
+        latency_objective: 0.3,
+        max_timeout: 0.8,
+        late_priority_weight: 0.3,
+        effect,
+        ..RequestClass::default()
+    }
+}
+
+fn idempotent(group: IdempotencyGroup, window: Time) -> Effect {
+    Effect::Idempotent { group, window }
+}
+
+/// A class of each effect.
+fn classes() -> Vec<RequestClass> {
+    vec![
+        class("read", Effect::Safe),
+        RequestClass { late_priority_weight: 0.0, ..class("write", Effect::Unsafe) },
+        RequestClass { priority_weight: 4.0, ..class("put", idempotent(IdempotencyGroup::All, 0.5)) },
+        class("zone", idempotent(IdempotencyGroup::Zone, 0.3)),
+        RequestClass { latency_objective: 0.2, ..class("cell", idempotent(IdempotencyGroup::Cell, 0.2)) },
+    ]
+}
+
+fn tenant(name: &str, quota_per_second: f64) -> Tenant {
+    Tenant { name: name.to_string(), quota_per_second }
+}
+
+fn settings() -> Settings {
+    Settings { classes: classes(), instance_count: 4, instance_index: 1, ..Settings::default() }
+}
+
+fn behaves(id: u32, behaviour: Behaviour) -> Change {
+    Change::Behaviour(BackendId(id), behaviour)
+}
+
+fn slow(id: u32, slowness: f64) -> Change {
+    behaves(id, Behaviour::Serves { slowness })
+}
+
+fn maintenance(id: u32, change: MaintenanceChange) -> Change {
+    Change::Maintenance(BackendId(id), change)
+}
+
+fn listed(id: u32, status: Status) -> Change {
+    Change::List(Endpoint { status, ..endpoint(id) })
+}
+
+fn started(id: u32, at: Time) -> Change {
+    Change::List(Endpoint { started_at: Some(at), ..endpoint(id) })
+}
--- /dev/null
+++ b/tests/replay/simulated_backends.rs
@@ -0,0 +1,101 @@
+//! The simulated backends: how long each takes for an attempt, how the attempt ends, and what is reported.
+
+use crate::scenario::{Behaviour, Reporting, Traffic};
+use balancer_proxy::{BackendId, LoadReport, Outcome, Time};
+use rand::Rng;
+use rand::rngs::SmallRng;
+use std::collections::BTreeMap;
+
+/// Attempts that a backend serves at once without slowing down.
+const CONCURRENCY: usize = 4;
+/// Attempts at once beyond which a backend rejects more.
+const MAX_CONCURRENCY: usize = 30;
+/// How a backend that serves may fail nevertheless.
+const FAILURES: [Outcome; 4] = [Outcome::Error, Outcome::Rejected, Outcome::NoConnection, Outcome::Reset];
+
+/// The end that an attempt comes to if nobody interferes.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptEnd {
+    /// How it ends.
+    pub outcome: Outcome,
+    /// How long it takes, in seconds.
+    pub duration: Time,
+}
+
+#[derive(Debug)]
+struct SimulatedBackend {
+    behaviour: Behaviour,
+    in_flight: usize,
+}
+
+/// All simulated backends; those that nothing is known of serve at the usual speed.
+#[derive(Debug)]
+pub struct SimulatedBackends {
+    backends: BTreeMap<BackendId, SimulatedBackend>,
+    traffic: Traffic,
+    reporting: Reporting,
+}
+
+impl SimulatedBackends {
+    /// Backends that serve this traffic.
+    pub fn new(traffic: Traffic, reporting: Reporting) -> Self {
+        Self { backends: BTreeMap::new(), traffic, reporting }
+    }
+
+    /// From now on the backend behaves so.
+    pub fn set_behaviour(&mut self, id: BackendId, behaviour: Behaviour) {
+        self.backend(id).behaviour = behaviour;
+    }
+
+    /// Begins an attempt, and draws the end that it comes to within `timeout` seconds.
+    pub fn begin_attempt(&mut self, id: BackendId, timeout: Time, random: &mut SmallRng) -> AttemptEnd {
+        let Traffic { service_time, failing, .. } = self.traffic;
+        let fails = random.random::<f64>() < failing;
+        let failure = FAILURES[random.random_range(0..FAILURES.len())];
+        let spread: f64 = random.random();
+        let backend = self.backend(id);
+        let waiting = (backend.in_flight as f64 / CONCURRENCY as f64).max(1.0);
+        backend.in_flight += 1;
+        let end = match backend.behaviour {
+            Behaviour::Hangs => AttemptEnd { outcome: Outcome::Timeout, duration: Time::INFINITY },
+            Behaviour::Fails(outcome) => AttemptEnd { outcome, duration: service_time * spread },
+            _ if backend.in_flight > MAX_CONCURRENCY => {
+                AttemptEnd { outcome: Outcome::Rejected, duration: service_time * spread }
+            }
+            _ if fails => AttemptEnd { outcome: failure, duration: service_time * (0.25 + 0.5 * spread) },
+            Behaviour::Serves { slowness } => {
+                let work = service_time * slowness * (0.4 + 1.8 * spread * spread);
+                AttemptEnd { outcome: Outcome::Success, duration: work * waiting }
+            }
+        };
+        if end.duration < timeout { end } else { AttemptEnd { outcome: Outcome::Timeout, duration: timeout } }
+    }
+
+    /// Ends an attempt.
+    pub fn end_attempt(&mut self, id: BackendId) {
+        self.backend(id).in_flight -= 1;
+    }
+
+    /// Draws what the backend reports of its load.
+    pub fn report(&mut self, id: BackendId, random: &mut SmallRng) -> Option<LoadReport> {
+        let service_time = self.traffic.service_time * (0.8 + 0.4 * random.random::<f64>());
+        let rate = self.traffic.rate * (0.8 + 0.4 * random.random::<f64>());
+        let slowness = match self.backend(id).behaviour {
+            Behaviour::Serves { slowness } => slowness,
+            Behaviour::Hangs | Behaviour::Fails(_) => 1.0,
+        };
+        let service_time = Some(service_time * slowness);
+        match self.reporting {
+            Reporting::Nothing => None,
+            Reporting::ServiceTimes => Some(LoadReport { service_time, requests_per_second: None }),
+            Reporting::ServiceTimesAndRates => {
+                Some(LoadReport { service_time, requests_per_second: Some(rate) })
+            }
+        }
+    }
+
+    fn backend(&mut self, id: BackendId) -> &mut SimulatedBackend {
+        let usual = SimulatedBackend { behaviour: Behaviour::Serves { slowness: 1.0 }, in_flight: 0 };
+        self.backends.entry(id).or_insert(usual)
+    }
+}
--- /dev/null
+++ b/tests/replay/simulation.rs
@@ -0,0 +1,210 @@
+//! A balancer on virtual time, among simulated clients, backends, operators and discovery.
+
+use crate::agenda::{Agenda, AttemptId, Occurrence};
+use crate::attempts::OpenAttempt;
+use crate::scenario::{Change, Scenario};
+use crate::simulated_backends::SimulatedBackends;
+use balancer_proxy::{Action, Balancer, Endpoint, EndpointUpdate, Event, Outcome, RequestId, Settings, Time};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+use std::collections::BTreeMap;
+
+/// How long discovery takes at most to answer a poll, in seconds.
+const MAX_POLL_DURATION: Time = 0.05;
+/// How long a health check takes at most, in seconds.
+const MAX_HEALTH_CHECK_DURATION: Time = 0.02;
+/// The time after the last arrival at which a simulation ends, in seconds.
+const FINAL_WAIT: Time = 5.0;
+
+/// An event that the balancer has handled.
+#[derive(Clone, Copy, Debug)]
+pub struct HandledEvent<'a> {
+    /// Its number in the scenario, from 0.
+    pub number: usize,
+    /// Its time, in seconds.
+    pub time: Time,
+    /// The event.
+    pub event: Event<'a>,
+    /// What the balancer returned.
+    pub actions: &'a [Action],
+}
+
+/// A request without a final response.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct OpenRequest {
+    /// When its body has been received, in seconds.
+    pub body_received_at: Time,
+    /// Time until its client gives up, from then on, in seconds.
+    pub timeout: Time,
+    /// Attempts so far.
+    pub attempts: usize,
+}
+
+/// The state of a simulation.
+pub struct Simulation<'a> {
+    pub(crate) scenario: &'a Scenario,
+    pub(crate) now: Time,
+    pub(crate) random: SmallRng,
+    pub(crate) agenda: Agenda,
+    pub(crate) settings: Settings,
+    pub(crate) rate: f64,
+    pub(crate) last_request: u64,
+    pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
+    pub(crate) attempts: BTreeMap<AttemptId, OpenAttempt>,
+    pub(crate) backends: SimulatedBackends,
+    balancer: Balancer,
+    list: Vec<Endpoint>,
+    discovery_works: bool,
+    is_watching: bool,
+    handled: usize,
+    observe: &'a mut dyn FnMut(&HandledEvent<'_>),
+}
+
+/// Plays a scenario from its begin to its end, and shows each event to the observer.
+pub fn play(scenario: &Scenario, observe: &mut dyn FnMut(&HandledEvent<'_>)) {
+    let mut simulation = Simulation::new(scenario, observe);
+    simulation.start();
+    while let Some((at, occurrence)) = simulation.agenda.next()
+        && at < scenario.duration + FINAL_WAIT
+    {
+        simulation.now = at;
+        simulation.happen(occurrence);
+    }
+}
+
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, observe: &'a mut dyn FnMut(&HandledEvent<'_>)) -> Self {
+        Self {
+            scenario,
+            now: 0.0,
+            random: SmallRng::seed_from_u64(!scenario.seed),
+            agenda: Agenda::default(),
+            settings: scenario.settings.clone(),
+            rate: scenario.traffic.rate,
+            last_request: 0,
+            requests: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            backends: SimulatedBackends::new(scenario.traffic, scenario.reporting),
+            balancer: Balancer::new(0.0, scenario.seed, scenario.settings.clone()),
+            list: scenario.endpoints.clone(),
+            discovery_works: true,
+            is_watching: !scenario.settings.must_poll_endpoints,
+            handled: 0,
+            observe,
+        }
+    }
+
+    fn start(&mut self) {
+        for (index, planned) in self.scenario.changes.iter().enumerate() {
+            self.agenda.add(planned.at, Occurrence::Change(index));
+        }
+        self.agenda.add(0.0, Occurrence::Arrival);
+        let list = self.list.clone();
+        let is_cached = self.settings.must_poll_endpoints;
+        let update = if is_cached { EndpointUpdate::Cached(&list) } else { EndpointUpdate::Full(&list) };
+        self.handle(Event::Endpoints(update));
+    }
+
+    fn happen(&mut self, occurrence: Occurrence) {
+        match occurrence {
+            Occurrence::Arrival => self.request_arrives(),
+            Occurrence::TimerDue(token) => self.handle(Event::Timer(token)),
+            Occurrence::ResponseStarts(attempt) => self.response_starts(attempt),
+            Occurrence::AttemptEnds(attempt) => self.attempt_ends(attempt),
+            Occurrence::BodyReceived(id) => self.handle(Event::BodyReceived(id)),
+            Occurrence::BodyConsumed(id) => self.handle(Event::BodyConsumed(id)),
+            Occurrence::ClientDisconnects(id) => {
+                self.requests.remove(&id);
+                self.handle(Event::ClientDisconnected(id));
+            }
+            Occurrence::HealthCheckEnds(backend) => {
+                let report = self.backends.report(backend, &mut self.random);
+                let outcome = if report.is_some() { Outcome::Success } else { Outcome::Timeout };
+                self.handle(Event::HealthCheckEnded { backend, outcome, report });
+            }
+            Occurrence::PollEnds if self.discovery_works => {
+                self.is_watching = true;
+                self.send_list();
+            }
+            Occurrence::PollEnds => self.handle(Event::Endpoints(EndpointUpdate::Failed)),
+            Occurrence::Change(index) => self.change(&self.scenario.changes[index].change),
+        }
+    }
+
+    fn change(&mut self, change: &Change) {
+        match change {
+            Change::Rate(rate) => self.rate = *rate,
+            Change::Behaviour(backend, behaviour) => self.backends.set_behaviour(*backend, *behaviour),
+            Change::List(endpoint) => self.list_endpoint(endpoint),
+            Change::Unlist(backend) => self.list.retain(|endpoint| endpoint.id != *backend),
+            Change::SendList => self.send_list(),
+            Change::DiscoveryWorks(works) => self.set_discovery(*works),
+            Change::Maintenance(backend, change) => {
+                self.handle(Event::Maintenance { backend: *backend, change: *change });
+            }
+            Change::SecondProcess(running) => self.handle(Event::SecondProcess { running: *running }),
+            Change::Settings(settings) => {
+                self.settings = settings.as_ref().clone();
+                self.handle(Event::Settings(settings));
+            }
+        }
+    }
+
+    fn list_endpoint(&mut self, endpoint: &Endpoint) {
+        self.list.retain(|listed| listed.id != endpoint.id);
+        self.list.push(endpoint.clone());
+        if self.is_watching {
+            self.handle(Event::Endpoints(EndpointUpdate::Changes(std::slice::from_ref(endpoint))));
+        }
+    }
+
+    fn send_list(&mut self) {
+        let list = self.list.clone();
+        self.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
+    }
+
+    fn set_discovery(&mut self, works: bool) {
+        self.discovery_works = works;
+        if !works && self.is_watching {
+            self.is_watching = false;
+            self.handle(Event::Endpoints(EndpointUpdate::Failed));
+        }
+    }
+
+    /// Has the balancer handle an event, and does what it wants done.
+    pub(crate) fn handle(&mut self, event: Event<'_>) {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        (self.observe)(&HandledEvent { number: self.handled, time: self.now, event, actions: &actions });
+        self.handled += 1;
+        for action in actions {
+            self.perform(action);
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Send { id, backend, timeout, write_within } => {
+                self.send_attempt(id, backend, timeout, write_within);
+            }
+            Action::Cancel { id, attempt } => self.cancel(AttemptId { request: id, number: attempt }),
+            Action::Withdraw { id, attempt } => self.withdraw(AttemptId { request: id, number: attempt }),
+            Action::Reject { id, .. } | Action::Fail { id } => {
+                self.requests.remove(&id);
+            }
+            Action::SetTimer { at, token } => {
+                let lateness = self.settings.quantum * self.random.random::<f64>();
+                self.agenda.add(at.max(self.now) + lateness, Occurrence::TimerDue(token));
+            }
+            Action::HealthCheck(backend) => {
+                let duration = MAX_HEALTH_CHECK_DURATION * self.random.random::<f64>();
+                self.agenda.add(self.now + duration, Occurrence::HealthCheckEnds(backend));
+            }
+            Action::CloseIdleConnections(_) => {}
+            Action::WatchEndpoints => {
+                let duration = MAX_POLL_DURATION * self.random.random::<f64>();
+                self.agenda.add(self.now + duration, Occurrence::PollEnds);
+            }
+        }
+    }
+}
