--- a/src/proxy/clock.rs
+++ b/crates/balancer-proxy/src/clock.rs
@@ -3,7 +3,7 @@
 //! The decision module has no clock of its own. Every time that it is given or gives back is a time
 //! of this clock, which is monotonic; only here are such times converted from and to other clocks.
 
-use crate::Time;
+use balancer::Time;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// A monotonic clock that counts seconds since the proxy started.
--- a/src/proxy/control/config/error.rs
+++ b/crates/balancer-proxy/src/control/config/error.rs
@@ -1,6 +1,6 @@
 //! Why a configuration cannot be used.
 
-use crate::proxy::settings::VersionError;
+use crate::settings::VersionError;
 use std::fmt::Display;
 use std::io;
 use thiserror::Error;
--- a/src/proxy/control/config/mod.rs
+++ b/crates/balancer-proxy/src/control/config/mod.rs
@@ -18,8 +18,8 @@
 use self::environment::Addresses;
 use self::raw::{RawCachedEndpoints, RawConfig};
 use super::endpoint_list::RawEndpointList;
-use crate::proxy::limits::ProcessLimits;
-use crate::proxy::settings::SettingsSnapshot;
+use crate::limits::ProcessLimits;
+use crate::settings::SettingsSnapshot;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
--- a/src/proxy/control/config/raw.rs
+++ b/crates/balancer-proxy/src/control/config/raw.rs
@@ -1,7 +1,7 @@
 //! The format of the configuration file. Field names are the keys of the file; units are those of
 //! the file. Unknown keys are skipped, and what is absent has a default.
 
-use crate::proxy::control::endpoint_list::RawEndpointList;
+use crate::control::endpoint_list::RawEndpointList;
 use serde::Deserialize;
 
 /// The file, except for the endpoint list.
--- a/src/proxy/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -6,10 +6,10 @@
     RawClass, RawEffect, RawGroup, RawLimits, RawRegistryMode, RawSettings, RawStats, RawTenant,
 };
 use super::validation::not_negative;
-use crate::proxy::control::endpoint_list::zone_index;
-use crate::proxy::limits::ProcessLimits;
-use crate::proxy::settings::{ProxySettings, SettingsSnapshot};
-use crate::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant};
+use crate::control::endpoint_list::zone_index;
+use crate::limits::ProcessLimits;
+use crate::settings::{ProxySettings, SettingsSnapshot};
+use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant};
 use std::time::Duration;
 
 /// Memory of the process, in mebibytes.
--- a/src/proxy/control/config/validation.rs
+++ b/crates/balancer-proxy/src/control/config/validation.rs
@@ -3,7 +3,7 @@
 
 use super::error::ConfigError;
 use super::raw::{RawCapabilities, RawClass, RawConfig, RawCosts, RawRules, RawSettings, RawTenant};
-use crate::Settings;
+use balancer::Settings;
 use std::collections::HashSet;
 use std::fmt::Display;
 
--- a/src/proxy/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -1,9 +1,9 @@
 //! The endpoint list as discovery writes it, and its translation into the terms of the decision
 //! module: ids in place of names, indices in place of zones.
 
-use crate::proxy::clock::Clock;
-use crate::proxy::watch_event::ListedEndpoint;
-use crate::{BackendId, Endpoint, Status};
+use crate::clock::Clock;
+use crate::watch_event::ListedEndpoint;
+use balancer::{BackendId, Endpoint, Status};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
--- a/src/proxy/control/maintenance.rs
+++ b/crates/balancer-proxy/src/control/maintenance.rs
@@ -4,8 +4,8 @@
 use super::discovery::Discovery;
 use super::maintenance_record::MaintenanceState;
 use super::maintenance_store::MaintenanceStore;
-use crate::MaintenanceChange;
-use crate::proxy::engine::Engine;
+use crate::engine::Engine;
+use balancer::MaintenanceChange;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/src/proxy/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -6,8 +6,8 @@
 use super::maintenance::Maintenance;
 use super::maintenance_record::MaintenanceState;
 use super::management_protocol::{Call, CallError, MAX_LINE_BYTES};
+use crate::downstream::server::Server;
 use crate::log;
-use crate::proxy::downstream::server::Server;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
--- a/src/proxy/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -10,11 +10,11 @@
 use super::config::{Config, ConfigError, FileStamp, LoadMode};
 use super::discovery::Discovery;
 use super::instance_lock::InstanceLock;
+use crate::downstream::server::Server;
+use crate::engine::Engine;
+use crate::limits::{Capacities, ProcessLimits};
 use crate::log;
-use crate::proxy::downstream::server::Server;
-use crate::proxy::engine::Engine;
-use crate::proxy::limits::{Capacities, ProcessLimits};
-use crate::proxy::settings::SettingsSnapshot;
+use crate::settings::SettingsSnapshot;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/proxy/downstream/connection_task.rs
+++ b/crates/balancer-proxy/src/downstream/connection_task.rs
@@ -7,7 +7,7 @@
 use super::request_handler::{Admission, RequestHandler};
 use super::response::ClientResponse;
 use super::response_body::ResponseBody;
-use crate::proxy::limits::MAX_HEAD_BYTES;
+use crate::limits::MAX_HEAD_BYTES;
 use hyper::Request;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
--- a/src/proxy/downstream/request_error.rs
+++ b/crates/balancer-proxy/src/downstream/request_error.rs
@@ -1,7 +1,7 @@
 //! Why a request of a client is rejected before the decision module sees it, and the status that the
 //! client gets. The text of an error is the body of the response.
 
-use crate::proxy::stream_error::StreamError;
+use crate::stream_error::StreamError;
 use hyper::StatusCode;
 use thiserror::Error;
 
@@ -25,7 +25,7 @@
     /// The length of the body is stated in two ways.
     #[error("the length is given twice")]
     AmbiguousLength,
-    /// The body is larger than [`crate::proxy::limits::MAX_BODY_BYTES`].
+    /// The body is larger than [`crate::limits::MAX_BODY_BYTES`].
     #[error("the body is too large")]
     BodyTooLarge,
     /// The body ended early or was malformed.
--- a/src/proxy/downstream/request_head.rs
+++ b/crates/balancer-proxy/src/downstream/request_head.rs
@@ -2,8 +2,8 @@
 //! module sees.
 
 use super::request_error::RequestError;
-use crate::proxy::settings::SettingsSnapshot;
-use crate::{Effect, Request, RequestId, Time};
+use crate::settings::SettingsSnapshot;
+use balancer::{Effect, Request, RequestId, Time};
 use hyper::Method;
 use hyper::header::HeaderMap;
 
--- a/src/proxy/downstream/response_body.rs
+++ b/crates/balancer-proxy/src/downstream/response_body.rs
@@ -2,9 +2,9 @@
 //! it ends or is dropped, and then notifies the connection that the response is finished.
 
 use super::client_connection::ClientConnection;
-use crate::proxy::metrics::OutstandingRequest;
-use crate::proxy::stream_error::StreamError;
-use crate::proxy::upstream::response_body::ResponseContent;
+use crate::metrics::OutstandingRequest;
+use crate::stream_error::StreamError;
+use crate::upstream::response_body::ResponseContent;
 use bytes::Bytes;
 use hyper::StatusCode;
 use hyper::body::{Body, Frame, SizeHint};
--- a/src/proxy/downstream/shutdown_schedule.rs
+++ b/crates/balancer-proxy/src/downstream/shutdown_schedule.rs
@@ -1,7 +1,7 @@
 //! The times of a graceful shutdown: how long the proxy serves after SIGTERM, and when all responses
 //! must be out.
 
-use crate::Time;
+use balancer::Time;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/src/proxy/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -3,8 +3,8 @@
 //! Owns the task of each running attempt. An attempt is removed once, by whichever event ends it
 //! first; from then on its task is aborted, and later events about it find nothing.
 
-use crate::proxy::upstream::shared_flag::SharedFlag;
-use crate::{BackendId, RequestId, Time};
+use crate::upstream::shared_flag::SharedFlag;
+use balancer::{BackendId, RequestId, Time};
 use std::collections::HashMap;
 use tokio::task::AbortHandle;
 
--- a/src/proxy/engine/decisions.rs
+++ b/crates/balancer-proxy/src/engine/decisions.rs
@@ -3,10 +3,10 @@
 //! Owns both. Events are queued because carrying out an action may cause the next event, while the
 //! module must be given them one after another, in the order in which they happened.
 
-use crate::proxy::clock::Clock;
-use crate::proxy::settings::SettingsSnapshot;
-use crate::proxy::watch_event::{ListedEndpoint, WatchEvent};
-use crate::{Action, Balancer, Endpoint, EndpointUpdate, Event, Settings, Time};
+use crate::clock::Clock;
+use crate::settings::SettingsSnapshot;
+use crate::watch_event::{ListedEndpoint, WatchEvent};
+use balancer::{Action, Balancer, Endpoint, EndpointUpdate, Event, Settings, Time};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
--- a/src/proxy/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -4,12 +4,12 @@
 //! maintenance must end. A backend that is gone is forgotten once its grace period is over and no
 //! attempt or health check uses its pool.
 
-use crate::proxy::clock::Clock;
-use crate::proxy::limits::Budget;
-use crate::proxy::settings::ProxySettings;
-use crate::proxy::upstream::pool::ConnectionPool;
-use crate::proxy::watch_event::{ListedEndpoint, WatchEvent};
-use crate::{BackendId, Status, Time};
+use crate::clock::Clock;
+use crate::limits::Budget;
+use crate::settings::ProxySettings;
+use crate::upstream::pool::ConnectionPool;
+use crate::watch_event::{ListedEndpoint, WatchEvent};
+use balancer::{BackendId, Status, Time};
 use std::collections::HashMap;
 use std::rc::Rc;
 
--- a/src/proxy/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -3,10 +3,10 @@
 //! Guarantees each accepted request exactly one final response: the sending end of
 //! its channel lives in [`OpenRequests`] and is consumed when the request is closed.
 
-use crate::proxy::settings::SettingsSnapshot;
-use crate::proxy::upstream::forwarded_request::ForwardedRequest;
-use crate::proxy::upstream::response_body::BackendResponse;
-use crate::{RequestId, Time};
+use crate::settings::SettingsSnapshot;
+use crate::upstream::forwarded_request::ForwardedRequest;
+use crate::upstream::response_body::BackendResponse;
+use balancer::{RequestId, Time};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use tokio::sync::oneshot;
--- a/src/proxy/engine/scheduling_lag.rs
+++ b/crates/balancer-proxy/src/engine/scheduling_lag.rs
@@ -1,6 +1,6 @@
 //! How late this process runs what is due: an estimate of how long a request waited to be read.
 
-use crate::Time;
+use balancer::Time;
 use std::cell::Cell;
 
 /// Upper bound of the estimate, in seconds.
--- a/src/proxy/engine/state.rs
+++ b/crates/balancer-proxy/src/engine/state.rs
@@ -8,9 +8,9 @@
 use super::decisions::Decisions;
 use super::endpoints::Endpoints;
 use super::requests::{FinalResponse, OpenRequests};
-use crate::proxy::clock::Clock;
-use crate::proxy::upstream::attempt::AttemptResult;
-use crate::{BackendId, EndedAttempt, Event, Outcome, RequestId, Settings};
+use crate::clock::Clock;
+use crate::upstream::attempt::AttemptResult;
+use balancer::{BackendId, EndedAttempt, Event, Outcome, RequestId, Settings};
 
 /// What events and actions change.
 pub(super) struct State {
--- a/src/proxy/engine/timers.rs
+++ b/crates/balancer-proxy/src/engine/timers.rs
@@ -4,8 +4,8 @@
 //! attempt of one that expires may have ended before.
 
 use super::attempts::AttemptId;
-use crate::proxy::clock::Clock;
-use crate::{RequestId, Time, TimerToken};
+use crate::clock::Clock;
+use balancer::{RequestId, Time, TimerToken};
 use std::cell::RefCell;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
--- a/src/main.rs
+++ b/crates/balancer-proxy/src/main.rs
@@ -4,19 +4,19 @@
 //! A proxy with a management address may be replaced by a second process on the same listen address:
 //! the two share the state files, and each uses half of the limits while both run.
 
+use balancer_proxy::control::config::{Config, ConfigError, FileStamp, LoadMode};
+use balancer_proxy::control::discovery::Discovery;
+use balancer_proxy::control::instance_lock::InstanceLock;
+use balancer_proxy::control::maintenance::Maintenance;
+use balancer_proxy::control::maintenance_store::MaintenanceStore;
+use balancer_proxy::control::management::{self, MAX_MANAGEMENT_CONNECTIONS, Management};
+use balancer_proxy::control::reload::{ReloadTargets, Reloader};
+use balancer_proxy::control::state_files;
+use balancer_proxy::downstream::server::{self, Server};
+use balancer_proxy::engine::Engine;
+use balancer_proxy::limits::Capacities;
 use balancer_proxy::log;
-use balancer_proxy::proxy::control::config::{Config, ConfigError, FileStamp, LoadMode};
-use balancer_proxy::proxy::control::discovery::Discovery;
-use balancer_proxy::proxy::control::instance_lock::InstanceLock;
-use balancer_proxy::proxy::control::maintenance::Maintenance;
-use balancer_proxy::proxy::control::maintenance_store::MaintenanceStore;
-use balancer_proxy::proxy::control::management::{self, MAX_MANAGEMENT_CONNECTIONS, Management};
-use balancer_proxy::proxy::control::reload::{ReloadTargets, Reloader};
-use balancer_proxy::proxy::control::state_files;
-use balancer_proxy::proxy::downstream::server::{self, Server};
-use balancer_proxy::proxy::engine::Engine;
-use balancer_proxy::proxy::limits::Capacities;
-use balancer_proxy::proxy::metrics::Metrics;
+use balancer_proxy::metrics::Metrics;
 use std::io;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/src/proxy/settings.rs
+++ b/crates/balancer-proxy/src/settings.rs
@@ -3,7 +3,7 @@
 //! Each open request refers to the snapshot that it was accepted with, so that a reload never changes
 //! a request half way.
 
-use crate::{Settings, Time};
+use balancer::{Settings, Time};
 use std::time::Duration;
 use thiserror::Error;
 
--- a/src/proxy/upstream/connection.rs
+++ b/crates/balancer-proxy/src/upstream/connection.rs
@@ -4,7 +4,7 @@
 use super::exchange_progress::{RequestWriteState, ResponseActivity};
 use super::request_body::AttemptBody;
 use super::socket::BackendSocket;
-use crate::proxy::limits::MAX_HEAD_BYTES;
+use crate::limits::MAX_HEAD_BYTES;
 use hyper::body::Incoming;
 use hyper::client::conn::{TrySendError, http1};
 use hyper::{Request, Response};
--- a/src/proxy/upstream/exchange.rs
+++ b/crates/balancer-proxy/src/upstream/exchange.rs
@@ -6,7 +6,7 @@
 use super::exchange_progress::ExchangeContext;
 use super::request_body::AttemptBody;
 use super::shared_flag::SharedFlag;
-use crate::proxy::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
+use crate::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
--- a/src/proxy/upstream/exchange_progress.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_progress.rs
@@ -2,7 +2,7 @@
 //! last arrived, and how much of the request has been written.
 
 use super::shared_flag::SharedFlag;
-use crate::proxy::metrics::Metrics;
+use crate::metrics::Metrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
--- a/src/proxy/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -2,7 +2,7 @@
 
 use super::request_body::{AttemptBody, StreamedRequestBody};
 use super::shared_flag::SharedFlag;
-use crate::Time;
+use balancer::Time;
 use bytes::Bytes;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue};
 use hyper::{Method, Request, Uri};
--- a/src/proxy/upstream/load_report.rs
+++ b/crates/balancer-proxy/src/upstream/load_report.rs
@@ -1,6 +1,6 @@
 //! Load reports that backends send along with responses and health checks.
 
-use crate::LoadReport;
+use balancer::LoadReport;
 use serde_json::{Map, Value};
 
 /// Accepted names of the mean service time, in milliseconds.
--- a/src/proxy/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -3,9 +3,9 @@
 
 use super::connection::{Connection, ConnectionOrigin, connect};
 use super::send_deadlines::SendDeadlines;
-use crate::Time;
-use crate::proxy::clock::Clock;
-use crate::proxy::limits::{Budget, Permit};
+use crate::clock::Clock;
+use crate::limits::{Budget, Permit};
+use balancer::Time;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
--- a/src/proxy/upstream/request_body.rs
+++ b/crates/balancer-proxy/src/upstream/request_body.rs
@@ -5,8 +5,8 @@
 use super::body_chunks::BodyChunks;
 use super::shared_flag::SharedFlag;
 use super::transfer_pace::TransferPace;
-use crate::proxy::limits::MAX_BODY_BYTES;
-use crate::proxy::stream_error::StreamError;
+use crate::limits::MAX_BODY_BYTES;
+use crate::stream_error::StreamError;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::RefCell;
--- a/src/proxy/upstream/response_body.rs
+++ b/crates/balancer-proxy/src/upstream/response_body.rs
@@ -4,8 +4,8 @@
 use super::body_chunks::BodyChunks;
 use super::connection::Connection;
 use super::pool::ConnectionLease;
-use crate::proxy::limits::MAX_BODY_BYTES;
-use crate::proxy::stream_error::StreamError;
+use crate::limits::MAX_BODY_BYTES;
+use crate::stream_error::StreamError;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::HeaderMap;
--- a/src/proxy/upstream/send_deadlines.rs
+++ b/crates/balancer-proxy/src/upstream/send_deadlines.rs
@@ -1,6 +1,6 @@
 //! Until when requests may be sent to a backend that is draining, removed or in maintenance.
 
-use crate::Time;
+use balancer::Time;
 use std::cell::Cell;
 
 /// The deadlines for sends to one backend. Times are those of the proxy's clock, in seconds.
--- a/src/proxy/watch_event.rs
+++ b/crates/balancer-proxy/src/watch_event.rs
@@ -1,6 +1,6 @@
 //! Events of the watch on the endpoint list, as discovery sends them to the engine.
 
-use crate::Endpoint;
+use balancer::Endpoint;
 use std::net::SocketAddr;
 
 /// What the watch has brought.
--- a/tests/client_disconnects.rs
+++ b/crates/balancer-proxy/tests/client_disconnects.rs
@@ -4,14 +4,14 @@
 
 mod common;
 
-use balancer_proxy::proxy::clock::Clock;
-use balancer_proxy::proxy::limits::Budget;
-use balancer_proxy::proxy::metrics::Metrics;
-use balancer_proxy::proxy::settings::ProxySettings;
-use balancer_proxy::proxy::upstream::attempt::{AttemptParameters, attempt};
-use balancer_proxy::proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
-use balancer_proxy::proxy::upstream::pool::ConnectionPool;
-use balancer_proxy::proxy::upstream::shared_flag::SharedFlag;
+use balancer_proxy::clock::Clock;
+use balancer_proxy::limits::Budget;
+use balancer_proxy::metrics::Metrics;
+use balancer_proxy::settings::ProxySettings;
+use balancer_proxy::upstream::attempt::{AttemptParameters, attempt};
+use balancer_proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
+use balancer_proxy::upstream::pool::ConnectionPool;
+use balancer_proxy::upstream::shared_flag::SharedFlag;
 use common::client_disconnect::{
     Disconnect, proxy_with_cancellation, received_of_class, wait_for_no_open_request,
     wait_until_input_is_handled,
--- a/tests/forwarding.rs
+++ b/crates/balancer-proxy/tests/forwarding.rs
@@ -2,15 +2,15 @@
 
 mod common;
 
-use balancer_proxy::Outcome;
-use balancer_proxy::proxy::clock::Clock;
-use balancer_proxy::proxy::limits::Budget;
-use balancer_proxy::proxy::metrics::Metrics;
-use balancer_proxy::proxy::settings::ProxySettings;
-use balancer_proxy::proxy::upstream::attempt::{AttemptParameters, attempt};
-use balancer_proxy::proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
-use balancer_proxy::proxy::upstream::pool::ConnectionPool;
-use balancer_proxy::proxy::upstream::shared_flag::SharedFlag;
+use balancer::Outcome;
+use balancer_proxy::clock::Clock;
+use balancer_proxy::limits::Budget;
+use balancer_proxy::metrics::Metrics;
+use balancer_proxy::settings::ProxySettings;
+use balancer_proxy::upstream::attempt::{AttemptParameters, attempt};
+use balancer_proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
+use balancer_proxy::upstream::pool::ConnectionPool;
+use balancer_proxy::upstream::shared_flag::SharedFlag;
 use common::configuration::{READINESS_REQUEST, default_settings, endpoint_list, listed_endpoint, request};
 use common::proxy_process::ProxyProcess;
 use common::stub_server::{Reply, StubServer, silent_discovery};
--- a/tests/metrics.rs
+++ b/crates/balancer-proxy/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! The JSON of the management call `stats`, byte for byte as operators' programs read it.
 
-use balancer_proxy::proxy::metrics::Metrics;
-use balancer_proxy::proxy::settings::ProxySettings;
+use balancer_proxy::metrics::Metrics;
+use balancer_proxy::settings::ProxySettings;
 use hyper::StatusCode;
 
 fn settings(version: Option<u64>, classes: &[&str]) -> ProxySettings {
--- a/tests/settings_reload.rs
+++ b/crates/balancer-proxy/tests/settings_reload.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
-use balancer_proxy::proxy::metrics::Metrics;
-use balancer_proxy::proxy::settings::ProxySettings;
+use balancer_proxy::metrics::Metrics;
+use balancer_proxy::settings::ProxySettings;
 use common::configuration::{
     configuration_with_management, default_settings, request, request_with_framing, serving_list,
 };
--- a/tests/stored_data.rs
+++ b/crates/balancer-proxy/tests/stored_data.rs
@@ -6,9 +6,9 @@
 
 mod common;
 
-use balancer_proxy::proxy::control::instance_lock::InstanceLock;
-use balancer_proxy::proxy::control::maintenance_store::MaintenanceStore;
-use balancer_proxy::proxy::control::state_files;
+use balancer_proxy::control::instance_lock::InstanceLock;
+use balancer_proxy::control::maintenance_store::MaintenanceStore;
+use balancer_proxy::control::state_files;
 use common::configuration::{configuration, default_settings, request, serving_list};
 use common::http::exchange;
 use common::proxy_process::{ProxyProcess, SharedAddress};
--- a/tests/upgrade.rs
+++ b/crates/balancer-proxy/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use balancer_proxy::proxy::control::instance_lock::InstanceLock;
+use balancer_proxy::control::instance_lock::InstanceLock;
 use common::configuration::{
     configuration, default_settings, endpoint_list, listed_endpoint, request, serving_list,
 };
--- a/tests/common/balancer_harness.rs
+++ b/crates/balancer/tests/common/balancer_harness.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use balancer_proxy::*;
+use balancer::*;
 
 /// A class with a latency objective of 1 s and a deadline of 2 s.
 pub fn request_class(effect: Effect) -> RequestClass {
--- a/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -1,6 +1,6 @@
 //! A checker of the decision module's invariants, which sees only its events and actions.
 
-use balancer_proxy::*;
+use balancer::*;
 use std::collections::HashMap;
 
 /// An attempt of a request, as seen from outside.
--- a/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -7,7 +7,7 @@
 mod checker;
 mod random_events;
 
-use balancer_proxy::*;
+use balancer::*;
 use checker::{Checker, ObservedRequest};
 use common::balancer_harness::endpoint;
 use proptest::prelude::*;
--- a/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -1,6 +1,6 @@
 //! Random legal sequences of events, played to a balancer under the eyes of the checker.
 
-use balancer_proxy::*;
+use balancer::*;
 use proptest::prelude::*;
 
 use crate::checker::{Checker, ObservedRequest};
--- a/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -6,7 +6,7 @@
     BalancerHarness, endpoint, endpoints, is_rejected, request_class, safe_settings, sends, tenant,
     without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// Settings of a balancer at the entry tier, the only one that sheds load.
 fn entry_settings(instance_count: usize) -> Settings {
--- a/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -4,7 +4,7 @@
     BalancerHarness, endpoint, endpoints, is_rejected, safe_settings, sends, settings_with_effect,
     without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// A balancer before two backends.
 fn harness_with_two_backends(settings: Settings) -> BalancerHarness {
--- a/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -3,7 +3,7 @@
 use crate::common::balancer_harness::{
     BalancerHarness, endpoints, is_rejected, request_class, safe_settings, sends, tenant, without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// Settings in which every number that may be zero is zero.
 fn zero_settings() -> Settings {
--- a/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -3,7 +3,7 @@
 use crate::common::balancer_harness::{
     BalancerHarness, endpoint, endpoints, safe_settings, sends, without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 #[test]
 fn sends_nothing_to_a_draining_or_removed_backend() {
--- a/tests/decisions/final_response.rs
+++ b/crates/balancer/tests/decisions/final_response.rs
@@ -4,7 +4,7 @@
     BalancerHarness, endpoints, is_failed, is_rejected, safe_settings, sends, settings_with_effect,
     without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// The outcomes of an attempt without a response that the client could get.
 const FAILURES: [Outcome; 6] = [
--- a/tests/decisions/maintenance.rs
+++ b/crates/balancer/tests/decisions/maintenance.rs
@@ -6,7 +6,7 @@
 use crate::common::balancer_harness::{
     BalancerHarness, endpoint, endpoints, is_rejected, safe_settings, sends, without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 fn start_maintenance(harness: &mut BalancerHarness, id: u32) -> Vec<Action> {
     harness.handle(Event::Maintenance { backend: BackendId(id), change: MaintenanceChange::Begins })
--- a/tests/decisions/ordered_keys.rs
+++ b/crates/balancer/tests/decisions/ordered_keys.rs
@@ -3,7 +3,7 @@
 use crate::common::balancer_harness::{
     BalancerHarness, endpoints, is_failed, is_rejected, sends, settings_with_effect, without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// A balancer with a class of unsafe requests that keeps the order of a key, which rests for 0.2 s
 /// after an attempt without a response.
--- a/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -1,7 +1,7 @@
 //! Outlier detection: backends that fail fast or never respond get few requests.
 
 use crate::common::balancer_harness::{BalancerHarness, endpoints, safe_settings};
-use balancer_proxy::*;
+use balancer::*;
 
 fn harness_with_one_attempt() -> BalancerHarness {
     BalancerHarness::new(Settings { max_attempts: 1, ..safe_settings() }, &endpoints(2))
--- a/tests/decisions/placement.rs
+++ b/crates/balancer/tests/decisions/placement.rs
@@ -5,7 +5,7 @@
 use crate::common::balancer_harness::{
     BalancerHarness, endpoint, endpoints, safe_settings, sends, without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// The backends that 60 requests are sent to, from this id on, none of which gets a response.
 fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<u32> {
--- a/tests/decisions/retransmission.rs
+++ b/crates/balancer/tests/decisions/retransmission.rs
@@ -3,7 +3,7 @@
 use crate::common::balancer_harness::{
     BalancerHarness, endpoint, endpoints, is_failed, is_rejected, safe_settings, settings_with_effect,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// When attempts were sent, in seconds after `start`.
 fn send_times(timed_actions: &[(Time, Action)], start: Time) -> Vec<Time> {
--- a/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -3,7 +3,7 @@
 use crate::common::balancer_harness::{
     BalancerHarness, endpoint, endpoints, safe_settings, sends, without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// Settings of one of many balancers, in whose subset a backend warms up for 20 s.
 fn slow_start_settings(instance_count: usize, initial_capacity: f64) -> Settings {
--- a/tests/decisions/streamed_bodies.rs
+++ b/crates/balancer/tests/decisions/streamed_bodies.rs
@@ -4,7 +4,7 @@
     BalancerHarness, endpoint, is_failed, is_rejected, safe_settings, sends, settings_with_effect,
     without_times,
 };
-use balancer_proxy::*;
+use balancer::*;
 
 /// A request with a streamed body arrives; returns the backend that it is sent to.
 fn send_streamed_request(harness: &mut BalancerHarness, id: u64) -> u32 {
--- a/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use balancer_proxy::*;
+use balancer::*;
 use common::balancer_harness::{
     BalancerHarness, endpoint, request_class, safe_settings, sends, tenant, without_times,
 };
--- a/tests/slow_start.rs
+++ b/crates/balancer/tests/slow_start.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use balancer_proxy::*;
+use balancer::*;
 use common::balancer_harness::request_class;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/fleet-bench/src/fleet.rs
+++ b/crates/fleet-bench/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A simulated fleet on virtual time: thousands of balancers in one process.
 //!
-//! Each proxy is a [`balancer_proxy::Balancer`] on one machine of a service, and calls one lower
+//! Each proxy is a [`balancer::Balancer`] on one machine of a service, and calls one lower
 //! service, as the program's proxies have one endpoint list each. Backends, network and discovery are
 //! modelled: service times without queues, random delays of endpoint updates. As nothing that a proxy
 //! sends changes how a backend responds, the callers are simulated one by one, in parallel, and what
--- a/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -21,7 +21,7 @@
 use super::settings::{CLASS_EFFECTS, caller_settings};
 use crate::error::Error;
 use accounting::{Accounting, Failure};
-use balancer_proxy::{
+use balancer::{
     Action, BackendId, Balancer, EndedAttempt, EndpointUpdate, Event, Outcome, Request, RequestId, Time,
 };
 use discovery_client::{DiscoveryClient, Message};
--- a/fleet-bench/src/fleet/caller/accounting.rs
+++ b/crates/fleet-bench/src/fleet/caller/accounting.rs
@@ -6,7 +6,7 @@
 use crate::fleet::observations::{CallerObservations, SlowStartAttempt, StateSize, SubsetMember};
 use crate::fleet::recording::{Record, Recording};
 use crate::fleet::scenario::Scenario;
-use balancer_proxy::{Balancer, EndpointUpdate, Event, Settings, Time};
+use balancer::{Balancer, EndpointUpdate, Event, Settings, Time};
 
 /// A call that ended without success.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/fleet-bench/src/fleet/caller/deliveries.rs
+++ b/crates/fleet-bench/src/fleet/caller/deliveries.rs
@@ -2,7 +2,7 @@
 
 use super::network::Network;
 use crate::fleet::scenario::Scenario;
-use balancer_proxy::Time;
+use balancer::Time;
 use rand::rngs::SmallRng;
 
 /// A message with endpoint changes.
--- a/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -5,7 +5,7 @@
 use super::network::Network;
 use crate::fleet::faults::OutageKind;
 use crate::fleet::scenario::Scenario;
-use balancer_proxy::{Endpoint, Time};
+use balancer::{Endpoint, Time};
 use rand::rngs::SmallRng;
 use std::ops::Range;
 
--- a/fleet-bench/src/fleet/caller/endpoint_list.rs
+++ b/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list of a service as one caller has it, and the size of its messages.
 
 use crate::fleet::faults::EndpointChange;
-use balancer_proxy::{Endpoint, Status, Time};
+use balancer::{Endpoint, Status, Time};
 
 /// The endpoint list after some of its changes.
 #[derive(Debug)]
--- a/fleet-bench/src/fleet/caller/event_queue.rs
+++ b/crates/fleet-bench/src/fleet/caller/event_queue.rs
@@ -1,6 +1,6 @@
 //! The virtual clock of a caller: its pending events in the order of their times.
 
-use balancer_proxy::{Outcome, RequestId, Time, TimerToken};
+use balancer::{Outcome, RequestId, Time, TimerToken};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
--- a/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -6,7 +6,7 @@
 use crate::fleet::faults::{Outage, OutageKind};
 use crate::fleet::random;
 use crate::fleet::scenario::Scenario;
-use balancer_proxy::{Outcome, Time};
+use balancer::{Outcome, Time};
 use rand::rngs::SmallRng;
 
 /// How an attempt ends.
--- a/fleet-bench/src/fleet/caller/requests.rs
+++ b/crates/fleet-bench/src/fleet/caller/requests.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::AttemptId;
 use crate::fleet::checker::{Checker, OpenCall, Violation};
-use balancer_proxy::{Effect, RequestId, Time};
+use balancer::{Effect, RequestId, Time};
 use std::collections::HashMap;
 
 /// An attempt in flight.
--- a/fleet-bench/src/fleet/caller/workload.rs
+++ b/crates/fleet-bench/src/fleet/caller/workload.rs
@@ -4,7 +4,7 @@
 use crate::fleet::plan::Plan;
 use crate::fleet::random;
 use crate::fleet::scenario::Scenario;
-use balancer_proxy::Time;
+use balancer::Time;
 use rand::Rng;
 use rand::rngs::SmallRng;
 
--- a/fleet-bench/src/fleet/checker.rs
+++ b/crates/fleet-bench/src/fleet/checker.rs
@@ -1,7 +1,7 @@
 //! Checks the rules that hold for every call: exactly one final response before the deadline, and no
 //! second attempt of an unsafe call that may have run.
 
-use balancer_proxy::{Effect, RequestId, Time};
+use balancer::{Effect, RequestId, Time};
 use std::collections::HashMap;
 use thiserror::Error;
 
--- a/fleet-bench/src/fleet/coverage.rs
+++ b/crates/fleet-bench/src/fleet/coverage.rs
@@ -3,7 +3,7 @@
 use super::observations::{CallerObservations, SAMPLE_INTERVAL};
 use super::results::{Coverage, CoverageSample};
 use super::scenario::Scenario;
-use balancer_proxy::Time;
+use balancer::Time;
 
 /// A backend in no subset for this many samples in a row is unassigned for long.
 pub const LONG_UNASSIGNED_SAMPLES: u32 = 10;
--- a/fleet-bench/src/fleet/faults.rs
+++ b/crates/fleet-bench/src/fleet/faults.rs
@@ -3,7 +3,7 @@
 use super::plan::{Phase, Plan};
 use super::random;
 use super::topology::Topology;
-use balancer_proxy::{Endpoint, Status, Time};
+use balancer::{Endpoint, Status, Time};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/fleet-bench/src/fleet/memory.rs
+++ b/crates/fleet-bench/src/fleet/memory.rs
@@ -6,7 +6,7 @@
 use super::topology::Topology;
 use crate::error::Error;
 use crate::report::{Table, Value};
-use balancer_proxy::{Balancer, EndpointUpdate, Event};
+use balancer::{Balancer, EndpointUpdate, Event};
 
 /// Balancers of a role that exist at once while their memory is measured.
 const BALANCERS_PER_ROLE: usize = 200;
--- a/fleet-bench/src/fleet/observations.rs
+++ b/crates/fleet-bench/src/fleet/observations.rs
@@ -2,7 +2,7 @@
 
 use super::counts::Counts;
 use super::recording::Recording;
-use balancer_proxy::Time;
+use balancer::Time;
 
 /// Interval at which the state of the balancers is sampled, in seconds.
 pub const SAMPLE_INTERVAL: Time = 1.0;
--- a/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -8,7 +8,7 @@
 use super::topology::Topology;
 use crate::report::{Table, Value};
 use crate::thread_clock::thread_time;
-use balancer_proxy::{Action, Balancer, EndpointUpdate, Event, Time};
+use balancer::{Action, Balancer, EndpointUpdate, Event, Time};
 use std::iter::Peekable;
 use std::slice::Iter;
 
--- a/fleet-bench/src/fleet/recording.rs
+++ b/crates/fleet-bench/src/fleet/recording.rs
@@ -1,6 +1,6 @@
 //! The events that a balancer handled, recorded so that they can be replayed without the simulation.
 
-use balancer_proxy::{Endpoint, EndpointUpdate, Event, Settings, Time};
+use balancer::{Endpoint, EndpointUpdate, Event, Settings, Time};
 
 /// Something that happened to a balancer, and when.
 #[derive(Debug)]
--- a/fleet-bench/src/fleet/scenario.rs
+++ b/crates/fleet-bench/src/fleet/scenario.rs
@@ -3,7 +3,7 @@
 use super::faults::{EndpointChange, Faults};
 use super::plan::{Phase, Plan};
 use super::topology::{Service, Topology};
-use balancer_proxy::{Status, Time};
+use balancer::{Status, Time};
 use std::time::Instant;
 
 /// A phase of the run.
--- a/fleet-bench/src/fleet/settings.rs
+++ b/crates/fleet-bench/src/fleet/settings.rs
@@ -2,7 +2,7 @@
 
 use super::plan::Plan;
 use super::topology::Topology;
-use balancer_proxy::{Effect, IdempotencyGroup, RequestClass, Settings};
+use balancer::{Effect, IdempotencyGroup, RequestClass, Settings};
 
 /// The effect of each request class, by the class's index.
 pub const CLASS_EFFECTS: [Effect; 3] =
--- a/fleet-bench/src/fleet/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/slow_start.rs
@@ -4,7 +4,7 @@
 use super::plan::Plan;
 use super::results::SlowStartPeak;
 use super::scenario::Scenario;
-use balancer_proxy::Time;
+use balancer::Time;
 
 /// The peak load of each backend that began to warm up, and did so to the end within the phase.
 pub fn measure(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<SlowStartPeak> {
--- a/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -3,7 +3,7 @@
 use super::parameters::{LognormalTime, TimeRange};
 use super::plan::Plan;
 use super::random::{normal, seed};
-use balancer_proxy::{BackendId, Endpoint, Status, Time};
+use balancer::{BackendId, Endpoint, Status, Time};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/fleet-bench/src/slopes/case.rs
+++ b/crates/fleet-bench/src/slopes/case.rs
@@ -1,6 +1,6 @@
 //! The size of one deployment, and what its balancer is configured with.
 
-use balancer_proxy::{BackendId, Endpoint, RequestClass, Settings, Tenant, Time};
+use balancer::{BackendId, Endpoint, RequestClass, Settings, Tenant, Time};
 
 /// Latency objective of all classes, in seconds. The balancer's estimates reach back over a multiple
 /// of it, and it takes no response time beyond a quarter of it as normal.
--- a/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -5,7 +5,7 @@
 use super::case::{Case, REQUEST_TIMEOUT, RESPONSE_TIME, SLOW_REQUEST_INTERVAL, SLOW_RESPONSE_TIME};
 use super::event_times::{EventKind, EventTimes, clock_cost};
 use crate::thread_clock::thread_time;
-use balancer_proxy::{
+use balancer::{
     Action, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId,
     Status, Time, TimerToken,
 };
--- a/src/bin/simulator-adapter/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -4,8 +4,8 @@
 use super::endpoint_lists::EndpointLists;
 use super::instances::{Instance, InstanceIndex, Instances, RunningInstance};
 use super::reply::Reply;
-use balancer_proxy::wire::{self, InstanceStart, Line, ListId, NameIndex, WireError};
-use balancer_proxy::{Action, Balancer, Event, Time};
+use crate::wire::{self, InstanceStart, Line, ListId, NameIndex, WireError};
+use balancer::{Action, Balancer, Event, Time};
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
--- a/src/bin/simulator-adapter/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,7 +1,7 @@
 //! The endpoint lists that updates refer to. Owns their endpoints, which last from batch to batch.
 
-use balancer_proxy::wire::{LIST_COUNT, ListId, ListUpdate};
-use balancer_proxy::{Endpoint, EndpointUpdate};
+use crate::wire::{LIST_COUNT, ListId, ListUpdate};
+use balancer::{Endpoint, EndpointUpdate};
 
 /// The endpoint lists, which are filled by one line for each endpoint.
 #[derive(Default)]
--- a/src/bin/simulator-adapter/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,8 +1,8 @@
 //! The instances of the decision module. Owns all that were ever named, as the simulator may start an
 //! instance again under its name.
 
-use balancer_proxy::Balancer;
-use balancer_proxy::wire::InstanceNames;
+use crate::wire::InstanceNames;
+use balancer::Balancer;
 use std::collections::HashMap;
 
 /// An instance that has been named.
--- a/src/bin/simulator-adapter/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,8 +9,9 @@
 mod endpoint_lists;
 mod instances;
 mod reply;
+mod wire;
 
-use balancer_proxy::wire::WireError;
+use crate::wire::WireError;
 use batch::{Batch, BatchState, Host};
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
--- a/src/bin/simulator-adapter/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,8 +1,8 @@
 //! The reply to a batch: the actions of each instance below its name.
 
 use super::instances::InstanceIndex;
-use balancer_proxy::Action;
-use balancer_proxy::wire;
+use crate::wire;
+use balancer::Action;
 
 /// The reply to a batch.
 #[derive(Default)]
--- a/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -1,6 +1,6 @@
 //! Actions as lines of a reply.
 
-use crate::Action;
+use balancer::Action;
 use std::fmt::{self, Write};
 
 /// Appends an action to a reply, as one line. An action without meaning on this wire adds nothing.
--- a/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -4,7 +4,7 @@
 use super::error::{Result, WireError};
 use super::names::NameIndex;
 use super::values::{self, ABSENT};
-use crate::{BackendId, Endpoint, Status, Time};
+use balancer::{BackendId, Endpoint, Status, Time};
 
 /// Number of endpoint lists that can be filled at once.
 pub const LIST_COUNT: usize = 16;
--- a/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -5,7 +5,7 @@
 use super::names::{InstanceNames, NameIndex};
 use super::settings;
 use super::values::{self, ABSENT};
-use crate::{BackendId, EndedAttempt, Endpoint, Event, LoadReport, Request, Settings, Time, TimerToken};
+use balancer::{BackendId, EndedAttempt, Endpoint, Event, LoadReport, Request, Settings, Time, TimerToken};
 
 /// The value of a load report that is a service time, in milliseconds.
 const SERVICE_TIME_FIELD: &str = "avg_ms";
--- a/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -6,7 +6,7 @@
 use super::error::{Result, WireError};
 use super::names::{InstanceNames, NameIndex};
 use super::values;
-use crate::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant};
+use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant};
 use std::collections::HashMap;
 
 /// The pairs, by path.
--- a/src/wire/values.rs
+++ b/crates/simulator-adapter/src/wire/values.rs
@@ -1,7 +1,7 @@
 //! The values of a line, each with the bounds that the protocol sets.
 
 use super::error::{Result, WireError};
-use crate::{Outcome, RequestId};
+use balancer::{Outcome, RequestId};
 use std::str::FromStr;
 
 /// Stands for an absent value.
