--- a/tests/replay/agenda.rs
+++ b/crates/balancer/tests/replay/agenda.rs
@@ -1,6 +1,6 @@
 //! What is going to happen in a simulation, in the order of its times.
 
-use balancer_proxy::{BackendId, RequestId, Time, TimerToken};
+use balancer::{BackendId, RequestId, Time, TimerToken};
 use std::collections::BTreeMap;
 
 /// Names an attempt of a request.
--- a/tests/replay/attempts.rs
+++ b/crates/balancer/tests/replay/attempts.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{AttemptId, Occurrence};
 use crate::simulated_backends::AttemptEnd;
 use crate::simulation::{OpenRequest, Simulation};
-use balancer_proxy::{BackendId, EndedAttempt, Event, Outcome, Request, RequestId, Time};
+use balancer::{BackendId, EndedAttempt, Event, Outcome, Request, RequestId, Time};
 use rand::Rng;
 
 /// Ordering keys in use.
--- a/tests/replay/coverage.rs
+++ b/crates/balancer/tests/replay/coverage.rs
@@ -1,6 +1,6 @@
 //! Counts the kinds of events, actions and outcomes that occur.
 
-use balancer_proxy::{Action, EndpointUpdate, Event, MaintenanceChange, Outcome};
+use balancer::{Action, EndpointUpdate, Event, MaintenanceChange, Outcome};
 use std::collections::BTreeMap;
 
 /// All kinds that have to occur. Outcomes are those of attempts.
--- a/tests/replay/digest.rs
+++ b/crates/balancer/tests/replay/digest.rs
@@ -1,6 +1,6 @@
 //! A digest of actions that is the same for all compilers and releases: 64-bit FNV-1a.
 
-use balancer_proxy::{Action, Time};
+use balancer::{Action, Time};
 
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
--- a/tests/replay/main.rs
+++ b/crates/balancer/tests/replay/main.rs
@@ -5,7 +5,7 @@
 //! them renews the digests, and says in its commit which decisions differ and why:
 //!
 //! ```text
-//! RENEW_REPLAY_DIGESTS=1 cargo test --release --test replay
+//! RENEW_REPLAY_DIGESTS=1 cargo test --release -p balancer --test replay
 //! ```
 //!
 //! The digests hold the exact bits of all times, and so of `exp`, which may differ in the last bit from one
--- a/tests/replay/scenario.rs
+++ b/crates/balancer/tests/replay/scenario.rs
@@ -1,6 +1,6 @@
 //! What a scenario consists of: settings, traffic, backends, and changes at fixed times.
 
-use balancer_proxy::{BackendId, Endpoint, MaintenanceChange, Outcome, Settings, Status, Time};
+use balancer::{BackendId, Endpoint, MaintenanceChange, Outcome, Settings, Status, Time};
 
 /// How a backend behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/tests/replay/simulated_backends.rs
+++ b/crates/balancer/tests/replay/simulated_backends.rs
@@ -1,7 +1,7 @@
 //! The simulated backends: how long each takes for an attempt, how the attempt ends, and what is reported.
 
 use crate::scenario::{Behaviour, Reporting, Traffic};
-use balancer_proxy::{BackendId, LoadReport, Outcome, Time};
+use balancer::{BackendId, LoadReport, Outcome, Time};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use std::collections::BTreeMap;
--- a/tests/replay/simulation.rs
+++ b/crates/balancer/tests/replay/simulation.rs
@@ -4,7 +4,7 @@
 use crate::attempts::OpenAttempt;
 use crate::scenario::{Change, Scenario};
 use crate::simulated_backends::SimulatedBackends;
-use balancer_proxy::{Action, Balancer, Endpoint, EndpointUpdate, Event, Outcome, RequestId, Settings, Time};
+use balancer::{Action, Balancer, Endpoint, EndpointUpdate, Event, Outcome, RequestId, Settings, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
