--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -46,34 +46,62 @@
     backends.iter().map(StubServer::request_count).sum()
 }
 
+/// A backend that responds after 50 ms, unless it is stuck.
+struct StallingBackend {
+    server: StubServer,
+    is_stuck: Arc<AtomicBool>,
+}
+
+impl StallingBackend {
+    fn new() -> Self {
+        let is_stuck = Arc::new(AtomicBool::new(false));
+        let [server] = backends_that_get_stuck(&is_stuck, Duration::from_millis(50));
+        Self { server, is_stuck }
+    }
+
+    fn set_stuck(&self, is_stuck: bool) {
+        self.is_stuck.store(is_stuck, Ordering::SeqCst);
+    }
+}
+
 #[test]
 fn requests_do_not_pile_up_at_a_backend_that_is_stuck() {
     // The other backend still responds, and so may have more in flight than the stuck one.
-    let stuck = Arc::new(AtomicBool::new(false));
-    let [outlier] = backends_that_get_stuck(&stuck, Duration::from_millis(50));
-    let [healthy] = backends_that_get_stuck(&Arc::default(), Duration::from_millis(50));
-    let backends = serving_list(&[&outlier, &healthy]);
-    let proxy = ProxyProcess::start(&entry_settings(20.0), &backends, silent_discovery().address);
+    let backends = [StallingBackend::new(), StallingBackend::new()];
+    let cached_list = serving_list(&backends.each_ref().map(|backend| &backend.server));
+    let proxy = ProxyProcess::start(&entry_settings(20.0), &cached_list, silent_discovery().address);
     let send = || proxy.exchange(&request("order", 19_000)).status();
-    wait_for("response of each", || {
-        send() == 200 && outlier.request_count() > 1 && healthy.request_count() > 1
+    // Sent two at a time, as single requests may all go to the backend that was faster by a little.
+    wait_for("responses of each", || {
+        std::thread::scope(|scope| {
+            let clients = [(); 2].map(|()| scope.spawn(send));
+            assert!(clients.into_iter().all(|client| client.join().unwrap() == 200));
+        });
+        backends.iter().all(|backend| backend.server.request_count() > 1)
     });
 
-    stuck.store(true, Ordering::SeqCst);
+    // The backend to which the proxy sends the next request stays stuck, whichever that is.
+    let counts_before = backends.each_ref().map(|backend| backend.server.request_count());
+    let next_receiver =
+        || (0..backends.len()).find(|index| backends[*index].server.request_count() > counts_before[*index]);
+    for backend in &backends {
+        backend.set_stuck(true);
+    }
     std::thread::scope(|scope| {
-        let before = outlier.request_count();
-        while outlier.request_count() == before {
-            scope.spawn(send);
-            std::thread::sleep(Duration::from_millis(200));
-        }
+        scope.spawn(send);
+        wait_for("request", || next_receiver().is_some());
+        let outlier = next_receiver().unwrap();
+        backends[1 - outlier].set_stuck(false);
+
+        // Twenty times the usual latency, so that the silence shows.
         std::thread::sleep(Duration::from_secs(1));
         for _ in 0..5 {
             let clients = [(); 3].map(|()| scope.spawn(send));
             assert!(clients.into_iter().all(|client| client.join().unwrap() == 200));
         }
 
-        assert_eq!(outlier.request_count(), before + 1);
-        stuck.store(false, Ordering::SeqCst);
+        assert_eq!(backends[outlier].server.request_count(), counts_before[outlier] + 1);
+        backends[outlier].set_stuck(false);
     });
 }
 
