--- /dev/null
+++ b/tests/common/body.rs
@@ -0,0 +1,34 @@
+//! Long bodies, whole and in chunked encoding.
+
+use std::io::{BufReader, Write};
+use std::net::TcpStream;
+use std::thread::JoinHandle;
+
+/// Bytes that depend on their position.
+pub fn pattern(length: usize) -> Vec<u8> {
+    (0..length).map(|index| (index ^ (index >> 8) ^ (index >> 16)) as u8).collect()
+}
+
+/// The data in chunked encoding, with chunk extensions and a trailer.
+pub fn chunked(data: &[u8], chunk_length: usize) -> Vec<u8> {
+    let mut encoded = Vec::new();
+    for chunk in data.chunks(chunk_length) {
+        write!(encoded, "{:x};a=b\r\n", chunk.len()).unwrap();
+        encoded.extend_from_slice(chunk);
+        encoded.extend_from_slice(b"\r\n");
+    }
+    encoded.extend_from_slice(b"0\r\nX-Sum: 1\r\n\r\n");
+    encoded
+}
+
+/// Writes from another thread, as a client does that reads while it writes.
+pub fn write_in_background(stream: &BufReader<TcpStream>, parts: Vec<Vec<u8>>) -> JoinHandle<()> {
+    let mut stream = stream.get_ref().try_clone().unwrap();
+    std::thread::spawn(move || {
+        for part in parts {
+            if stream.write_all(&part).is_err() {
+                return; // the response came before the end of the body
+            }
+        }
+    })
+}
--- a/tests/common/configuration.rs
+++ b/tests/common/configuration.rs
@@ -32,6 +32,11 @@
            "sockets": 1024}, "known": cached_endpoints, "settings": settings})
 }
 
+/// A configuration file with [`default_settings`] and these backends in its cached list.
+pub fn default_configuration(backends: &[&StubServer]) -> Value {
+    configuration(&default_settings(), &serving_list(backends))
+}
+
 /// A configuration file like [`configuration`], with a management address that the system chooses.
 pub fn configuration_with_management(settings: &Value, cached_endpoints: &Value) -> Value {
     let mut configuration = configuration(settings, cached_endpoints);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,12 +2,16 @@
 #![allow(dead_code, reason = "each test program uses only a part of the helpers")]
 
 pub mod balancer_harness;
+pub mod body;
 pub mod client_disconnect;
 pub mod configuration;
 pub mod http;
 pub mod late_server;
 pub mod proxy_process;
+pub mod scripted_discovery;
+pub mod settings_reload;
 pub mod socket_table;
+pub mod state_folder;
 pub mod stub_server;
 pub mod temporary;
 pub mod waiting;
--- a/tests/common/proxy_process.rs
+++ b/tests/common/proxy_process.rs
@@ -150,6 +150,11 @@
         response
     }
 
+    /// Waits until the management call `status` reports that the proxy is ready.
+    pub fn wait_until_ready(&self) {
+        wait_for("ready", || self.management_call("status\n").starts_with("OK"));
+    }
+
     /// The metrics, as the management call `stats` gives them.
     pub fn stats(&self) -> Value {
         let text = self.management_call("stats\n");
--- /dev/null
+++ b/tests/discovery_return.rs
@@ -0,0 +1,109 @@
+//! The return of discovery after a chain of faults: the event that it has by then is received in time,
+//! and failed calls are not repeated without a pause.
+
+mod common;
+
+use common::configuration::{configuration, default_settings, request};
+use common::http::response;
+use common::proxy_process::ProxyProcess;
+use common::scripted_discovery::{
+    PARTIAL_BODY, PARTIAL_HEAD, Replacement, ScriptedDiscovery, write_and_hang,
+};
+use common::stub_server::wait_for_end;
+use common::waiting::wait_for;
+use serde_json::json;
+use std::io::Write;
+use std::ops::ControlFlow;
+use std::time::Duration;
+
+/// A discovery that returns after faults. Its first call is answered with the cached list. It closes
+/// `closed_calls` calls, leaves one without a response, just after which it has the event, sends part
+/// of the response to the next, and responds to the one after that.
+fn returning_discovery(
+    closed_calls: usize,
+    partial_response: &'static str,
+    cached_list: String,
+    event: String,
+) -> ScriptedDiscovery {
+    ScriptedDiscovery::new(move |earlier_calls, stream| {
+        match (earlier_calls + 1).checked_sub(closed_calls + 2) {
+            None if earlier_calls == 0 => stream.get_mut().write_all(cached_list.as_bytes()).unwrap(),
+            None => return ControlFlow::Break(()),
+            Some(0) => {
+                wait_for_end(stream);
+                return ControlFlow::Break(());
+            }
+            Some(1) => {
+                write_and_hang(partial_response)(stream);
+                return ControlFlow::Break(());
+            }
+            Some(2) => stream.get_mut().write_all(event.as_bytes()).unwrap(),
+            Some(_) => wait_for_end(stream),
+        }
+        ControlFlow::Continue(())
+    })
+}
+
+/// How the proxy learns of changes, and how many calls fail before discovery returns.
+#[derive(Clone, Copy)]
+struct FaultChain {
+    registry_mode: &'static str,
+    closed_calls: usize,
+}
+
+/// Watched or polled, with backoff at its shortest and at its longest.
+const FAULT_CHAINS: [FaultChain; 4] = [
+    FaultChain { registry_mode: "automatic", closed_calls: 0 },
+    FaultChain { registry_mode: "automatic", closed_calls: 7 },
+    FaultChain { registry_mode: "subscribe", closed_calls: 0 },
+    FaultChain { registry_mode: "subscribe", closed_calls: 3 },
+];
+
+fn receives_the_event_after_a_chain_of_faults(chain: FaultChain, seed: usize) {
+    let FaultChain { registry_mode, closed_calls } = chain;
+    let backends = Replacement::start();
+    let event = response("200 OK", &backends.event(2, "DRAINING").to_string());
+    let cached_list = response("200 OK", &backends.cached_list().to_string());
+    let partial_response = [PARTIAL_HEAD, PARTIAL_BODY][seed % 2];
+    let discovery = returning_discovery(closed_calls, partial_response, cached_list, event);
+    let mut settings = default_settings();
+    settings["registry-mode"] = json!(registry_mode);
+    settings["rules"]["ask-within"] = json!(60.0);
+    let mut configuration = configuration(&settings, &backends.cached_list());
+    configuration["seed"] = json!(format!("{seed:x}"));
+    let proxy = ProxyProcess::with_configuration(&configuration, discovery.server.address);
+    if registry_mode == "subscribe" {
+        // It polls at once when its discovery moves, and otherwise some time within 30 s.
+        configuration["discovery"] = json!(discovery.server.address.to_string());
+        proxy.replace_configuration(&configuration);
+        proxy.signal("-HUP");
+    }
+
+    wait_for("list", || discovery.call_count() >= closed_calls + 5);
+
+    let time_of_call = |index: usize| discovery.call(index).at;
+    let elapsed = time_of_call(closed_calls + 3) - time_of_call(closed_calls + 1);
+    let case = format!("{registry_mode}, {closed_calls} closed, seed {seed}");
+    assert!(elapsed < Duration::from_secs(6), "{case}: {elapsed:?}");
+    for _ in 0..5 {
+        assert_eq!(proxy.exchange(&request("look", 9000)).body, b"new", "{case}");
+    }
+    assert!(discovery.call(closed_calls + 4).request_line.contains("since=2&"), "{case}");
+    // Failed calls are not repeated without a pause. A poll may come in between, as it does once
+    // after the start.
+    if closed_calls > 0 && registry_mode == "automatic" {
+        let last_pause = time_of_call(closed_calls + 1) - time_of_call(closed_calls);
+        assert!(last_pause > Duration::from_millis(400), "{case}: {last_pause:?}");
+    }
+}
+
+#[test]
+fn receives_an_event_within_6_s_of_the_return_of_discovery_after_the_longest_chain_of_faults() {
+    std::thread::scope(|scope| {
+        for chain in FAULT_CHAINS {
+            for seed in [1, 2, 3] {
+                scope.spawn(move || receives_the_event_after_a_chain_of_faults(chain, seed));
+            }
+        }
+    });
+}
--- /dev/null
+++ b/tests/instance_lock.rs
@@ -0,0 +1,55 @@
+//! The instance locks by which the processes on one address detect one another.
+
+mod common;
+
+use balancer_proxy::proxy::control::instance_lock::InstanceLock;
+use common::proxy_process::SharedAddress;
+
+#[test]
+fn an_instance_lock_is_free_again_after_its_process_has_exited() {
+    let shared_address = SharedAddress::new();
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(async {
+        let path = shared_address.state_file("any");
+        let first = InstanceLock::acquire(&path).await.unwrap();
+        assert!(!first.is_shared() && !first.other_is_listening());
+
+        let second = InstanceLock::acquire(&path).await.unwrap();
+        assert!(first.is_shared() && second.is_shared());
+        assert!(!first.other_is_listening(), "it does not accept connections yet");
+        second.announce_listening().unwrap();
+        assert!(first.other_is_listening() && !second.other_is_listening());
+
+        // A third process goes without a lock, and disturbs neither of the others.
+        let third = InstanceLock::acquire(&path).await.unwrap();
+        assert!(third.is_shared() && third.other_is_listening());
+
+        drop((second, third));
+        assert!(!first.is_shared() && !first.other_is_listening());
+        let again = InstanceLock::acquire(&path).await.unwrap();
+        assert!(
+            first.is_shared() && !first.other_is_listening(),
+            "what the process before has written does not count"
+        );
+        drop(again);
+    });
+}
+
+#[test]
+fn instance_locks_of_different_addresses_in_one_folder_are_independent() {
+    let shared_address = SharedAddress::new();
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(async {
+        let paths = ["x-127.0.0.1:7070", "x-127.0.0.2:7070"]
+            .map(|name| shared_address.state_file("a").with_file_name(name));
+
+        let locks = [
+            InstanceLock::acquire(&paths[0]).await.unwrap(),
+            InstanceLock::acquire(&paths[0]).await.unwrap(),
+        ];
+        let other = InstanceLock::acquire(&paths[1]).await.unwrap();
+
+        assert!(locks[0].is_shared() && !other.is_shared());
+        drop(locks);
+    });
+}
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,8 +1,10 @@
-//! The JSON of the management call `stats`, byte for byte as operators' programs read it.
+//! The metrics as the management call `stats` returns them: their JSON, byte for byte as operators'
+//! programs read it, and which classes they keep.
 
 use balancer_proxy::proxy::metrics::Metrics;
 use balancer_proxy::proxy::settings::ProxySettings;
 use hyper::StatusCode;
+use serde_json::{Value, json};
 
 fn settings(version: Option<u64>, classes: &[&str]) -> ProxySettings {
     let classes = classes.iter().map(ToString::to_string).collect();
@@ -44,3 +46,23 @@
     );
     assert_eq!(metrics.to_json(5, 2).unwrap(), expected);
 }
+
+#[test]
+fn metrics_keep_only_the_latest_of_the_classes_that_were_removed() {
+    let with_class =
+        |index: usize| ProxySettings { classes: vec![format!("c-{index}")], ..ProxySettings::default() };
+    let metrics = Metrics::new(&with_class(0));
+    let open_request = metrics.for_class("c-0").request_started();
+
+    for index in 0..100 {
+        metrics.settings_applied(&with_class(index));
+        metrics.for_class(&format!("c-{index}")).request_started().finish(StatusCode::OK);
+    }
+    open_request.finish(StatusCode::OK); // of a class that has been forgotten
+
+    let stats: Value = serde_json::from_str(&metrics.to_json(0, 0).unwrap()).unwrap();
+    let names: Vec<_> = stats["results"].as_object().unwrap().keys().cloned().collect();
+    assert_eq!(names.len(), 65);
+    assert!((35..100).all(|index| names.contains(&format!("c-{index}"))));
+    assert_eq!(stats["outstanding"], json!(0));
+}
--- /dev/null
+++ b/tests/settings_rejection.rs
@@ -0,0 +1,98 @@
+//! Invalid configuration files: a reload rejects them as a whole.
+
+mod common;
+
+use common::configuration::request;
+use common::settings_reload::{settings_metrics, start_proxy, versioned_configuration};
+use common::stub_server::StubServer;
+use common::waiting::wait_for;
+use serde_json::{Value, json};
+
+/// An invalid value in an otherwise valid file.
+struct InvalidValue {
+    /// The path of the value in the file.
+    path: &'static str,
+    value: Value,
+    /// The text that the log line must contain.
+    expected: &'static str,
+}
+
+/// An invalid file.
+struct InvalidFile {
+    text: String,
+    /// The text that the log line must contain.
+    expected: &'static str,
+}
+
+fn invalid_values() -> impl Iterator<Item = InvalidValue> {
+    [
+        ("/settings/classes/1/name", json!(3), "settings.classes[1].name"),
+        ("/settings/classes/1/name", json!("look"), "settings.classes[1].name"),
+        ("/settings/classes/0/on-time", json!(-1), "settings.classes[0].on-time"),
+        ("/settings/classes/2/window", json!(-1.5), "settings.classes[2].window"),
+        ("/settings/classes", json!(null), "settings.classes"),
+        ("/settings/projects/0/quota-per-s", json!(-1), "settings.projects[0].quota-per-s"),
+        ("/settings/me", json!(1), "settings.me: expected less than n-instances, 1, got '1'"),
+        ("/settings/caps/max-attempts", json!(2.5), "settings.caps.max-attempts"),
+        ("/settings/rules/cold", json!("5"), "settings.rules.cold"),
+        ("/settings/rules/drain-grace", json!(-1), "settings.rules.drain-grace"),
+        ("/limits/memory_mb", json!(-1), "limits.memory_mb"),
+        ("/settings/version", json!(8.5), "settings.version: expected a whole number, got '8.5'"),
+        ("/settings/version", json!(6), "settings.version: expected 7 or more, which is in force, got '6'"),
+        ("/settings/version", json!(null), "settings.version: expected 7 or more"),
+    ]
+    .into_iter()
+    .map(|(path, value, expected)| InvalidValue { path, value, expected })
+}
+
+/// The text of version 8 of a configuration with this value.
+fn text_with_value(configuration: &Value, path: &str, value: Value) -> String {
+    let mut configuration = configuration.clone();
+    configuration["settings"]["version"] = json!(8);
+    *configuration.pointer_mut(path).unwrap() = value;
+    configuration.to_string()
+}
+
+/// Invalid files in place of version 7.
+fn invalid_files(valid: &Value) -> Vec<InvalidFile> {
+    let text = valid.to_string();
+    let truncated = (0..20).map(|part| InvalidFile {
+        text: text[..text.len() * part / 20].to_string(),
+        expected: "EOF while parsing",
+    });
+    let with_invalid_values = invalid_values().map(|InvalidValue { path, value, expected }| InvalidFile {
+        text: text_with_value(valid, path, value),
+        expected,
+    });
+    let changed_under_same_version = InvalidFile {
+        text: text.replace("\"max-open\":1000", "\"max-open\":10"),
+        expected: "settings.version: expected more than 7",
+    };
+    let too_long = InvalidFile { text: " ".repeat((16 << 20) + 1), expected: "at most 16777216 bytes" };
+    truncated.chain(with_invalid_values).chain([changed_under_same_version, too_long]).collect()
+}
+
+#[test]
+fn an_invalid_file_changes_nothing_and_the_log_names_its_field() {
+    let backend = StubServer::responding_with("hello");
+    let valid = versioned_configuration(7, &[&backend]);
+    let proxy = start_proxy(&valid);
+
+    let mut rejected = 0;
+    for InvalidFile { text, expected } in invalid_files(&valid) {
+        proxy.replace_configuration_text(&text);
+        proxy.signal("-HUP");
+        rejected += 1;
+        wait_for(expected, || settings_metrics(&proxy)[2] == Some(rejected));
+        wait_for(expected, || proxy.log.lock().unwrap().last().is_some_and(|line| line.contains(expected)));
+        assert_eq!(settings_metrics(&proxy)[..2], [Some(7), Some(0)], "{expected}");
+        assert_eq!(proxy.exchange(&request("save", 9000)).status(), 200, "{expected}");
+    }
+
+    // The same file again is no change; a later version is.
+    proxy.replace_configuration(&valid);
+    proxy.signal("-HUP");
+    proxy.replace_configuration_text(&text_with_value(&valid, "/settings/caps/max-open", json!(10)));
+    proxy.signal("-HUP");
+    wait_for("change", || settings_metrics(&proxy) == [Some(8), Some(1), Some(rejected)]);
+}
--- /dev/null
+++ b/tests/settings_reload_by_two_processes.rs
@@ -0,0 +1,62 @@
+//! Reload of settings while two processes run on one address.
+
+mod common;
+
+use common::proxy_process::{ProxyProcess, SharedAddress};
+use common::settings_reload::{settings_metrics, versioned_configuration};
+use common::stub_server::StubServer;
+use common::waiting::wait_for;
+use std::time::{Duration, Instant};
+
+/// Waits until this version is in force at each of the proxies, which must be the case within 1 s.
+fn check_version_in_force(proxies: &[&ProxyProcess], version: u64) {
+    let start = Instant::now();
+    wait_for("version in force", || proxies.iter().all(|proxy| settings_metrics(proxy)[0] == Some(version)));
+    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
+}
+
+#[test]
+fn one_signal_reloads_two_processes_and_survives_the_process_that_got_it() {
+    let backend = StubServer::responding_with("hello");
+    let shared_address = SharedAddress::new();
+    let mut old = shared_address.start(&versioned_configuration(1, &[&backend]));
+    let new = shared_address.start_with_configuration_of(&old);
+    new.wait_until_ready();
+    for (version, signalled) in [(2, &old), (3, &new)] {
+        old.replace_configuration(&versioned_configuration(version, &[&backend]));
+        signalled.signal("-HUP");
+        check_version_in_force(&[&old, &new], version);
+    }
+    assert_eq!(
+        (settings_metrics(&old), settings_metrics(&new)),
+        (vec![Some(3), Some(2), Some(0)], vec![Some(3), Some(2), Some(0)])
+    );
+
+    // The other process finds the file truncated, then complete.
+    old.replace_configuration(&versioned_configuration(4, &[&backend]));
+    new.while_stopped(|| {
+        old.signal("-HUP");
+        check_version_in_force(&[&old], 4);
+        old.replace_configuration_text("{");
+    });
+    wait_for("rejection", || settings_metrics(&new) == [Some(3), Some(2), Some(1)]);
+    // Three polls of a file that stays invalid.
+    std::thread::sleep(Duration::from_millis(350));
+    assert_eq!(settings_metrics(&new), [Some(3), Some(2), Some(1)]);
+    old.replace_configuration(&versioned_configuration(4, &[&backend]));
+    check_version_in_force(&[&old, &new], 4);
+
+    // The process that gets the signal is killed before it handles it.
+    old.signal("-STOP");
+    old.replace_configuration(&versioned_configuration(5, &[&backend]));
+    old.signal("-HUP");
+    old.child.kill().unwrap();
+    old.child.wait().unwrap();
+    check_version_in_force(&[&new], 5);
+    let next = shared_address.start_with_configuration_of(&old);
+    next.wait_until_ready();
+    assert_eq!(
+        (settings_metrics(&next), settings_metrics(&new)),
+        (vec![Some(5), Some(0), Some(0)], vec![Some(5), Some(4), Some(1)])
+    );
+}
--- /dev/null
+++ b/tests/streaming_memory.rs
@@ -0,0 +1,71 @@
+//! The memory of a proxy that streams many long bodies at once.
+
+mod common;
+
+use common::body::{pattern, write_in_background};
+use common::configuration::{request, request_with_framing};
+use common::http::{read_body, read_head};
+use common::proxy_process::ProxyProcess;
+use common::stub_server::StubServer;
+use common::waiting::{TEST_TIMEOUT, wait_for};
+use std::io::Write;
+
+/// The memory that a proxy may use while many long bodies are streamed, in kilobytes.
+const MAX_MEMORY_KB: usize = 32 << 10;
+
+/// The resident memory of the process in kilobytes.
+fn memory_kb(proxy: &ProxyProcess) -> usize {
+    let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
+    let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap();
+    line.split_whitespace().nth(1).unwrap().parse().unwrap()
+}
+
+/// A backend that responds with this long body, and reads no body of a POST during the test.
+fn backend_with_long_response(body: &'static [u8]) -> StubServer {
+    StubServer::with_connection_handler(move |stream| {
+        let Some(head) = read_head(stream) else { return };
+        if head.start_line.starts_with("POST") {
+            std::thread::sleep(TEST_TIMEOUT);
+        }
+        let _ = read_body(stream, &head);
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+        let _ = stream.get_mut().write_all(head.as_bytes());
+        let _ = stream.get_mut().write_all(body);
+    })
+}
+
+#[test]
+fn many_long_bodies_and_responses_at_once_use_little_memory() {
+    let body: &'static [u8] = pattern(32 << 20).leak();
+    let backend = backend_with_long_response(body);
+    let proxy = ProxyProcess::in_front_of(&[&backend]);
+    let mut readers = Vec::new();
+    for _ in 0..20 {
+        let mut stream = proxy.begin_request(&request("look", 9000));
+        let head = read_head(&mut stream).expect("a head");
+        readers.push((stream, head)); // which reads no more for now
+    }
+    let mut writers = Vec::new();
+    for _ in 0..20 {
+        let stream = proxy.connect();
+        let head = request_with_framing("order", &format!("Content-Length: {}\r\n\r\n", body.len()));
+        write_in_background(&stream, vec![head.into_bytes(), body.to_vec()]);
+        writers.push(stream);
+    }
+
+    wait_for("attempts", || backend.connection_count() == 40);
+
+    // 1.3 GB are being streamed.
+    assert!(memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", memory_kb(&proxy));
+    drop(writers);
+    let readers: Vec<_> = readers
+        .into_iter()
+        .map(|(mut stream, head)| {
+            std::thread::spawn(move || read_body(&mut stream, &head).is_some_and(|read| read == body))
+        })
+        .collect();
+    for reader in readers {
+        assert!(reader.join().unwrap());
+    }
+    assert!(memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", memory_kb(&proxy));
+}
--- /dev/null
+++ b/tests/withheld_last_byte.rs
@@ -0,0 +1,79 @@
+//! The last byte of a request, which an attempt withholds for a moment in which a disconnect of the client
+//! can still be noticed.
+
+mod common;
+
+use balancer_proxy::proxy::clock::Clock;
+use balancer_proxy::proxy::limits::Budget;
+use balancer_proxy::proxy::metrics::Metrics;
+use balancer_proxy::proxy::settings::ProxySettings;
+use balancer_proxy::proxy::upstream::attempt::{AttemptParameters, attempt};
+use balancer_proxy::proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
+use balancer_proxy::proxy::upstream::pool::ConnectionPool;
+use balancer_proxy::proxy::upstream::shared_flag::SharedFlag;
+use common::waiting::TEST_TIMEOUT;
+use std::io::Read;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Everything that has arrived over a connection.
+fn read_available(stream: &mut TcpStream) -> String {
+    let mut buffer = [0; 4096];
+    stream.set_nonblocking(true).unwrap();
+    let length = stream.read(&mut buffer).unwrap_or(0);
+    String::from_utf8_lossy(&buffer[..length]).into_owned()
+}
+
+#[test]
+fn does_not_send_the_withheld_last_byte_right_after_a_standstill_of_the_process() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(async {
+        let payload = ForwardedRequest {
+            method: "POST".parse().unwrap(),
+            uri: "/api".parse().unwrap(),
+            headers: [("host".parse().unwrap(), "app.svc".parse().unwrap())].into_iter().collect(),
+            body: ForwardedBody::Buffered("body".into()),
+        };
+        let written = SharedFlag::default();
+        let metrics = Metrics::new(&ProxySettings::default());
+        let pool = Rc::new(ConnectionPool::new(address, Budget::new(4), TEST_TIMEOUT, TEST_TIMEOUT));
+        let attempted = attempt(AttemptParameters {
+            pool,
+            request: payload.into(),
+            clock: Clock::start(),
+            response_deadline: 20.0,
+            write_deadline: 20.0,
+            written: written.clone(),
+            metrics: metrics.clone(),
+        });
+        let mut attempted = std::pin::pin!(attempted);
+        // The attempt proceeds only where the test polls it.
+        let mut poll_attempt = async || {
+            std::future::poll_fn(|cx| std::task::Poll::Ready(attempted.as_mut().poll(cx).is_ready())).await
+        };
+        let let_runtime_run = || tokio::time::sleep(Duration::from_millis(5));
+        assert!(!poll_attempt().await);
+        let (mut stream, _) = listener.accept().unwrap();
+        let mut received = String::new();
+        while !received.ends_with("bod") {
+            let_runtime_run().await;
+            assert!(!poll_attempt().await);
+            received += &read_available(&mut stream);
+        }
+        // The time for which the byte is withheld passes, which the process notices long after.
+        let_runtime_run().await;
+        std::thread::sleep(Duration::from_millis(200));
+        assert!(!poll_attempt().await);
+        assert_eq!(read_available(&mut stream), "", "the client may have disconnected meanwhile");
+        assert!(!written.get());
+        // If it has not, the request is sent, however slow the process may be.
+        let_runtime_run().await;
+        std::thread::sleep(Duration::from_millis(200));
+        assert!(!poll_attempt().await);
+        assert_eq!(read_available(&mut stream), "y");
+        assert!(written.get());
+    });
+}
