--- a/crates/balancer/tests/replay/scenarios/backends.rs
+++ b/crates/balancer/tests/replay/scenarios/backends.rs
@@ -2,7 +2,7 @@
 
 use super::{behaves, listed, maintenance, settings, slow, started};
 use crate::scenario::{Behaviour, Change, Reporting, Scenario, Traffic, endpoints};
-use balancer_proxy::{BackendId, MaintenanceChange, Outcome, Settings, Status};
+use balancer::{BackendId, MaintenanceChange, Outcome, Settings, Status};
 
 pub fn slow_start_by_own_rate() -> Scenario {
     let settings = Settings {
--- a/crates/balancer/tests/replay/scenarios/mod.rs
+++ b/crates/balancer/tests/replay/scenarios/mod.rs
@@ -6,7 +6,7 @@
 mod requests;
 
 use crate::scenario::{Behaviour, Change, Scenario, endpoint};
-use balancer_proxy::{
+use balancer::{
     BackendId, Effect, Endpoint, IdempotencyGroup, MaintenanceChange, RequestClass, Settings, Status, Tenant,
     Time,
 };
--- a/crates/balancer/tests/replay/scenarios/overload.rs
+++ b/crates/balancer/tests/replay/scenarios/overload.rs
@@ -2,7 +2,7 @@
 
 use super::{behaves, settings, tenant};
 use crate::scenario::{Behaviour, Change, Scenario, Traffic, endpoints};
-use balancer_proxy::Settings;
+use balancer::Settings;
 
 pub fn entry_overload() -> Scenario {
     let settings = Settings {
--- a/crates/balancer/tests/replay/scenarios/requests.rs
+++ b/crates/balancer/tests/replay/scenarios/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{behaves, class, settings, slow, tenant};
 use crate::scenario::{Behaviour, Change, Scenario, Traffic, endpoints};
-use balancer_proxy::{BackendId, Effect, Outcome, Settings, Time};
+use balancer::{BackendId, Effect, Outcome, Settings, Time};
 
 pub fn effects_with_failures() -> Scenario {
     let settings =
