--- a/tests/log_lines.rs
+++ b/tests/log_lines.rs
@@ -8,18 +8,21 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The folder of the sources that are searched. The module of a file is its path below this folder.
+/// The folder of the sources that are searched. The module of a file is its path below this folder, without
+/// [`OUTER_MODULE`].
 const SOURCE_ROOT: &str = "src";
 /// The page with the tables.
 const RUNBOOK: &str = "docs/runbook.md";
 
+/// The module that holds all modules of the proxy, where it is not a crate of its own.
+const OUTER_MODULE: &str = "proxy";
 /// The invocation whose first argument is the format of a log line.
 const LOG_INVOCATION: &str = "log!(";
 /// The attribute whose first argument is the text of an error.
 const ERROR_ATTRIBUTE: &str = "#[error(";
 /// The modules whose errors are a part of log lines.
 const MODULES_OF_LOGGED_ERRORS: [&str; 3] =
-    ["proxy::control::config::error", "proxy::control::discovery::client", "proxy::settings"];
+    ["control::config::error", "control::discovery::client", "settings"];
 /// The headings of the tables in the runbook.
 const LOG_LINES_HEADING: &str = "## Log lines";
 const ERROR_TEXTS_HEADING: &str = "## Error texts in log lines";
@@ -95,9 +98,9 @@
     character.is_alphanumeric() || character == '_'
 }
 
-/// The module of a file, such as `proxy::control` for the path `proxy/control/mod.rs`.
+/// The module of a file, such as `control` for the path `proxy/control/mod.rs`.
 fn module_of(path: &Path) -> String {
-    let path = path.with_extension("");
+    let path = path.strip_prefix(OUTER_MODULE).unwrap_or(path).with_extension("");
     let mut names: Vec<_> = path.iter().map(|name| name.to_str().unwrap()).collect();
     if names.last() == Some(&"mod") {
         names.pop();
@@ -259,6 +262,15 @@
     assert!(differences.not_in_the_sources.contains(&LoggedText::new("planted", "stopped")));
 }
 
+#[test]
+fn modules_are_named_alike_inside_and_outside_the_outer_module() {
+    let inside = module_of(Path::new("proxy/control/config/error.rs"));
+    let outside = module_of(Path::new("control/config/error.rs"));
+
+    assert_eq!([inside, outside], ["control::config::error"; 2]);
+    assert_eq!(module_of(Path::new("proxy/control/discovery/mod.rs")), "control::discovery");
+}
+
 #[test]
 fn unit_tests_comments_and_other_macros_log_nothing() {
     let file = planted_file(
