--- a/crates/balancer/src/decisions/attempts.rs
+++ b/crates/balancer/src/decisions/attempts.rs
@@ -1,68 +1,92 @@
-//! Attempts: whether a call may be sent (again), by the effect of its class, and what a send entails.
+//! Attempts: whether a call may be sent, or sent again, by the effect of its class.
 
-use crate::interface::*;
-use crate::state::{Attempt, Balancer, Call, CallKey, Scope};
+use super::calls::Call;
+use super::scope::Scope;
+use crate::interface::{Effect, IdempotencyGroup, Outcome, Time};
+use crate::support::BackendIndex;
 
-/// Where an attempt may go, and until when it may be written.
+/// One attempt of a call.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Attempt {
+    /// The backend to which the attempt was sent.
+    pub backend: BackendIndex,
+    /// The cell of the backend at the time of the send.
+    pub cell: u32,
+    /// The zone of the backend at the time of the send.
+    pub zone: u32,
+    /// The time of the send, in seconds.
+    pub sent_at: Time,
+    /// None while the attempt is in flight.
+    pub outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    /// Returns whether the attempt has no outcome yet.
+    pub fn is_in_flight(&self) -> bool {
+        self.outcome.is_none()
+    }
+
+    /// Returns whether the backend may have processed the request.
+    pub fn may_have_run(&self) -> bool {
+        !matches!(self.outcome, Some(Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent))
+    }
+}
+
+/// The bounds of a permitted attempt.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Permission {
-    scope: Scope,
-    write_deadline: Time,
+    /// The backends to which the attempt may be sent.
+    pub scope: Scope,
+    /// The time by which the request must have been written completely, in seconds.
+    pub write_deadline: Time,
 }
 
-impl Balancer {
-    /// Whether a call may be sent (again), where, and until when. Asked before every send.
-    pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<Permission> {
-        let call = &self.calls[key];
-        if call.attempts.len() >= call.settings.max_attempts || self.now >= call.deadline {
-            return None;
-        }
-        let may_hedge = call.settings.hedging_allowed && !call.body.is_streamed;
-        if call.body.is_consumed || !may_hedge && call.has_attempt_in_flight() {
-            return None;
+/// Returns the bounds of the next attempt of a call, or None if the call must not be sent at `now`.
+/// `quantum` is the resolution of clocks, in seconds. Every send is preceded by this check.
+pub(super) fn next_attempt(call: &Call, now: Time, quantum: Time) -> Option<Permission> {
+    if !has_attempt_left(call, now) || !may_send_body(call) {
+        return None;
+    }
+    let unrestricted = Permission { scope: Scope::Anywhere, write_deadline: call.deadline() };
+    let Some(first) = call.attempts().iter().find(|attempt| attempt.may_have_run()) else {
+        return Some(unrestricted);
+    };
+    match call.request_class().effect {
+        Effect::Safe => Some(unrestricted),
+        Effect::Unsafe => None,
+        Effect::Idempotent { group, window } => {
+            // Clocks are rounded, so that the window counts as shorter by a quantum.
+            let write_deadline = call.deadline().min(first.sent_at + window - quantum);
+            let scope = idempotency_scope(group, first);
+            (now < write_deadline).then_some(Permission { scope, write_deadline })
         }
-        let unrestricted = Permission { scope: Scope::Anywhere, write_deadline: call.deadline };
-        let Some(first) = call.attempts.iter().find(|attempt| attempt.may_have_run()) else {
-            return Some(unrestricted);
-        };
-        let (group, window) = match call.request_class().effect {
-            Effect::Safe => return Some(unrestricted),
-            Effect::Unsafe => return None,
-            Effect::Idempotent { group, window } => (group, window),
-        };
-        let scope = match group {
-            IdempotencyGroup::All => Scope::Anywhere,
-            IdempotencyGroup::Zone => Scope::Zone(first.zone),
-            IdempotencyGroup::Cell => Scope::Cell(first.cell),
-        };
-        // A quantum less, as clocks are rounded.
-        let write_deadline = call.deadline.min(first.sent_at + window - self.settings.quantum);
-        (self.now < write_deadline).then_some(Permission { scope, write_deadline })
     }
+}
 
-    /// Sends a call, the first time or again, if it may be and a backend can be found. Returns whether
-    /// it was sent.
-    pub(super) fn send(&mut self, key: CallKey, actions: &mut Vec<Action>) -> bool {
-        let Some(Permission { scope, write_deadline }) = self.permitted_attempt(key) else { return false };
-        let Some(index) = self.place(key, scope) else { return false };
-        let Call { id, deadline, body, .. } = self.calls[key];
-        let backend = &mut self.backends[index];
-        if !body.is_receiving {
-            backend.begin_call(self.now);
-        }
-        backend.references += 1;
-        backend.slow_start_budget.tokens -= 1.0;
-        let Endpoint { cell, zone, id: backend_id, .. } = backend.endpoint;
-        let attempt = Attempt { backend: index, cell, zone, sent_at: self.now, outcome: None };
-        self.calls[key].attempts.push(attempt);
-        self.calls.set_lacks_capacity(key, false);
-        actions.push(Action::Send {
-            id,
-            backend: backend_id,
-            timeout: deadline - self.now,
-            write_within: write_deadline - self.now,
-        });
-        self.check_health_after_send(actions);
-        true
+fn has_attempt_left(call: &Call, now: Time) -> bool {
+    call.attempts().len() < call.settings().max_attempts && now < call.deadline()
+}
+
+/// Returns whether the body is still complete here, and need not be streamed to two backends at once.
+fn may_send_body(call: &Call) -> bool {
+    let body = call.body();
+    let may_hedge = call.settings().hedging_allowed && !body.is_streamed;
+    !body.is_consumed && (may_hedge || !call.has_attempt_in_flight())
+}
+
+/// Returns the backends that recognise a repeat of the request whose `first` attempt may have run.
+fn idempotency_scope(group: IdempotencyGroup, first: &Attempt) -> Scope {
+    match group {
+        IdempotencyGroup::All => Scope::Anywhere,
+        IdempotencyGroup::Zone => Scope::Zone(first.zone),
+        IdempotencyGroup::Cell => Scope::Cell(first.cell),
+    }
+}
+
+/// Returns whether the client may send the request again without effects beyond those of one request.
+pub(super) fn is_safe_to_retry(call: &Call) -> bool {
+    match call.request_class().effect {
+        Effect::Safe | Effect::Idempotent { group: IdempotencyGroup::All, .. } => true,
+        Effect::Idempotent { .. } | Effect::Unsafe => !call.attempts().iter().any(Attempt::may_have_run),
     }
 }
--- /dev/null
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -0,0 +1,174 @@
+//! The order of decisions from the arrival of a request to its dispatch.
+
+use super::Balancer;
+use crate::decisions::admission::{max_wait, min_time_left, retry_after, useful_timeout};
+use crate::decisions::admission_queue::Rank;
+use crate::decisions::calls::{Call, CallKey, InitialState};
+use crate::decisions::retransmission::first_interval;
+use crate::decisions::timer::Timer;
+use crate::interface::{Action, Request, RequestId, Time};
+
+impl Balancer {
+    pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
+        let timeout = useful_timeout(&request, &self.settings);
+        let rank = self.record_arrival(&request);
+        let t1 = self.t1(request.class, timeout);
+        let ordering_key = request.key.filter(|_| self.settings.classes[request.class].ordered_by_key);
+        let must_wait = !self.admits(rank);
+        let is_too_late = timeout <= self.min_timeout(request.class, ordering_key);
+        if is_too_late || must_wait && ordering_key.is_some() {
+            return actions.push(self.rejection(request.id, t1));
+        }
+        let call = Call::new(&request, self.settings.clone(), self.now, timeout, t1);
+        let call = call.with_ordering_key(ordering_key);
+        let is_queued = must_wait || ordering_key.is_some();
+        let state = if is_queued { InitialState::Queued } else { InitialState::Dispatched };
+        let key = self.calls.insert(call, state);
+        if !request.streaming_body {
+            self.set_deadline_timer(key, actions);
+        }
+        if must_wait {
+            return self.queue_for_admission(key, rank, actions);
+        }
+        match ordering_key {
+            Some(ordering_key) => self.queue_by_key(ordering_key, key, actions),
+            None => self.dispatch(key, actions),
+        }
+    }
+
+    /// Counts a request, and returns its rank among the arriving requests.
+    fn record_arrival(&mut self, request: &Request) -> Rank {
+        let Request { class, tenant, .. } = *request;
+        let quota = self.quotas.status(tenant, self.now);
+        self.admission.record_arrival(class, quota, self.now, self.traffic.time_constant());
+        self.admission.rank(class, quota, self.now, &self.settings, &self.traffic, &mut self.random)
+    }
+
+    /// Returns the timeout in seconds up to which a request is rejected, as its response would come too
+    /// late: the least time left for the request and for each request of its ordering key that is ahead.
+    fn min_timeout(&self, class: usize, ordering_key: Option<u64>) -> Time {
+        let ahead = ordering_key.map_or(0, |key| self.ordered_keys.queue_len(key));
+        min_time_left(class, &self.traffic) * (ahead + 1) as f64
+    }
+
+    /// Returns T1 in seconds for a call of a class with this time left, in seconds.
+    fn t1(&self, class: usize, time_left: Time) -> Time {
+        first_interval(self.traffic.latency(class), time_left, self.settings.quantum)
+    }
+
+    /// Returns whether a request of this rank is admitted. Load is shed at the entry tier, where no work
+    /// has been done yet: the overload level that lowers the probability of a retry is also the fraction
+    /// of the requests that are not admitted, those of the lowest ranks.
+    fn admits(&mut self, rank: Rank) -> bool {
+        self.settings.tier > 0 || rank >= Rank(self.overload_level())
+    }
+
+    /// Returns the rejection of a request that has caused no effect. A client that honours the wait retries
+    /// after T1.
+    pub(super) fn rejection(&self, id: RequestId, t1: Time) -> Action {
+        Action::Reject { id, retry_after: retry_after(t1, &self.settings) }
+    }
+
+    fn set_deadline_timer(&self, key: CallKey, actions: &mut Vec<Action>) {
+        let at = self.calls[key].deadline();
+        actions.push(Action::SetTimer { at, token: Timer::Deadline(key).into() });
+    }
+
+    fn queue_for_admission(&mut self, key: CallKey, rank: Rank, actions: &mut Vec<Action>) {
+        self.admission.queue_mut().insert(rank, key);
+        let at = self.now + max_wait(self.calls[key].timeout());
+        actions.push(Action::SetTimer { at, token: Timer::QueueWait(key).into() });
+    }
+
+    fn queue_by_key(&mut self, ordering_key: u64, key: CallKey, actions: &mut Vec<Action>) {
+        self.ordered_keys.enqueue(ordering_key, key, self.now);
+        self.dispatch_next(ordering_key, actions);
+    }
+
+    /// Dispatches the next call of an ordering key, or sets a timer for the end of the key's rest.
+    pub(super) fn dispatch_next(&mut self, ordering_key: u64, actions: &mut Vec<Action>) {
+        let next = self.ordered_keys.next(ordering_key);
+        let Some(next) = next.filter(|next| self.calls[next.key].is_queued()) else { return };
+        if self.now < next.rests_until {
+            let token = Timer::QueueWait(next.key).into();
+            return actions.push(Action::SetTimer { at: next.rests_until, token });
+        }
+        self.dispatch_queued(next.key, actions);
+    }
+
+    /// Dispatches the calls that wait for admission, in the order of their ranks, as far as they are
+    /// admitted.
+    ///
+    /// With four calls in flight, one more or less is the difference between calm and overload, so that a
+    /// short wait avoids rejections by chance. Rejected clients mostly retry at once, and are rejected
+    /// again.
+    pub(super) fn admit_queued(&mut self, actions: &mut Vec<Action>) {
+        while let Some(best_rank) = self.admission.queue().best_rank()
+            && self.admits(best_rank)
+            && let Some(best) = self.admission.queue_mut().pop_best()
+        {
+            self.dispatch_queued(best, actions);
+        }
+    }
+
+    pub(super) fn on_queue_wait_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
+        let call = &self.calls[key];
+        if let Some(ordering_key) = call.ordering_key() {
+            return self.dispatch_next(ordering_key, actions);
+        }
+        if call.is_queued() {
+            // The overload has lasted. No work has been done yet, so that the client loses nothing by a
+            // retry.
+            self.finish_unserved(key, actions);
+        }
+    }
+
+    /// Dispatches a call that has waited, unless too little time is left.
+    fn dispatch_queued(&mut self, key: CallKey, actions: &mut Vec<Action>) {
+        let call = &self.calls[key];
+        let class = call.current_class();
+        let time_left = call.time_left(self.now);
+        self.calls.leave_queue(key, self.now, self.t1(class, time_left));
+        if time_left <= min_time_left(class, &self.traffic) {
+            return self.finish_unserved(key, actions);
+        }
+        self.dispatch(key, actions);
+    }
+
+    /// Dispatches a call: from now on the call counts as sent, and its first attempt is made.
+    fn dispatch(&mut self, key: CallKey, actions: &mut Vec<Action>) {
+        self.calls.record_dispatch(key);
+        self.set_retry_timer(key, actions);
+        self.traffic.record_send(self.now);
+        self.quotas.consume(self.calls[key].tenant());
+        let calls_in_flight = self.traffic.observed_calls_in_flight();
+        self.backends.grow_subset(&self.settings, calls_in_flight);
+        if !self.send(key, actions) && !self.calls[key].retry_timer().is_set() {
+            self.finish_unserved(key, actions);
+        }
+    }
+
+    /// Starts the timeout of a call whose body has been received completely.
+    pub(super) fn on_body_received(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let is_receiving = |key: &CallKey| self.calls[*key].body().is_receiving;
+        let Some(key) = self.calls.key_of(id).filter(is_receiving) else { return };
+        self.stop_receiving(key);
+        self.calls[key].start_timeout(self.now);
+        self.set_deadline_timer(key, actions);
+    }
+
+    pub(super) fn on_body_consumed(&mut self, id: RequestId) {
+        if let Some(key) = self.calls.key_of(id) {
+            self.calls[key].record_body_consumed();
+        }
+    }
+
+    /// Records that the body of a call is no longer being received. Until then the backend cannot
+    /// respond, so that the attempts of the call count as in flight only from now on.
+    pub(super) fn stop_receiving(&mut self, key: CallKey) {
+        self.calls.stop_receiving(key);
+        for attempt in self.calls[key].attempts().iter().filter(|attempt| attempt.is_in_flight()) {
+            self.backends.record_request_received(attempt.backend, self.now);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -0,0 +1,160 @@
+//! The order of decisions when an attempt or a call ends. Each call gets exactly one final response,
+//! unless its client has disconnected.
+
+use super::Balancer;
+use crate::decisions::attempts::is_safe_to_retry;
+use crate::decisions::calls::{Call, CallKey};
+use crate::decisions::ordered_keys::may_still_run;
+use crate::decisions::traffic::LoadState;
+use crate::interface::{Action, EndedAttempt, Outcome, RequestId, Time};
+use crate::support::BackendIndex;
+
+impl Balancer {
+    /// Updates the backend of an attempt that has ended, its ordering key, and its call if that is
+    /// unfinished.
+    pub(super) fn on_attempt_ended(&mut self, ended: EndedAttempt, actions: &mut Vec<Action>) {
+        let key = self.calls.key_of(ended.id);
+        if let Some(index) = self.backends.index_of(ended.backend) {
+            self.record_attempt_end(index, key, &ended);
+            self.backends.record_load_report(ended.backend, ended.report, self.now);
+            self.close_idle_if_draining(index, actions);
+            if let Some(key) = key {
+                self.observe_outcome(index, key, &ended);
+            }
+        }
+        // An attempt of an ended call may have blocked its ordering key.
+        let orphan_key = self.ordered_keys.settle_orphan(ended.id, ended.attempt);
+        let ordering_key = key.map_or(orphan_key, |key| self.calls[key].ordering_key());
+        if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
+            // Clocks are rounded, so that the rest counts as longer by a quantum.
+            let until = self.now + self.settings.key_rest_duration + self.settings.quantum;
+            self.ordered_keys.rest(ordering_key, until);
+        }
+        match (key, orphan_key) {
+            (Some(key), _) => self.on_outcome(key, &ended, actions),
+            (None, Some(orphan_key)) => self.dispatch_next(orphan_key, actions),
+            (None, None) => {}
+        }
+    }
+
+    fn record_attempt_end(&mut self, index: BackendIndex, key: Option<CallKey>, ended: &EndedAttempt) {
+        let is_receiving = key.is_some_and(|key| self.calls[key].body().is_receiving);
+        if !is_receiving {
+            self.backends.record_attempt_end(index);
+        }
+        let has_responded =
+            matches!(ended.outcome, Outcome::Success | Outcome::Error | Outcome::Rejected | Outcome::Reset);
+        if has_responded {
+            self.backends.outliers_mut().record_activity(index, self.now);
+        }
+    }
+
+    /// Records what the outcome of an attempt shows of the backend and its class.
+    fn observe_outcome(&mut self, index: BackendIndex, key: CallKey, ended: &EndedAttempt) {
+        let call = &self.calls[key];
+        match ended.outcome {
+            Outcome::Success => self.observe_success(index, key, ended.duration),
+            Outcome::Cancelled | Outcome::NotSent => {}
+            _ if call.body().is_receiving => {}
+            _ => {
+                let expected = self.traffic.expected_latency(call.current_class());
+                self.backends.outliers_mut().record_failure(index, ended.duration, expected, self.now);
+            }
+        }
+    }
+
+    /// Records the latency of a successful attempt, in seconds. The duration of a streamed request
+    /// depends on its client, and shows nothing of the backend.
+    fn observe_success(&mut self, index: BackendIndex, key: CallKey, latency: Time) {
+        self.backends.outliers_mut().record_response(index, self.now);
+        self.traffic.record_success(self.now);
+        let call = &self.calls[key];
+        if call.body().is_streamed {
+            return;
+        }
+        let class = call.current_class();
+        let objective = call.request_class().latency_objective;
+        let expected = self.traffic.expected_latency(class);
+        self.backends.outliers_mut().record_latency(index, latency, expected, self.now);
+        let is_overloaded = self.overload_level() > 0.0;
+        let load = if is_overloaded { LoadState::Overloaded } else { LoadState::Normal };
+        self.traffic.record_latency(class, latency, objective, load);
+    }
+
+    /// Ends the call of an attempt that has ended, or leaves the call to its next timer if there is one
+    /// and an attempt will be permitted.
+    fn on_outcome(&mut self, key: CallKey, ended: &EndedAttempt, actions: &mut Vec<Action>) {
+        self.calls[key].record_outcome(ended.attempt, ended.outcome);
+        if ended.request_finished {
+            return self.finish(key, Some(ended.attempt), actions);
+        }
+        if self.calls[key].has_attempt_in_flight() {
+            return; // a hedged attempt may still be answered
+        }
+        if matches!(ended.outcome, Outcome::Rejected | Outcome::NoConnection) {
+            self.calls.record_lack_of_capacity(key);
+        }
+        if !self.calls[key].retry_timer().is_set() || self.permitted_attempt(key).is_none() {
+            self.finish_unserved(key, actions);
+        }
+    }
+
+    /// Gives the final response to a call that was not served: a rejection if the client may safely
+    /// retry, else a failure.
+    pub(super) fn finish_unserved(&mut self, key: CallKey, actions: &mut Vec<Action>) {
+        let call = &self.calls[key];
+        let id = call.id();
+        if is_safe_to_retry(call) {
+            actions.push(self.rejection(id, call.retry_timer().t1()));
+        } else {
+            actions.push(Action::Fail { id });
+        }
+        self.finish(key, None, actions);
+    }
+
+    pub(super) fn on_response_started(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
+        if let Some(key) = self.calls.key_of(id) {
+            self.finish(key, Some(attempt), actions);
+        }
+    }
+
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        if let Some(key) = self.calls.key_of(id) {
+            self.finish(key, None, actions);
+        }
+    }
+
+    /// Removes a call, and ends its attempts but for the one that was `answered`.
+    fn finish(&mut self, key: CallKey, answered: Option<usize>, actions: &mut Vec<Action>) {
+        if self.calls[key].body().is_receiving {
+            self.stop_receiving(key);
+        }
+        let Some(call) = self.calls.remove(key) else { return };
+        self.end_attempts(&call, answered, actions);
+        if call.is_queued() {
+            self.admission.queue_mut().remove(key);
+        }
+        if let Some(ordering_key) = call.ordering_key() {
+            self.ordered_keys.remove(ordering_key, key, &call);
+            self.dispatch_next(ordering_key, actions);
+        }
+    }
+
+    /// Ends the attempts in flight of a finished call. An attempt that has been written completely ends
+    /// only where cancellation is allowed; an attempt that still waits for its connection is always
+    /// withdrawn.
+    fn end_attempts(&mut self, call: &Call, answered: Option<usize>, actions: &mut Vec<Action>) {
+        let id = call.id();
+        for (attempt, sent) in call.attempts().iter().enumerate() {
+            self.backends.record_call_end(sent.backend);
+            if !sent.is_in_flight() || answered == Some(attempt) {
+                continue;
+            }
+            actions.push(if call.settings().cancellation_allowed {
+                Action::Cancel { id, attempt }
+            } else {
+                Action::Withdraw { id, attempt }
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decisions/balancer/endpoint_updates.rs
@@ -0,0 +1,70 @@
+//! The order of decisions when the endpoint list or the maintenance of a backend changes.
+
+use super::Balancer;
+use crate::decisions::timer::Timer;
+use crate::interface::{Action, BackendId, EndpointUpdate, MaintenanceChange, Status};
+use crate::support::BackendIndex;
+
+impl Balancer {
+    /// Schedules the first poll of the endpoint list, if the list has to be polled.
+    pub(super) fn schedule_first_poll(&mut self, actions: &mut Vec<Action>) {
+        let first = self.endpoint_polls.schedule_first(self.now, &self.settings, &mut self.random);
+        if let Some(at) = first {
+            actions.push(Action::SetTimer { at, token: Timer::EndpointPoll.into() });
+        }
+    }
+
+    pub(super) fn on_endpoint_update(&mut self, update: EndpointUpdate<'_>, actions: &mut Vec<Action>) {
+        let endpoints = match update {
+            EndpointUpdate::Failed => return self.schedule_poll_retry(actions),
+            EndpointUpdate::Full(endpoints) | EndpointUpdate::Cached(endpoints) => {
+                self.backends.mark_all_removed();
+                endpoints
+            }
+            EndpointUpdate::Changes(endpoints) => endpoints,
+        };
+        for endpoint in endpoints {
+            let index = self.backends.apply_endpoint(endpoint, self.now);
+            self.close_idle_if_draining(index, actions);
+        }
+        self.assign_subset();
+        self.backends.forget_removed();
+    }
+
+    fn schedule_poll_retry(&mut self, actions: &mut Vec<Action>) {
+        let at = self.endpoint_polls.schedule_retry(self.now, &mut self.random);
+        actions.push(Action::SetTimer { at, token: Timer::EndpointPoll.into() });
+    }
+
+    /// Closes the idle connections to a draining backend: when the balancer is notified of the draining,
+    /// and after each attempt that ends there, as the attempt leaves an idle connection behind.
+    pub(super) fn close_idle_if_draining(&self, index: BackendIndex, actions: &mut Vec<Action>) {
+        let endpoint = self.backends.endpoint(index);
+        if self.settings.idle_close_limit.is_some() && endpoint.status == Status::Draining {
+            actions.push(Action::CloseIdleConnections(endpoint.id));
+        }
+    }
+
+    /// Excludes a backend from placement, whatever the endpoint list says, or includes it again.
+    pub(super) fn on_maintenance(
+        &mut self,
+        id: BackendId,
+        change: MaintenanceChange,
+        actions: &mut Vec<Action>,
+    ) {
+        match change {
+            MaintenanceChange::Begins => {
+                if !self.backends.begin_maintenance(id, self.now) {
+                    return;
+                }
+                actions.push(Action::CloseIdleConnections(id));
+            }
+            MaintenanceChange::Ends => {
+                if !self.backends.end_maintenance(id, self.now) {
+                    return;
+                }
+            }
+        }
+        self.assign_subset();
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decisions/balancer/mod.rs
@@ -0,0 +1,166 @@
+//! The balancer: one field for each concern, and the order in which events ask the concerns.
+
+mod arrivals;
+mod attempts;
+mod completion;
+mod endpoint_updates;
+
+use super::admission::Admission;
+use super::backends::{Backends, ServingProcesses};
+use super::calls::CallTable;
+use super::endpoint_polls::EndpointPolls;
+use super::ordered_keys::OrderedKeys;
+use super::overload::{LoadSample, OverloadDetector};
+use super::quotas::Quotas;
+use super::timer::Timer;
+use super::traffic::Traffic;
+use crate::interface::{Action, BackendId, Event, Settings, Time};
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+use std::sync::Arc;
+
+/// One balancer: a state machine without I/O, clock or global state. [`Balancer::handle`] takes an event
+/// with its time, and returns actions.
+#[derive(Debug)]
+pub struct Balancer {
+    /// The settings in force.
+    settings: Arc<Settings>,
+    /// The time of the latest event, in seconds.
+    now: Time,
+    /// The source of all random draws, in the order of the decisions.
+    random: SmallRng,
+    calls: CallTable,
+    admission: Admission,
+    quotas: Quotas,
+    ordered_keys: OrderedKeys,
+    traffic: Traffic,
+    overload: OverloadDetector,
+    backends: Backends,
+    endpoint_polls: EndpointPolls,
+}
+
+impl Balancer {
+    /// Returns a balancer that starts at `now`, in seconds. Equal seeds, settings and events yield equal
+    /// actions.
+    #[must_use]
+    pub fn new(now: Time, seed: u64, settings: Settings) -> Self {
+        let mut balancer = Self {
+            settings: Arc::default(),
+            now,
+            random: SmallRng::seed_from_u64(seed),
+            calls: CallTable::default(),
+            admission: Admission::default(),
+            quotas: Quotas::default(),
+            ordered_keys: OrderedKeys::default(),
+            traffic: Traffic::starting_at(now),
+            overload: OverloadDetector::starting_at(now),
+            backends: Backends::default(),
+            endpoint_polls: EndpointPolls::default(),
+        };
+        balancer.apply_settings(settings);
+        balancer
+    }
+
+    /// Decides what to do about an event that happens at `now`, in seconds, and appends the actions to
+    /// `actions`. A time before that of an earlier event counts as that of the earlier one.
+    pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        self.schedule_first_poll(actions);
+        match event {
+            Event::Request(request) => self.on_request(request, actions),
+            Event::BodyReceived(id) => self.on_body_received(id, actions),
+            Event::BodyConsumed(id) => self.on_body_consumed(id),
+            Event::ResponseStarted { id, attempt } => self.on_response_started(id, attempt, actions),
+            Event::AttemptEnded(ended) => self.on_attempt_ended(ended, actions),
+            Event::ClientDisconnected(id) => self.on_client_disconnected(id, actions),
+            Event::Timer(token) => self.on_timer(Timer::from(token), actions),
+            Event::HealthCheckEnded { backend, report, .. } => {
+                self.backends.record_load_report(backend, report, self.now);
+            }
+            Event::Maintenance { backend, change } => self.on_maintenance(backend, change, actions),
+            Event::SecondProcess { running: true } => self.backends.set_processes(ServingProcesses::Two),
+            Event::SecondProcess { running: false } => self.backends.set_processes(ServingProcesses::One),
+            Event::Endpoints(update) => self.on_endpoint_update(update, actions),
+            Event::Settings(settings) => self.apply_settings(settings.clone()),
+        }
+        self.admit_queued(actions);
+    }
+
+    fn on_timer(&mut self, timer: Timer, actions: &mut Vec<Action>) {
+        match timer {
+            Timer::EndpointPoll => actions.push(Action::WatchEndpoints),
+            Timer::Retry(key) if self.calls.contains(key) => self.on_retry_timer(key, actions),
+            Timer::Deadline(key) if self.calls.contains(key) => self.on_deadline(key, actions),
+            Timer::QueueWait(key) if self.calls.contains(key) => self.on_queue_wait_timer(key, actions),
+            Timer::Retry(_) | Timer::Deadline(_) | Timer::QueueWait(_) => {} // the call has ended
+        }
+    }
+
+    /// Applies settings, completely and at once. Observations of a class or a tenant stay with its name,
+    /// and calls end by the settings in force at their arrival.
+    fn apply_settings(&mut self, settings: Settings) {
+        let new = Arc::new(settings);
+        let old = std::mem::replace(&mut self.settings, new.clone());
+        self.calls.follow_settings(&old, &new);
+        let classes: Vec<_> = new.classes.iter().map(|class| old.class_index(&class.name)).collect();
+        let tenants: Vec<_> = new.tenants.iter().map(|tenant| old.tenant_index(&tenant.name)).collect();
+        self.admission.apply_settings(&classes, self.now);
+        self.traffic.apply_settings(&new, &classes);
+        self.quotas.apply_settings(&new, &tenants, self.now);
+        self.backends.apply_settings(&old, &new, self.traffic.time_constant());
+        self.assign_subset();
+    }
+
+    fn assign_subset(&mut self) {
+        let calls_in_flight = self.traffic.observed_calls_in_flight();
+        self.backends.assign_subset(&self.settings, calls_in_flight);
+    }
+
+    /// Returns how far the calls in flight exceed the expected number, from 0 to 1. Each call adds a
+    /// sample to the mean excess.
+    fn overload_level(&mut self) -> f64 {
+        let expected_calls = self.traffic.expected_calls_in_flight(self.now);
+        let calls_in_flight = self.calls_in_flight();
+        let calls_per_backend = self.backends.calls_per_backend(calls_in_flight, &self.settings, self.now);
+        let sample = LoadSample { calls_in_flight, expected_calls, calls_per_backend };
+        self.overload.update(sample, self.now, self.traffic.time_constant())
+    }
+
+    /// Returns the calls in flight at backends that are no outliers. Calls that found no capacity count
+    /// while they wait for a retry; hedged attempts of a call do not.
+    fn calls_in_flight(&self) -> f64 {
+        let attempts = self.backends.in_flight_at_healthy_backends(self.now);
+        (attempts + self.calls.lacking_capacity()).min(self.calls.unanswered()) as f64
+    }
+
+    /// Returns the number of requests without a final response.
+    #[must_use]
+    pub fn open_requests(&self) -> usize {
+        self.calls.len()
+    }
+
+    /// Returns the number of backends of which the balancer keeps state.
+    #[must_use]
+    pub fn backends_known(&self) -> usize {
+        self.backends.len()
+    }
+
+    /// Returns the number of backends in the endpoint list.
+    #[must_use]
+    pub fn backends_listed(&self) -> usize {
+        self.backends.listed().count()
+    }
+
+    /// Returns the number of listed backends that get few requests or none: those in maintenance, and
+    /// outliers.
+    #[must_use]
+    pub fn backends_avoided(&self) -> usize {
+        self.backends.avoided(self.now)
+    }
+
+    /// Returns the members of this balancer's subset, to which it sends first.
+    pub fn members(&self) -> impl Iterator<Item = BackendId> {
+        let members = self.backends.subset().members().iter();
+        members.map(|member| self.backends.endpoint(*member).id)
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/decisions/calls/mod.rs
@@ -0,0 +1,132 @@
+//! The calls without a final response.
+
+mod call;
+
+pub(super) use call::Call;
+
+use crate::interface::{RequestId, Settings, Time};
+use slotmap::SlotMap;
+use std::collections::HashMap;
+use std::ops::{Index, IndexMut};
+
+/// The key of a call in the table. Keys are never reused.
+pub(super) type CallKey = slotmap::DefaultKey;
+
+/// The state of a call at its insertion into the table.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum InitialState {
+    /// The call waits for admission or for its ordering key.
+    Queued,
+    /// The call is dispatched at once.
+    Dispatched,
+}
+
+/// All calls without a final response, and the number of calls in each state that matters to decisions.
+#[derive(Debug, Default)]
+pub(super) struct CallTable {
+    calls: SlotMap<CallKey, Call>,
+    by_id: HashMap<RequestId, CallKey>,
+    /// Calls that wait for admission or for their ordering key.
+    queued: usize,
+    /// Dispatched calls whose body is still being received.
+    receiving: usize,
+    /// Calls whose latest attempt found no capacity, and that wait for a retry.
+    lacking_capacity: usize,
+}
+
+impl CallTable {
+    /// Returns the number of calls.
+    pub fn len(&self) -> usize {
+        self.by_id.len()
+    }
+
+    /// Returns the number of dispatched calls whose request has been received completely.
+    pub fn unanswered(&self) -> usize {
+        self.by_id.len() - self.queued - self.receiving
+    }
+
+    /// Returns the number of calls whose latest attempt found no capacity, and that wait for a retry.
+    pub fn lacking_capacity(&self) -> usize {
+        self.lacking_capacity
+    }
+
+    /// Returns the key of the call with this request id.
+    pub fn key_of(&self, id: RequestId) -> Option<CallKey> {
+        self.by_id.get(&id).copied()
+    }
+
+    /// Returns whether a call has not ended.
+    pub fn contains(&self, key: CallKey) -> bool {
+        self.calls.contains_key(key)
+    }
+
+    /// Adds a call.
+    pub fn insert(&mut self, mut call: Call, state: InitialState) -> CallKey {
+        let id = call.id;
+        call.is_queued = state == InitialState::Queued;
+        self.queued += usize::from(call.is_queued);
+        let key = self.calls.insert(call);
+        self.by_id.insert(id, key);
+        key
+    }
+
+    /// Removes an ended call.
+    pub fn remove(&mut self, key: CallKey) -> Option<Call> {
+        let call = self.calls.remove(key)?;
+        self.by_id.remove(&call.id);
+        self.queued -= usize::from(call.is_queued);
+        self.lacking_capacity -= usize::from(call.lacks_capacity);
+        Some(call)
+    }
+
+    /// Records that a call no longer waits, and gives it a new T1 in seconds.
+    pub fn leave_queue(&mut self, key: CallKey, now: Time, t1: Time) {
+        self.queued -= 1;
+        self.calls[key].leave_queue(now, t1);
+    }
+
+    /// Counts a dispatched call as receiving, if its body is still being received.
+    pub fn record_dispatch(&mut self, key: CallKey) {
+        self.receiving += usize::from(self.calls[key].body.is_receiving);
+    }
+
+    /// Records that the body of a call is no longer being received.
+    pub fn stop_receiving(&mut self, key: CallKey) {
+        let call = &mut self.calls[key];
+        self.receiving -= usize::from(!call.is_queued);
+        call.body.is_receiving = false;
+    }
+
+    /// Records that the latest attempt of a call found no capacity or no connection.
+    pub fn record_lack_of_capacity(&mut self, key: CallKey) {
+        let lacked_capacity = std::mem::replace(&mut self.calls[key].lacks_capacity, true);
+        self.lacking_capacity += usize::from(!lacked_capacity);
+    }
+
+    /// Records that a call has been sent again.
+    pub fn clear_lack_of_capacity(&mut self, key: CallKey) {
+        let lacked_capacity = std::mem::take(&mut self.calls[key].lacks_capacity);
+        self.lacking_capacity -= usize::from(lacked_capacity);
+    }
+
+    /// Lets all calls follow a change of settings.
+    pub fn follow_settings(&mut self, old: &Settings, new: &Settings) {
+        for call in self.calls.values_mut() {
+            call.follow_settings(old, new);
+        }
+    }
+}
+
+impl Index<CallKey> for CallTable {
+    type Output = Call;
+
+    fn index(&self, key: CallKey) -> &Call {
+        &self.calls[key]
+    }
+}
+
+impl IndexMut<CallKey> for CallTable {
+    fn index_mut(&mut self, key: CallKey) -> &mut Call {
+        &mut self.calls[key]
+    }
+}
--- a/crates/balancer/src/decisions/load_reports.rs
+++ b/crates/balancer/src/decisions/load_reports.rs
@@ -1,37 +1,80 @@
-//! Load reports: how long requests take each backend, how many it serves, and the health checks that bring
-//! the reports where nothing else does.
+//! Load reports: how long requests take each backend, how many requests the fleet serves, and the health
+//! checks that bring the reports where responses do not.
 
-use super::traffic::LATENCY_WEIGHT;
-use crate::interface::*;
-use crate::state::{Balancer, move_towards};
+use crate::interface::{LoadReport, Time};
+use crate::support::{BackendIndex, BackendMap, SmoothedMean};
 
-/// Weight of a new report in the service time of a backend.
-const SERVICE_TIME_WEIGHT: f64 = 0.3;
-/// Where only health checks bring load reports, one member is checked per this many sends.
+/// The weight of a new report in the service time of its backend.
+const BACKEND_REPORT_WEIGHT: f64 = 0.3;
+/// The weight of a new report in the means over all backends.
+const FLEET_REPORT_WEIGHT: f64 = 0.02;
+/// The number of sends for each health check, where only health checks bring load reports.
 const SENDS_PER_HEALTH_CHECK: usize = 3;
 
-impl Balancer {
-    pub(super) fn on_load_report(&mut self, backend: BackendId, report: Option<LoadReport>) {
-        let Some((index, report)) = self.backends.index_of(backend).zip(report) else { return };
+/// Whether the backend that reports is in slow start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReportingBackend {
+    /// The backend has its full capacity.
+    Warm,
+    /// The backend is in slow start, and serves fewer requests than its full capacity allows.
+    WarmingUp,
+}
+
+/// The means of the load reports, by backend and over all backends.
+#[derive(Debug, Default)]
+pub(super) struct LoadReports {
+    /// The service time of each backend, in seconds.
+    service_times: BackendMap<SmoothedMean>,
+    /// The mean service time of all backends, in seconds.
+    fleet_service_time: SmoothedMean,
+    /// The mean number of requests per second that one warm backend serves.
+    fleet_request_rate: SmoothedMean,
+    /// The number of attempts sent so far.
+    sends: usize,
+}
+
+impl LoadReports {
+    /// Adds a backend that has not reported yet.
+    pub fn add_backend(&mut self, index: BackendIndex) {
+        self.service_times.insert(index, SmoothedMean::default());
+    }
+
+    /// Records the report of a backend. Values that are absent or not positive are skipped.
+    pub fn record(&mut self, index: BackendIndex, state: ReportingBackend, report: LoadReport) {
         let rate = report.requests_per_second.filter(|rate| *rate > 0.0);
-        if let Some(rate) = rate.filter(|_| self.warming_up_since(index).is_none()) {
-            move_towards(&mut self.fleet_load.requests_per_second, rate, LATENCY_WEIGHT);
+        if let Some(rate) = rate.filter(|_| state == ReportingBackend::Warm) {
+            self.fleet_request_rate.update(rate, FLEET_REPORT_WEIGHT);
         }
-        if let Some(reported) = report.service_time.filter(|time| *time > 0.0) {
-            let known = self.backends[index].service_time.get_or_insert(reported);
-            *known += SERVICE_TIME_WEIGHT * (reported - *known);
-            move_towards(&mut self.fleet_load.service_time, reported, LATENCY_WEIGHT);
+        if let Some(service_time) = report.service_time.filter(|time| *time > 0.0) {
+            self.service_times[index].update(service_time, BACKEND_REPORT_WEIGHT);
+            self.fleet_service_time.update(service_time, FLEET_REPORT_WEIGHT);
         }
     }
 
-    /// Counts a send, and requests the health check of the next member in turn if one is due.
-    pub(super) fn check_health_after_send(&mut self, actions: &mut Vec<Action>) {
+    /// Returns the service time of a backend over that of the fleet, or 1 if nothing has been reported.
+    pub fn relative_service_time(&self, index: BackendIndex) -> f64 {
+        let service_time: Option<Time> = self.service_times[index].get();
+        let fleet_service_time: Option<Time> = self.fleet_service_time.get();
+        match service_time.zip(fleet_service_time) {
+            Some((backend, fleet)) => backend / fleet,
+            None => 1.0,
+        }
+    }
+
+    /// Returns the mean number of requests per second that a warm backend serves, from all balancers, if
+    /// backends report their rates.
+    pub fn requests_per_second_per_backend(&self) -> Option<f64> {
+        self.fleet_request_rate.get()
+    }
+
+    /// Counts a send. Returns the member whose health is to be checked, the next one in turn, if a health
+    /// check is due after this send.
+    pub fn count_send(&mut self, members: &[BackendIndex]) -> Option<BackendIndex> {
         self.sends += 1;
-        let members = &self.subset.members;
-        let is_due = self.sends.is_multiple_of(SENDS_PER_HEALTH_CHECK) && !members.is_empty();
-        if is_due && self.settings.health_checks_for_load_reports {
-            let member = members[self.sends / SENDS_PER_HEALTH_CHECK % members.len()];
-            actions.push(Action::HealthCheck(self.backends[member].endpoint.id));
+        if !self.sends.is_multiple_of(SENDS_PER_HEALTH_CHECK) || members.is_empty() {
+            return None;
         }
+        let checks = self.sends / SENDS_PER_HEALTH_CHECK;
+        Some(members[checks % members.len()])
     }
 }
--- a/crates/balancer/src/decisions/overload.rs
+++ b/crates/balancer/src/decisions/overload.rs
@@ -1,68 +1,76 @@
-//! Overload detection: how far the calls in flight exceed what the send rate and the usual latency explain.
+//! Overload detection: how far the calls in flight exceed the number that the send rate and the expected
+//! latency explain.
 
-use crate::state::Balancer;
+use crate::interface::Time;
+use crate::support::DecayingMean;
 
-/// Deviations beyond the usual number of calls that chance explains at first.
+/// The deviations from the expected number of calls that count as chance at first.
 const MAX_CHANCE_DEVIATIONS: f64 = 3.5;
-/// Deviations beyond the usual number that chance explains once the excess has lasted.
+/// The deviations that count as chance once the excess has lasted.
 const MIN_CHANCE_DEVIATIONS: f64 = 0.5;
-/// A deviation is the root of the usual number of calls, or this part of it where that is more: at a busy
-/// balancer the root is small relative to it.
-const USUAL_SPREAD: f64 = 0.35;
-/// What passes as chance narrows by this for each deviation of mean excess beyond `CALM_EXCESS`.
-const NARROWING: f64 = 4.0;
-/// Mean excess, in deviations, up to which nothing narrows.
-const CALM_EXCESS: f64 = 0.4;
-/// The excess is averaged over this part of the memory of the send rate.
-const EXCESS_MEMORY: f64 = 0.15;
-/// Up to this many calls in flight at each backend are no overload, however far beyond the usual. Guards
-/// against shedding by chance: where few balancers face few backends, one that stops, invalid
-/// responses or a brief burst soon double a usual four, and clients that are rejected come back at
-/// once and keep it up. An entry backend keeps a call in flight, mostly idle, while the tiers
-/// below work on it: four to seven at each were seen on days when responses took no longer than
-/// usual. It could do harm where backends can't hold as many: at 14, overloads were not shed.
+/// A deviation is the square root of the expected number of calls, or this fraction of the number if that
+/// is more. At a busy balancer the square root is a small fraction of the number.
+const MIN_DEVIATION_FRACTION: f64 = 0.35;
+/// The deviations by which the bound of chance falls for each deviation of mean excess beyond
+/// [`TOLERATED_MEAN_EXCESS`].
+const CHANCE_REDUCTION: f64 = 4.0;
+/// The mean excess, in deviations, up to which the bound of chance does not fall.
+const TOLERATED_MEAN_EXCESS: f64 = 0.4;
+/// The time constant of the mean excess, as a fraction of the time constant of the send rate.
+const EXCESS_TIME_CONSTANT_FRACTION: f64 = 0.15;
+/// The calls in flight at each backend up to which there is no overload, however far the number is beyond
+/// the expected one.
+///
+/// Where few balancers face few backends, a backend that stops, invalid responses or a short burst soon
+/// double an expected number of four. Load that is shed then comes back at once, as rejected clients
+/// retry, and the excess lasts. An entry backend keeps a call in flight, mostly idle, while the tiers
+/// below work on the call: four to seven at each backend were seen on days on which responses took no
+/// longer than expected. With 14 in place of 9, overloads were not shed. Backends that cannot hold nine
+/// calls are not protected.
 const MIN_CALLS_PER_BACKEND_FOR_OVERLOAD: f64 = 9.0;
 
-impl Balancer {
-    /// How far the unanswered calls exceed those that the rate of admitted calls and the usual latency
-    /// explain: 0 within chance, 1 far outside it. An excess seen once may be chance, one that lasts is
-    /// not: what passes as chance narrows with the mean excess.
-    pub(super) fn pressure(&mut self) -> f64 {
-        self.traffic.sent.decay(self.now, self.traffic.memory);
-        let usual = self.traffic.sent.per_second() * self.traffic.overall_latency.mean;
-        let deviation = usual.max(1.0).sqrt().max(USUAL_SPREAD * usual);
-        let excess = (self.calls_in_flight() - usual) / deviation;
-        let memory = EXCESS_MEMORY * self.traffic.memory;
-        let mean_excess = self.mean_excess.update(excess, self.now, memory);
-        let narrowed = MAX_CHANCE_DEVIATIONS - NARROWING * (mean_excess - CALM_EXCESS);
-        let chance = narrowed.clamp(MIN_CHANCE_DEVIATIONS, MAX_CHANCE_DEVIATIONS);
-        if self.calls_per_backend() <= MIN_CALLS_PER_BACKEND_FOR_OVERLOAD {
-            return 0.0;
-        }
-        (excess / chance - 1.0).clamp(0.0, 1.0)
-    }
+/// The load of a balancer at one moment.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LoadSample {
+    /// Calls in flight, without those at outliers.
+    pub calls_in_flight: f64,
+    /// Calls in flight that the send rate and the expected latency explain.
+    pub expected_calls: f64,
+    /// Calls in flight at each healthy backend from all balancers, if all have as many as this one.
+    pub calls_per_backend: f64,
+}
 
-    /// Calls in flight at each healthy backend, if all balancers have as many as this one.
-    fn calls_per_backend(&self) -> f64 {
-        let healthy = self.healthy_members().count() as f64;
-        self.calls_in_flight() * self.balancers_per_backend() / healthy.max(1.0)
-    }
+/// The excess of calls in flight over time.
+#[derive(Debug)]
+pub(super) struct OverloadDetector {
+    /// The mean excess, in deviations from the expected number.
+    mean_excess: DecayingMean,
+}
 
-    /// Balancers that have a backend as a member, if all have as many members as this one.
-    pub(super) fn balancers_per_backend(&self) -> f64 {
-        let balancers = self.settings.instance_count * (1 + usize::from(self.second_process));
-        let memberships = (balancers * self.subset.members.len()) as f64;
-        (memberships / self.subset.in_service.len().max(1) as f64).max(1.0)
+impl OverloadDetector {
+    /// Returns a detector that has seen no excess.
+    pub fn starting_at(now: Time) -> Self {
+        Self { mean_excess: DecayingMean::zero_at(now) }
     }
 
-    /// Calls in flight, those outside the subset included, but for those at outliers, which tell of
-    /// faulty backends and not of a fleet that has too much to do. Calls that found no capacity count while
-    /// they wait, hedged attempts of a call do not.
-    fn calls_in_flight(&self) -> f64 {
-        let limit = self.outlier_limit();
-        let healthy = self.subset.in_service.iter().map(|backend| &self.backends[*backend]);
-        let healthy = healthy.filter(|backend| self.remembered_slowness(backend) <= limit);
-        let in_flight: usize = healthy.map(|backend| backend.in_flight).sum();
-        (in_flight + self.calls.lacking_capacity).min(self.calls.unanswered()) as f64
+    /// Adds a sample, and returns the overload level: 0 while the excess is within chance, rising to 1 at
+    /// twice the bound of chance. An excess that is seen once may be chance, one that lasts is not: the
+    /// bound falls as the mean excess rises.
+    pub fn update(&mut self, sample: LoadSample, now: Time, rate_time_constant: Time) -> f64 {
+        let expected = sample.expected_calls;
+        let deviation = expected.max(1.0).sqrt().max(MIN_DEVIATION_FRACTION * expected);
+        let excess = (sample.calls_in_flight - expected) / deviation;
+        let time_constant = EXCESS_TIME_CONSTANT_FRACTION * rate_time_constant;
+        let mean_excess = self.mean_excess.update(excess, now, time_constant);
+        if sample.calls_per_backend <= MIN_CALLS_PER_BACKEND_FOR_OVERLOAD {
+            return 0.0;
+        }
+        (excess / chance_bound(mean_excess) - 1.0).clamp(0.0, 1.0)
     }
 }
+
+/// Returns the deviations that count as chance.
+fn chance_bound(mean_excess: f64) -> f64 {
+    let bound = MAX_CHANCE_DEVIATIONS - CHANCE_REDUCTION * (mean_excess - TOLERATED_MEAN_EXCESS);
+    bound.clamp(MIN_CHANCE_DEVIATIONS, MAX_CHANCE_DEVIATIONS)
+}
--- a/crates/balancer/src/decisions/retransmission.rs
+++ b/crates/balancer/src/decisions/retransmission.rs
@@ -1,96 +1,110 @@
 //! Retransmission control, after Hong, Huang and Yan, "Controlling Retransmission Rate For Mitigating SIP
-//! Overload": a call that is unanswered or has failed when one of its doubling timers fires is retried with
-//! probability p, and p falls as the number of unanswered calls rises from one T1-worth of the average
-//! send rate to `THRESHOLD_RATIO` times that (the paper: three). By Little's law that number over that
-//! rate is the mean wait, so p compares the mean wait with T1.
+//! Overload".
+//!
+//! A call that has failed or is unanswered when one of its doubling timers fires is retried with
+//! probability p. That probability falls as the number of unanswered calls rises from one T1's worth of
+//! the average send rate to [`THRESHOLD_RATIO`] times that (the paper: three). By Little's law the number
+//! of unanswered calls over the send rate is the mean wait, so that p compares the mean wait with T1.
 
-use crate::interface::*;
-use crate::state::{Balancer, CallKey, Timer};
+use crate::interface::Time;
+use crate::support::LatencyEstimate;
 use rand::Rng;
+use rand::rngs::SmallRng;
 
-/// Least probability of a retry, as in the paper: what it needs to get past lost messages.
+/// The least probability of a retry, as in the paper: enough to recover from lost messages.
 const MIN_RETRY_PROBABILITY: f64 = 0.1;
-/// Ratio of the thresholds between which p falls: under the paper's 3, as retries cost full work.
+/// The ratio of the thresholds between which the probability falls. Less than the paper's 3, as a retry
+/// costs a backend the work of a whole request.
 const THRESHOLD_RATIO: f64 = 1.5;
-/// Least lower threshold, in calls. Guards against quiet balancers, where rate x T1 is under
-/// one and a waiting call would lower its own probability.
+/// The least lower threshold, in calls. At a quiet balancer, where rate times T1 is under one, a single
+/// waiting call would otherwise lower its own probability.
 const MIN_LOWER_THRESHOLD: f64 = 1.0;
-/// T1 lies this many mean deviations above the mean latency, as TCP's timer does.
+/// The mean deviations by which T1 exceeds the mean latency, as in the retransmission timer of TCP.
 const T1_DEVIATIONS: f64 = 4.0;
-/// T1 is at most this part of the time left, so that a retry can still be answered in it.
+/// The greatest T1, as a fraction of the time left, which leaves time for the response to a retry.
 pub(super) const MAX_T1_FRACTION: f64 = 0.4;
-/// T1 is spread by this part, so that failed calls of many balancers are not retried in step.
-const T1_JITTER: f64 = 0.1;
+/// The fraction by which T1 is spread at random, so that the failed calls of many balancers are not
+/// retried at the same time.
+const T1_JITTER_FRACTION: f64 = 0.1;
 
-impl Balancer {
-    /// T1 lies above the usual latency and leaves time for a retry in the time left, both in seconds.
-    pub(super) fn t1(&self, learned_class: usize, time_left: Time) -> Time {
-        let usual = &self.traffic.latency[learned_class];
-        let longest = MAX_T1_FRACTION * time_left;
-        let seen = usual.mean + T1_DEVIATIONS * usual.deviation;
-        let t1 = if usual.samples > 0.0 { seen.min(longest) } else { longest };
-        t1.max(self.settings.quantum)
+/// The doubling timers of a call: the first fires T1 after the dispatch, the next ones 2 T1 and 4 T1
+/// after the one before.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RetryTimer {
+    /// The first interval, in seconds.
+    t1: Time,
+    /// The number of timers that have fired.
+    fired: i32,
+    is_set: bool,
+}
+
+impl RetryTimer {
+    /// Returns the timers of a call with this T1, none of which is set.
+    pub fn new(t1: Time) -> Self {
+        Self { t1, fired: 0, is_set: false }
+    }
+
+    /// Returns T1 in seconds.
+    pub fn t1(&self) -> Time {
+        self.t1
+    }
+
+    /// Sets T1 in seconds.
+    pub fn set_t1(&mut self, t1: Time) {
+        self.t1 = t1;
     }
 
-    /// The paper's p, from the calls unanswered here and the average rate of original sends.
-    fn retry_probability(&mut self, t1: Time) -> f64 {
-        self.traffic.sent.decay(self.now, self.traffic.memory);
-        let unanswered = self.calls.unanswered() as f64;
-        let lower = (self.traffic.sent.per_second() * t1).max(MIN_LOWER_THRESHOLD);
-        let upper = THRESHOLD_RATIO * lower;
-        let excess = ((unanswered - lower) / (upper - lower)).clamp(0.0, 1.0);
-        1.0 - (1.0 - MIN_RETRY_PROBABILITY) * excess
+    /// Returns whether a further timer is set.
+    pub fn is_set(&self) -> bool {
+        self.is_set
     }
 
-    /// Sets the next doubling timer, if it is due in time and a further attempt is allowed.
-    pub(super) fn set_retry_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
-        let jitter = 1.0 + T1_JITTER * (2.0 * self.random.random::<f64>() - 1.0);
-        let call = &mut self.calls[key];
-        let timer = &mut call.retry_timer;
-        let at = call.begun_at + timer.t1 * jitter * (2f64.powi(timer.fired + 1) - 1.0);
-        timer.is_set = at < call.deadline && call.attempts.len() < call.settings.max_attempts;
-        if timer.is_set {
-            actions.push(Action::SetTimer { at, token: Timer::Retry(key).into() });
-        }
+    /// Returns whether the first timer is the latest that has fired.
+    pub fn has_fired_once(&self) -> bool {
+        self.fired == 1
     }
 
-    /// A doubling timer has fired: the call is retried with the probability of the moment, if it may be.
-    pub(super) fn on_retry_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
-        self.calls[key].retry_timer.fired += 1;
-        self.set_retry_timer(key, actions);
-        // A backend that has answered since is alive, and the call merely long: a hedged attempt would
-        // double the work of the longest calls, which is what tips a busy fleet over. That holds for one
-        // timer: what is in flight for 3 T1 may never be answered, as its connection can stand still, or
-        // its backend may have fallen silent since.
-        let is_alive = self.learn_from_waiting(key, false);
-        let is_merely_long = is_alive && self.calls[key].retry_timer.fired == 1;
-        let pressure = if self.has_reached_no_backend(key) { 0.0 } else { self.pressure() };
-        let t1 = self.calls[key].retry_timer.t1;
-        let probability = (self.retry_probability(t1) * (1.0 - pressure)).max(MIN_RETRY_PROBABILITY);
-        if !is_merely_long
-            && self.permitted_attempt(key).is_some()
-            && self.random.random::<f64>() < probability
-        {
-            self.send(key, actions);
-        }
-        let call = &self.calls[key];
-        if !call.retry_timer.is_set && !call.has_attempt_in_flight() {
-            self.finish_unserved(key, actions);
-        }
+    /// Records that a timer has fired.
+    pub fn record_firing(&mut self) {
+        self.fired += 1;
     }
 
-    /// No attempt of the call got a connection. Pressure lowers the probability of hedged attempts, which
-    /// cost work twice, and of retries that busy backends rejected. What could not connect has cost
-    /// none, and is counted among the admitted calls already.
-    fn has_reached_no_backend(&self, key: CallKey) -> bool {
-        let outcomes = self.calls[key].attempts.iter().map(|attempt| attempt.outcome);
-        outcomes.into_iter().all(|outcome| outcome == Some(Outcome::NoConnection))
+    /// Returns the time of the next timer, in seconds, for a call that was dispatched at `dispatched_at`.
+    /// One draw spreads the time.
+    pub fn next_time(&self, dispatched_at: Time, random: &mut SmallRng) -> Time {
+        let jitter = 1.0 + T1_JITTER_FRACTION * (2.0 * random.random::<f64>() - 1.0);
+        dispatched_at + self.t1 * jitter * (2f64.powi(self.fired + 1) - 1.0)
     }
 
-    /// The time of a call is up. The timeout of its attempt finds the call gone, so that a hung backend
-    /// has to be noticed here.
-    pub(super) fn on_deadline(&mut self, key: CallKey, actions: &mut Vec<Action>) {
-        self.learn_from_waiting(key, true);
-        self.finish_unserved(key, actions);
+    /// Records whether a further timer is set.
+    pub fn record_schedule(&mut self, is_set: bool) {
+        self.is_set = is_set;
     }
 }
+
+/// Returns T1 in seconds for a call of a class with this latency estimate: above the expected latency,
+/// and with time for a retry within `time_left` seconds. T1 is not shorter than `quantum`, the resolution
+/// of timers.
+pub(super) fn first_interval(latency: &LatencyEstimate, time_left: Time, quantum: Time) -> Time {
+    let longest = MAX_T1_FRACTION * time_left;
+    if latency.samples() <= 0.0 {
+        return longest.max(quantum);
+    }
+    let observed = latency.mean() + T1_DEVIATIONS * latency.deviation();
+    observed.min(longest).max(quantum)
+}
+
+/// Returns the probability of a retry: the paper's p from the unanswered calls and the average rate of
+/// original sends, lowered by the overload level.
+pub(super) fn retry_probability(
+    t1: Time,
+    unanswered: usize,
+    sends_per_second: f64,
+    overload_level: f64,
+) -> f64 {
+    let lower = (sends_per_second * t1).max(MIN_LOWER_THRESHOLD);
+    let upper = THRESHOLD_RATIO * lower;
+    let excess = ((unanswered as f64 - lower) / (upper - lower)).clamp(0.0, 1.0);
+    let probability = 1.0 - (1.0 - MIN_RETRY_PROBABILITY) * excess;
+    (probability * (1.0 - overload_level)).max(MIN_RETRY_PROBABILITY)
+}
--- a/crates/balancer/src/state/scope.rs
+++ b/crates/balancer/src/decisions/scope.rs
@@ -1,20 +1,20 @@
-//! The backends to which an attempt may go.
+//! The backends to which an attempt may be sent.
 
-use crate::Endpoint;
+use crate::interface::Endpoint;
 
-/// The backends to which an attempt may go.
+/// The backends to which an attempt may be sent.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Scope {
+pub(super) enum Scope {
     /// All backends.
     Anywhere,
-    /// Those of this zone.
+    /// The backends of one zone.
     Zone(u32),
-    /// Those of this cell.
+    /// The backends of one cell.
     Cell(u32),
 }
 
 impl Scope {
-    /// An attempt may go to the backend.
+    /// Returns whether an attempt may be sent to this endpoint.
     pub fn contains(self, endpoint: &Endpoint) -> bool {
         match self {
             Scope::Anywhere => true,
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -18,8 +18,8 @@
     pub key: Option<u64>,
     /// Time until the caller gives up, in seconds; where its body is still being received, from its end on.
     pub timeout: Time,
-    /// Its body is still being received and is streamed: it can't go to two backends at once, nor to another
-    /// one after [`Event::BodyConsumed`].
+    /// Its body is still being received and is streamed: it can't go to two backends at once, nor to
+    /// another one after [`Event::BodyConsumed`].
     pub streaming_body: bool,
 }
 
--- /dev/null
+++ b/crates/balancer/src/support/backend_map.rs
@@ -0,0 +1,64 @@
+//! A dense map from backends to values.
+
+use std::ops::{Index, IndexMut};
+
+/// The index of a backend, assigned by the endpoint table. An index stays valid for as long as a call or an
+/// attempt refers to the backend, and is then reused for another one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct BackendIndex(usize);
+
+/// One value for each backend. A concern that keeps state by backend owns such a map.
+#[derive(Debug)]
+pub(crate) struct BackendMap<T> {
+    values: Vec<T>,
+}
+
+impl<T> Default for BackendMap<T> {
+    fn default() -> Self {
+        Self { values: Vec::new() }
+    }
+}
+
+impl<T> BackendMap<T> {
+    /// Returns the index that follows the last one in use.
+    pub fn next_index(&self) -> BackendIndex {
+        BackendIndex(self.values.len())
+    }
+
+    /// Sets the value of a backend, which is either in the map or is the next one.
+    pub fn insert(&mut self, index: BackendIndex, value: T) {
+        match self.values.get_mut(index.0) {
+            Some(previous) => *previous = value,
+            None => self.values.push(value),
+        }
+    }
+
+    /// Returns all indices in ascending order.
+    pub fn indices(&self) -> impl Iterator<Item = BackendIndex> + use<T> {
+        (0..self.values.len()).map(BackendIndex)
+    }
+
+    /// Returns all values in the order of their indices.
+    pub fn values(&self) -> impl Iterator<Item = &T> {
+        self.values.iter()
+    }
+
+    /// Returns all values in the order of their indices.
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
+        self.values.iter_mut()
+    }
+}
+
+impl<T> Index<BackendIndex> for BackendMap<T> {
+    type Output = T;
+
+    fn index(&self, index: BackendIndex) -> &T {
+        &self.values[index.0]
+    }
+}
+
+impl<T> IndexMut<BackendIndex> for BackendMap<T> {
+    fn index_mut(&mut self, index: BackendIndex) -> &mut T {
+        &mut self.values[index.0]
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/support/decaying_rate.rs
@@ -0,0 +1,46 @@
+//! The rate of events over an exponentially decaying window.
+
+use crate::Time;
+
+/// A count of events and the span that the count covers, both of which decay with the same time constant.
+/// Until the window has filled, the rate is the plain mean since the start.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct DecayingRate {
+    /// Events in the window, each with its remaining weight.
+    count: f64,
+    /// The length of the window so far, in seconds, which approaches the time constant.
+    span: Time,
+    /// The time to which count and span have decayed, in seconds.
+    updated_at: Time,
+}
+
+impl DecayingRate {
+    /// Returns an empty window that begins at `now`.
+    pub fn starting_at(now: Time) -> Self {
+        Self { count: 0.0, span: 0.0, updated_at: now }
+    }
+
+    /// Decays the window up to `now`, with a time constant in seconds.
+    pub fn decay(&mut self, now: Time, time_constant: Time) {
+        let keep = (-(now - self.updated_at).max(0.0) / time_constant).exp();
+        self.count *= keep;
+        self.span = self.span * keep + time_constant * (1.0 - keep);
+        self.updated_at = now;
+    }
+
+    /// Records one event at `now`.
+    pub fn record(&mut self, now: Time, time_constant: Time) {
+        self.decay(now, time_constant);
+        self.count += 1.0;
+    }
+
+    /// Returns the events per second as of the latest decay, or 0 before any time has passed.
+    pub fn per_second(&self) -> f64 {
+        if self.span > 0.0 { self.count / self.span } else { 0.0 }
+    }
+
+    /// Returns the length of the window so far, in seconds.
+    pub fn span(&self) -> Time {
+        self.span
+    }
+}
--- a/crates/balancer/src/state/hash.rs
+++ b/crates/balancer/src/support/hash.rs
@@ -1,8 +1,8 @@
-//! Hashing and low-discrepancy ordering for the assignment of backends.
+//! Hash and low-discrepancy sequence for the assignment of backends to subsets.
 
 use crate::BackendId;
 
-/// Hashes a backend id, in a different way for each round (the finalizer of SplitMix64).
+/// Returns the hash of a backend id, which differs by round. The mixing is the finalizer of SplitMix64.
 pub(crate) fn hash_in_round(id: BackendId, round: u64) -> u64 {
     let mut hash = (u64::from(id.0) << 24 ^ round).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -10,8 +10,8 @@
     hash ^ (hash >> 31)
 }
 
-/// Element `index` of the van der Corput order of `0..count`: however few elements are taken from the
-/// front, they are spread over the range. 0 where there is no such element.
+/// Returns element `index` of the van der Corput sequence over `0..count`, or 0 where there is no such
+/// element. Any number of elements from the front of the sequence is spread evenly over the range.
 pub(crate) fn van_der_corput(index: usize, count: usize) -> usize {
     let size = count.next_power_of_two();
     let shift = usize::BITS - size.trailing_zeros();
--- /dev/null
+++ b/crates/balancer/src/support/mod.rs
@@ -0,0 +1,17 @@
+//! Data structures and estimators without decisions or tuning constants.
+
+mod backend_map;
+mod decaying_mean;
+mod decaying_rate;
+mod hash;
+mod latency_estimate;
+mod smoothed_mean;
+mod token_bucket;
+
+pub(crate) use backend_map::{BackendIndex, BackendMap};
+pub(crate) use decaying_mean::DecayingMean;
+pub(crate) use decaying_rate::DecayingRate;
+pub(crate) use hash::{hash_in_round, van_der_corput};
+pub(crate) use latency_estimate::LatencyEstimate;
+pub(crate) use smoothed_mean::SmoothedMean;
+pub(crate) use token_bucket::TokenBucket;
