--- a/crates/balancer/src/decisions/backends/health.rs
+++ b/crates/balancer/src/decisions/backends/health.rs
@@ -1,4 +1,4 @@
-//! Which backends are healthy, and the calls in flight there.
+//! The health of the backends, and the calls in flight at the healthy ones.
 
 use super::Backends;
 use crate::interface::{Settings, Time};
--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -12,7 +12,7 @@
 use crate::support::BackendIndex;
 use rand::Rng;
 
-/// What the silence of a backend means for an attempt in flight.
+/// The conclusion from the silence of a backend for an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Silence {
     /// The attempt may still be answered, and has taken as long as it has waited so far.
--- a/crates/balancer/src/decisions/endpoint_table.rs
+++ b/crates/balancer/src/decisions/endpoint_table.rs
@@ -4,7 +4,7 @@
 use crate::support::{BackendIndex, BackendMap};
 use std::collections::HashMap;
 
-/// How an update of the endpoint list changes the entry of a backend.
+/// The change that an update of the endpoint list makes to the entry of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointChange {
     /// The backend was not known. Its index may have been that of another backend before.
--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -1,56 +1,59 @@
-//! What a balancer wants done.
+//! The actions that a balancer asks of its caller.
 
 use super::ids::{BackendId, RequestId, Time};
 
-/// Identifies a timer: the caller sets it, and hands the token back when it is due.
+/// Identifies a timer. The caller sets the timer, and hands the token back when the time has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// What a balancer wants done.
+/// An action that a balancer asks of its caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The backend to send the attempt to.
         backend: BackendId,
-        /// When to stop waiting, in seconds from now.
+        /// The time after which to stop waiting for a response, in seconds from now; infinite while the
+        /// body of the request is being received.
         timeout: Time,
-        /// Until when it may still be written completely, in seconds from now; after that it must never be.
+        /// The time within which the attempt must have been written completely, in seconds from now. An
+        /// attempt that has not been written by then must never be.
         write_within: Time,
     },
     /// Stop waiting for an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// The attempt, by its number.
+        /// The number of the attempt, from 0, in the order of the sends.
         attempt: usize,
     },
-    /// See that an attempt which has not been written completely never is; leave one that has.
+    /// Make sure that an attempt which has not been written completely never is. An attempt that has been
+    /// written stays as it is.
     Withdraw {
         /// The request.
         id: RequestId,
-        /// The attempt, by its number.
+        /// The number of the attempt, from 0, in the order of the sends.
         attempt: usize,
     },
-    /// Final response: not processed, and harmless to try again.
+    /// Give the final response to a request that was not processed, or whose repetition has no effect.
     Reject {
         /// The request.
         id: RequestId,
-        /// For how long the client should wait before it does, in seconds, if that is said.
+        /// The time that the client should wait before a retry, in seconds, if the response states one.
         retry_after: Option<Time>,
     },
-    /// Final response: failed; it may have run.
+    /// Give the final response to a request that failed, and that a backend may have processed.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Hand back `token` at a time or soon after.
+    /// Hand back `token` at a time or soon after, as [`Event::Timer`](super::Event::Timer).
     SetTimer {
-        /// When, in seconds of the balancer's clock.
+        /// The time, in seconds of the balancer's clock.
         at: Time,
-        /// What to hand back.
+        /// The token to hand back.
         token: TimerToken,
     },
     /// Check the health of a backend.
--- a/crates/balancer/src/interface/endpoint.rs
+++ b/crates/balancer/src/interface/endpoint.rs
@@ -1,33 +1,34 @@
-//! The endpoint list: the backends as discovery knows them.
+//! The endpoint list: the backends as service discovery knows them.
 
 use super::ids::{BackendId, Time};
 
 /// The lifecycle of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Status {
-    /// Takes requests.
+    /// The backend takes requests.
     #[default]
     InService,
-    /// Finishes what it has; nothing new may be sent to it.
+    /// The backend finishes its requests, and must not be sent new ones.
     Draining,
-    /// No longer there.
+    /// The backend no longer exists.
     Removed,
 }
 
-/// What the endpoint list says of one backend.
+/// The entry of one backend in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Which backend.
+    /// The backend.
     pub id: BackendId,
-    /// Its cell.
+    /// The number of the cell that the backend is in.
     pub cell: u32,
-    /// Its zone.
+    /// The number of the zone that the backend is in.
     pub zone: u32,
-    /// Its capacity relative to that of the others; not negative.
+    /// The capacity of the backend relative to that of the others; not negative.
     pub weight: f64,
-    /// Its lifecycle.
+    /// The lifecycle of the backend.
     pub status: Status,
-    /// When it started, where that is not long past, in seconds of the balancer's clock.
+    /// The time at which the backend started, in seconds of the balancer's clock; None if that is long
+    /// past.
     pub started_at: Option<Time>,
 }
 
@@ -37,15 +38,15 @@
     }
 }
 
-/// What is heard of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointUpdate<'a> {
     /// Endpoints that have changed.
     Changes(&'a [Endpoint]),
-    /// The complete list: what is absent has been removed.
+    /// The complete list. A backend that is absent has been removed.
     Full(&'a [Endpoint]),
-    /// The complete list as it was known before a restart.
+    /// The complete list as known before a restart of the balancer.
     Cached(&'a [Endpoint]),
-    /// A poll failed, or the watch broke.
+    /// A poll failed, or the watch was interrupted.
     Failed,
 }
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a balancer.
+//! The events that a balancer decides about.
 
 use super::action::TimerToken;
 use super::endpoint::EndpointUpdate;
@@ -8,48 +8,49 @@
 /// A request that has arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Request {
-    /// Its name.
+    /// The id of the request.
     pub id: RequestId,
-    /// Index of its class.
+    /// The index of its class in the settings in force.
     pub class: usize,
-    /// Index of its tenant, where there are any.
+    /// The index of its tenant in the settings in force, where a deployment has tenants.
     pub tenant: Option<usize>,
-    /// Its ordering key; used where the class is ordered by key.
+    /// The ordering key, which has an effect only where the class is ordered by key.
     pub key: Option<u64>,
-    /// Time until the caller gives up, in seconds; where its body is still being received, from its end on.
+    /// The time until the client gives up, in seconds. The time of a streamed body starts at the end of the
+    /// body.
     pub timeout: Time,
-    /// Its body is still being received and is streamed: it can't go to two backends at once, nor to
-    /// another one after [`Event::BodyConsumed`].
+    /// Whether the body is still being received and is streamed. Such a request cannot be sent to two
+    /// backends at once, nor to another one after [`Event::BodyConsumed`].
     pub streaming_body: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The backend answered.
     Success,
-    /// The backend answered with an error; it may have run.
+    /// The backend answered with an error. The request may have been processed.
     Error,
-    /// The backend rejected it unprocessed.
+    /// The backend rejected the request without processing.
     Rejected,
-    /// No response in time; it may have run.
+    /// No response came in time. The request may have been processed.
     Timeout,
-    /// There was no connection; it has not run.
+    /// No connection could be established. The request has not been processed.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection was reset. The request may have been processed.
     Reset,
-    /// It was cancelled; it may have run.
+    /// The attempt was cancelled. The request may have been processed.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was withdrawn before the request was sent. The request has not been processed.
     NotSent,
 }
 
-/// What a backend reports of its load. It is late and noisy; what is not reported is absent.
+/// The load that a backend reports. Reports are late and noisy; values that are not reported are absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// How long a request takes it, without waiting, in seconds.
+    /// The time that the backend takes for a request, without waiting, in seconds.
     pub service_time: Option<Time>,
-    /// The requests a second that it serves, from all balancers.
+    /// The requests per second that the backend serves, from all balancers.
     pub requests_per_second: Option<f64>,
 }
 
@@ -58,75 +59,76 @@
 pub struct EndedAttempt {
     /// The request.
     pub id: RequestId,
-    /// Where the attempt went.
+    /// The backend of the attempt.
     pub backend: BackendId,
-    /// Its number, from 0, in the order of the sends.
+    /// The number of the attempt, from 0, in the order of the sends.
     pub attempt: usize,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// Time since it was sent, in seconds.
+    /// The time since the attempt was sent, in seconds.
     pub duration: Time,
-    /// The request has its final response.
+    /// Whether the request has its final response by this attempt.
     pub request_finished: bool,
-    /// The load report that came along.
+    /// The load report that the response carried.
     pub report: Option<LoadReport>,
 }
 
-/// What operators do to a backend.
+/// A change of the maintenance of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MaintenanceChange {
-    /// It is removed from service.
+    /// Operators remove the backend from service.
     Begins,
-    /// It may serve again, and has been restarted meanwhile.
+    /// The backend may serve again, and has been restarted in the meantime.
     Ends,
 }
 
-/// What happens to a balancer.
+/// An event that a balancer decides about.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// A request arrived; it needs exactly one final response.
+    /// A request arrived, and is owed exactly one final response.
     Request(Request),
-    /// The body of a streamed request has been received completely: its time begins.
+    /// The body of a streamed request has been received completely, and the time of the request starts.
     BodyReceived(RequestId),
-    /// More of the body of a streamed request has been forwarded than is buffered: it can't be sent again.
+    /// More of the body of a streamed request has been forwarded than is buffered, so that the request
+    /// cannot be sent again.
     BodyConsumed(RequestId),
-    /// A streamed response has started: from now on the attempt is the caller's.
+    /// A streamed response has started. From now on the caller is responsible for the attempt.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The attempt, by its number.
+        /// The number of the attempt, from 0, in the order of the sends.
         attempt: usize,
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// The client has disconnected: no response is owed any more.
+    /// The client has disconnected, and the request is no longer owed a response.
     ClientDisconnected(RequestId),
-    /// A timer of [`Action::SetTimer`](super::Action::SetTimer) is due.
+    /// The time of an [`Action::SetTimer`](super::Action::SetTimer) has come.
     Timer(TimerToken),
     /// A health check ended.
     HealthCheckEnded {
         /// The backend checked.
         backend: BackendId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// The load report that came along.
+        /// The load report that the response carried.
         report: Option<LoadReport>,
     },
     /// Operators remove a backend from service, or put it back.
     Maintenance {
-        /// Which.
+        /// The backend.
         backend: BackendId,
-        /// What they do.
+        /// The change of its maintenance.
         change: MaintenanceChange,
     },
     /// A second process has begun or ceased to serve the same clients as this one.
     SecondProcess {
-        /// It is running.
+        /// Whether the second process is running.
         running: bool,
     },
-    /// Something was heard of the endpoint list.
+    /// An update of the endpoint list arrived, or failed to arrive.
     Endpoints(EndpointUpdate<'a>),
-    /// New settings are in force from now on. Requests to come name classes and tenants by them; open ones
-    /// finish by those with which they arrived.
+    /// New settings are in force from now on. The indices of classes and tenants in later requests refer to
+    /// these settings; open requests finish by the settings in force at their arrival.
     Settings(&'a Settings),
 }
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,12 +1,13 @@
-//! Times, and the names of requests and backends.
+//! Times, and the identifiers of requests and backends.
 
-/// A point in time, or a span of it, in seconds. The origin is the caller's.
+/// A point in time or a span of time, in seconds. The caller chooses the origin of the clock.
 pub type Time = f64;
 
-/// Names a request; chosen by the caller and never used twice.
+/// Identifies a request. The caller chooses the id, and never uses an id twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Names a backend, a server that requests can be sent to. It keeps its id over restarts.
+/// Identifies a backend, which is a server that requests can be sent to. A backend keeps its id over
+/// restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendId(pub u32);
--- a/crates/balancer/src/interface/mod.rs
+++ b/crates/balancer/src/interface/mod.rs
@@ -1,4 +1,4 @@
-//! The types in which the decision module is spoken to: settings, events and actions. No logic.
+//! The types of settings, events and actions, without logic.
 
 mod action;
 mod endpoint;
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -3,7 +3,7 @@
 
 use super::ids::Time;
 
-/// The backends among which repeats of a request are recognised.
+/// The backends that recognise a repeat of a request which one of them has processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyGroup {
     /// All backends.
@@ -14,38 +14,40 @@
     Cell,
 }
 
-/// What a second run of a request would do, and so whether it may be retried.
+/// The effect of processing a request twice, which decides whether the request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// Nothing: it may be retried at will.
+    /// A repeat has no effect, and the request may be retried freely.
     Safe,
-    /// It is dropped, by its idempotency key.
+    /// A repeat is recognised by the idempotency key of the request, and dropped.
     Idempotent {
-        /// The backends that know of each other's requests.
+        /// The backends that recognise a repeat.
         group: IdempotencyGroup,
-        /// For how long they remember a request from its first send, in seconds.
+        /// The time after the first send for which the backends remember a request, in seconds.
         window: Time,
     },
-    /// It would take effect again: no second attempt may run.
+    /// A repeat would take effect again, so that no second attempt may be processed.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name. What is learned of a class stays with its name when settings change.
+    /// The name of the class. Observations of a class stay with its name when settings change.
     pub name: String,
-    /// A response within this time, in seconds, has its full priority weight.
+    /// The time within which a response has its full priority weight, in seconds.
     pub latency_objective: Time,
-    /// How long a client waits at most, over all its tries, in seconds.
+    /// The longest time that a client waits, over all its attempts, in seconds.
     pub max_timeout: Time,
-    /// The part of the priority weight, from 0 to 1, of a response between objective and deadline.
+    /// The fraction of its priority weight, from 0 to 1, that a response between objective and deadline
+    /// has.
     pub late_priority_weight: f64,
-    /// What a timely response counts, relative to those of other classes.
+    /// The weight of a timely response relative to those of other classes.
     pub priority_weight: f64,
-    /// What a second run would do.
+    /// The effect of processing a request twice.
     pub effect: Effect,
-    /// Requests of such classes with one ordering key run singly, in the order of their arrival.
+    /// Whether requests with the same ordering key are processed one at a time, in the order of their
+    /// arrival.
     pub ordered_by_key: bool,
 }
 
@@ -63,75 +65,78 @@
     }
 }
 
-/// One of those that requests come from, where a deployment has several.
+/// A source of requests with a quota of its own, where a deployment has several.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name. What it has used of its quota stays with its name when settings change.
+    /// The name of the tenant. The quota that a tenant has used stays with its name when settings change.
     pub name: String,
-    /// Requests a second within its quota, over all balancers.
+    /// The quota in requests per second, over all balancers.
     pub quota_per_second: f64,
 }
 
-/// The settings that a balancer gets at its start, and whenever they change.
+/// The settings of a balancer, given at its start and at each change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The classes; requests name them by index.
+    /// The classes, to which requests refer by index.
     pub classes: Vec<RequestClass>,
-    /// The tenants; requests name them by index.
+    /// The tenants, to which requests refer by index.
     pub tenants: Vec<Tenant>,
-    /// The priority weight of a request over its tenant's quota, as a part of that of its class.
+    /// The priority weight of a request over the quota of its tenant, as a fraction of the weight of its
+    /// class.
     pub over_quota_weight: f64,
-    /// Number of balancers like this one.
+    /// The number of balancers of the service that this one belongs to.
     pub instance_count: usize,
-    /// Number of this one among them, from 0.
+    /// The index of this balancer among them, from 0.
     pub instance_index: usize,
-    /// How many tiers lie between the clients and this balancer; 0 is the entry tier.
+    /// The number of tiers between the clients and this balancer; 0 is the entry tier.
     pub tier: usize,
     /// The zone of this balancer, as [`Endpoint::zone`](super::Endpoint::zone) numbers them.
     pub zone: u32,
-    /// What each attempt that crosses zones costs, in parts of the priority weight of an average request.
+    /// The cost of an attempt that crosses zones, as a fraction of the priority weight of an average
+    /// request.
     pub cross_zone_cost: f64,
-    /// Open or new connections have a price.
+    /// Whether open or new connections have a cost.
     pub connections_have_cost: bool,
-    /// Load reports come with health checks only, and health checks are allowed.
+    /// Whether load reports come with health checks only, and health checks are allowed.
     pub health_checks_for_load_reports: bool,
-    /// Attempts that have been written may be cancelled.
+    /// Whether attempts that have been written may be cancelled.
     pub cancellation_allowed: bool,
-    /// A request may have two attempts in flight at once.
+    /// Whether a request may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// Attempts that a request may have.
+    /// The greatest number of attempts of a request.
     pub max_attempts: usize,
-    /// The longest `Retry-After` that clients are sent, in seconds; 0 where they don't honour it.
+    /// The longest `Retry-After` that clients are sent, in seconds; 0 where clients do not honour one.
     pub max_retry_after: Time,
-    /// The endpoint list is not pushed and has to be polled.
+    /// Whether the endpoint list has to be polled, as discovery does not push changes.
     pub must_poll_endpoints: bool,
-    /// After this time without a poll, in seconds, a balancer is deemed notified of what was listed then.
+    /// The time after which a balancer that has not polled is deemed notified of a change, in seconds.
     pub endpoint_poll_limit: Time,
-    /// The part of its capacity, from 0 to 1, that a backend has at its start.
+    /// The fraction of its capacity, from 0 to 1, that a backend has at its start.
     pub slow_start_initial_capacity: f64,
     /// The time from its start after which a backend has its full capacity, in seconds.
     pub slow_start_duration: Time,
     /// The multiple of its present capacity beyond which a backend in slow start is overloaded.
     pub slow_start_overload_multiple: f64,
-    /// The time for which it has to be sent more than that to be overloaded, in seconds.
+    /// The time for which a backend has to be sent more than that multiple to be overloaded, in seconds.
     pub slow_start_overload_window: Time,
-    /// An ordering key rests for this time, in seconds, after an attempt that may still be running.
+    /// The time for which an ordering key rests after an attempt that may still be running, in seconds.
     pub key_rest_duration: Time,
-    /// Idle connections to a draining backend must be closed within this time, in seconds, if stated.
+    /// The time within which idle connections to a draining backend must be closed, in seconds; None if
+    /// they may stay open.
     pub idle_close_limit: Option<Time>,
-    /// Least span between two calls of [`Balancer::handle`](crate::Balancer::handle) at different times, in
-    /// seconds: the resolution of timers and clocks.
+    /// The least span between two calls of [`Balancer::handle`](crate::Balancer::handle) at different
+    /// times, in seconds: the resolution of timers and clocks.
     pub quantum: Time,
 }
 
 impl Settings {
-    /// The place of the class of this name.
+    /// Returns the index of the class with this name.
     #[must_use]
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class.name == name)
     }
 
-    /// The place of the tenant of this name.
+    /// Returns the index of the tenant with this name.
     #[must_use]
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.tenants.iter().position(|tenant| tenant.name == name)
