--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -1,6 +1,8 @@
 //! A checker of the decision module's invariants, which sees only its events and actions.
 
-use balancer::*;
+use balancer::{
+    Action, BackendId, Effect, Endpoint, IdempotencyGroup, Outcome, RequestId, Settings, Status, Time,
+};
 use std::collections::HashMap;
 
 /// An attempt of a request, as seen from outside.
--- a/crates/balancer/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -7,12 +7,13 @@
 mod checker;
 mod random_events;
 
-use balancer::*;
+use balancer::{Action, BackendId, Endpoint, Outcome, RequestId, Status, Time};
 use checker::{Checker, ObservedRequest};
-use common::balancer_harness::endpoint;
+use common::actions::TimedAction;
+use common::fixtures::endpoint;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use random_events::{settings, step, violations_of};
+use random_events::{SettingsVariant, settings, step, violations_of};
 
 #[test]
 fn invariants_hold_on_random_event_sequences() {
@@ -24,7 +25,7 @@
 
     runner
         .run(&sequences, |(steps, hedging_allowed, cancellation_allowed, tier, seed)| {
-            let settings = settings(hedging_allowed, cancellation_allowed, tier);
+            let settings = settings(SettingsVariant { hedging_allowed, cancellation_allowed, tier });
             let violations = violations_of(&steps, settings, seed);
             prop_assert!(violations.is_empty(), "{violations:?}");
             Ok(())
@@ -39,22 +40,38 @@
 const ORDERED_UNSAFE: usize = 1;
 const IDEMPOTENT_IN_CELL: usize = 4;
 
+/// Settings of the entry tier where hedging and cancellation are allowed.
+const PERMISSIVE: SettingsVariant =
+    SettingsVariant { hedging_allowed: true, cancellation_allowed: true, tier: 0 };
+
 fn send(id: RequestId, backend: u32) -> Action {
     Action::Send { id, backend: BackendId(backend), timeout: 0.5, write_within: 0.5 }
 }
 
+fn send_at(at: Time, backend: u32) -> TimedAction {
+    TimedAction { at, action: send(REQUEST, backend) }
+}
+
+fn reject_at(at: Time) -> TimedAction {
+    TimedAction { at, action: Action::Reject { id: REQUEST, retry_after: None } }
+}
+
+fn fail_at(at: Time) -> TimedAction {
+    TimedAction { at, action: Action::Fail { id: REQUEST } }
+}
+
 /// The violations that the checker finds in these timed actions. Backends 1 and 2 are in cells 1 and
 /// 2, backend 3 is draining; request 1 is open until 1 s, request 2 is finished.
-fn violations_in(class: usize, timed_actions: &[(Time, Action)]) -> Vec<String> {
-    let mut checker = Checker::new(settings(false, false, 0));
+fn violations_in(class: usize, timed_actions: &[TimedAction]) -> Vec<String> {
+    let mut checker = Checker::new(settings(SettingsVariant::default()));
     checker.list.insert(1, Endpoint { cell: 1, ..endpoint(1) });
     checker.list.insert(2, Endpoint { cell: 2, ..endpoint(2) });
     checker.list.insert(3, Endpoint { status: Status::Draining, ..endpoint(3) });
     let request = || ObservedRequest::new(class, Some(9), 1.0);
     checker.requests.insert(1, request());
     checker.requests.insert(2, ObservedRequest { is_finished: true, ..request() });
-    for (now, action) in timed_actions {
-        checker.check_action(*now, action);
+    for TimedAction { at, action } in timed_actions {
+        checker.check_action(*at, action);
     }
     checker.check_all_finished();
     checker.violations
@@ -62,22 +79,20 @@
 
 #[test]
 fn the_checker_finds_missing_late_and_repeated_final_responses() {
-    let reject = Action::Reject { id: REQUEST, retry_after: None };
-    let fail = || Action::Fail { id: REQUEST };
-
-    assert_eq!(violations_in(SAFE, &[(0.0, send(REQUEST, 1)), (0.5, reject)]).len(), 0);
-    assert_eq!(violations_in(SAFE, &[(0.0, send(REQUEST, 1))]), ["1 has no final response"]);
-    assert_eq!(violations_in(SAFE, &[(1.5, fail())]), ["1 has a late final response"]);
-    assert_eq!(violations_in(SAFE, &[(0.1, fail()), (0.2, fail())]).len(), 1);
-    assert_eq!(violations_in(SAFE, &[(0.1, fail()), (0.2, send(REQUEST, 1))]), ["sent after the end"]);
+    assert_eq!(violations_in(SAFE, &[send_at(0.0, 1), reject_at(0.5)]).len(), 0);
+    assert_eq!(violations_in(SAFE, &[send_at(0.0, 1)]), ["1 has no final response"]);
+    assert_eq!(violations_in(SAFE, &[fail_at(1.5)]), ["1 has a late final response"]);
+    assert_eq!(violations_in(SAFE, &[fail_at(0.1), fail_at(0.2)]).len(), 1);
+    assert_eq!(violations_in(SAFE, &[fail_at(0.1), send_at(0.2, 1)]), ["sent after the end"]);
 }
 
 #[test]
 fn the_checker_finds_attempts_that_are_not_allowed() {
-    let fail = || Action::Fail { id: REQUEST };
+    let hedged = [send_at(0.0, 1), send_at(0.1, 2), fail_at(0.2)];
+    let after_window = [send_at(0.0, 1), send_at(0.5, 1), fail_at(0.6)];
+    let rejected = [send_at(0.0, 1), reject_at(0.6)];
 
-    assert!(violations_in(SAFE, &[(0.1, send(REQUEST, 3)), (0.2, fail())])[0].starts_with("drain"));
-    let hedged = [(0.0, send(REQUEST, 1)), (0.1, send(REQUEST, 2)), (0.2, fail())];
+    assert!(violations_in(SAFE, &[send_at(0.1, 3), fail_at(0.2)])[0].starts_with("drain"));
     assert_eq!(
         violations_in(ORDERED_UNSAFE, &hedged),
         ["hedging is not allowed", "second attempt of an unsafe request"]
@@ -86,18 +101,16 @@
         violations_in(IDEMPOTENT_IN_CELL, &hedged),
         ["hedging is not allowed", "retry outside the group or window of its key"]
     );
-    let after_window = [(0.0, send(REQUEST, 1)), (0.5, send(REQUEST, 1)), (0.6, fail())];
     assert_eq!(
         violations_in(IDEMPOTENT_IN_CELL, &after_window),
         ["hedging is not allowed", "retry outside the group or window of its key"]
     );
-    let rejected = [(0.0, send(REQUEST, 1)), (0.6, Action::Reject { id: REQUEST, retry_after: None })];
     assert!(violations_in(ORDERED_UNSAFE, &rejected)[0].contains("which may have run"));
 }
 
 #[test]
 fn the_checker_finds_requests_of_a_key_out_of_order_or_before_the_key_has_rested() {
-    let mut checker = Checker::new(settings(true, true, 0));
+    let mut checker = Checker::new(settings(PERMISSIVE));
     checker.list.insert(1, endpoint(1));
     for id in 1..3 {
         checker.requests.insert(id, ObservedRequest::new(ORDERED_UNSAFE, Some(9), 9.0));
@@ -118,7 +131,7 @@
 
 #[test]
 fn the_checker_finds_idle_connections_to_a_draining_backend_left_open() {
-    let mut checker = Checker::new(settings(true, true, 0));
+    let mut checker = Checker::new(settings(PERMISSIVE));
     checker.list.insert(1, Endpoint { status: Status::Draining, ..endpoint(1) });
 
     // After the notification.
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -1,10 +1,14 @@
 //! Random legal sequences of events, played to a balancer under the eyes of the checker.
 
-use balancer::*;
+use balancer::{
+    Action, BackendId, Balancer, Effect, EndedAttempt, Endpoint, EndpointUpdate, Event, IdempotencyGroup,
+    Outcome, Request, RequestClass, RequestId, Settings, Status, Time,
+};
 use proptest::prelude::*;
 
 use crate::checker::{Checker, ObservedRequest};
-use crate::common::balancer_harness::{endpoint, request_class, tenant};
+use crate::common::balancer_harness::PendingTimer;
+use crate::common::fixtures::{endpoint, request_class, tenant};
 
 const BACKENDS: u32 = 7;
 /// The time after the last step in which every request must end, in seconds.
@@ -26,8 +30,8 @@
 /// A step of a random sequence. Indices are taken modulo the number of what they select.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A request arrives; key 0 stands for no key.
-    Request { class: usize, tenant: usize, key: u64, timeout: Time },
+    /// A request arrives.
+    Request { class: usize, tenant: usize, key: Option<u64>, timeout: Time },
     /// An attempt in flight ends.
     EndAttempt { attempt: usize, outcome: Outcome },
     /// A client disconnects, also after the end of its request.
@@ -44,8 +48,10 @@
 
 /// Generates one step.
 pub fn step() -> impl Strategy<Value = Step> {
-    let request = (0..5usize, 0..2usize, 0..3u64, -0.1..2.0f64)
-        .prop_map(|(class, tenant, key, timeout)| Step::Request { class, tenant, key, timeout });
+    let request = (0..5usize, 0..2usize, 0..3u64, -0.1..2.0f64).prop_map(|(class, tenant, key, timeout)| {
+        let key = (key > 0).then_some(key);
+        Step::Request { class, tenant, key, timeout }
+    });
     let end_attempt = (0..50usize, 0..8usize)
         .prop_map(|(attempt, outcome)| Step::EndAttempt { attempt, outcome: OUTCOMES[outcome] });
     let change_endpoint =
@@ -63,8 +69,20 @@
     ]
 }
 
-/// Settings with classes of every effect, two of which keep the order of a key.
-pub fn settings(hedging_allowed: bool, cancellation_allowed: bool, tier: usize) -> Settings {
+/// The settings that differ from one random sequence to the next.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SettingsVariant {
+    /// Whether a request may have two attempts in flight.
+    pub hedging_allowed: bool,
+    /// Whether attempts may be cancelled.
+    pub cancellation_allowed: bool,
+    /// The tier of the balancer.
+    pub tier: usize,
+}
+
+/// Returns settings with classes of every effect, two of which keep the order of a key.
+pub fn settings(variant: SettingsVariant) -> Settings {
+    let SettingsVariant { hedging_allowed, cancellation_allowed, tier } = variant;
     let class = |effect| RequestClass { latency_objective: 0.8, ..request_class(effect) };
     let idempotent = |group, window| Effect::Idempotent { group, window };
     Settings {
@@ -101,8 +119,8 @@
     balancer: Balancer,
     checker: Checker,
     now: Time,
-    /// When each timer is due, and its token.
-    timers: Vec<(Time, TimerToken)>,
+    /// The timers that are set, in the order in which the balancer set them.
+    timers: Vec<PendingTimer>,
     in_flight: Vec<InFlight>,
     list: Vec<Endpoint>,
     last_request: u64,
@@ -119,7 +137,7 @@
         list: (1..=BACKENDS).map(|id| Endpoint { cell: id % 3, zone: id % 2, ..endpoint(id) }).collect(),
         last_request: 0,
     };
-    simulation.send_full_list(0);
+    simulation.send_full_list();
     for step in steps {
         simulation.play(step);
     }
@@ -139,9 +157,10 @@
             Step::Disconnect { request } => self.disconnect(request),
             Step::Wait(duration) => self.wait(duration),
             Step::ChangeEndpoint { backend, status, is_restarted } => {
-                self.change_endpoint(backend, status, is_restarted);
+                let started_at = is_restarted.then_some(self.now);
+                self.change_endpoint(backend, status, started_at);
             }
-            Step::FullList { without } => self.send_full_list(without),
+            Step::FullList { without } => self.send_full_list_without(without),
             Step::PollFailed => self.handle(Event::Endpoints(EndpointUpdate::Failed)),
         }
     }
@@ -154,7 +173,9 @@
         for action in &actions {
             self.checker.check_action(self.now, action);
             match action {
-                Action::SetTimer { at, token } => self.timers.push((*at, *token)),
+                Action::SetTimer { at, token } => {
+                    self.timers.push(PendingTimer { due: *at, token: *token });
+                }
                 Action::Send { id, backend, .. } => {
                     let request = self.checker.requests.get(&id.0);
                     let attempt = request.map_or(0, |request| request.attempts.len() - 1);
@@ -165,9 +186,8 @@
         }
     }
 
-    fn request(&mut self, class: usize, tenant: usize, key: u64, timeout: Time) {
+    fn request(&mut self, class: usize, tenant: usize, key: Option<u64>, timeout: Time) {
         self.last_request += 1;
-        let key = (key > 0).then_some(key);
         let deadline = self.now + timeout.max(0.0);
         self.checker.requests.insert(self.last_request, ObservedRequest::new(class, key, deadline));
         self.handle(Event::Request(Request {
@@ -216,7 +236,7 @@
     fn wait(&mut self, duration: Time) {
         let end = self.now + duration;
         while let Some(index) = self.next_timer_until(end) {
-            let (due, token) = self.timers.remove(index);
+            let PendingTimer { due, token } = self.timers.remove(index);
             self.now = due.max(self.now);
             self.handle(Event::Timer(token));
         }
@@ -226,31 +246,40 @@
     /// The index of the earliest timer, if that is due by `end`.
     fn next_timer_until(&self, end: Time) -> Option<usize> {
         (0..self.timers.len())
-            .filter(|index| self.timers[*index].0 <= end)
-            .min_by(|left, right| self.timers[*left].0.total_cmp(&self.timers[*right].0))
+            .filter(|index| self.timers[*index].due <= end)
+            .min_by(|left, right| self.timers[*left].due.total_cmp(&self.timers[*right].due))
     }
 
-    fn change_endpoint(&mut self, backend: u32, status: Status, is_restarted: bool) {
+    fn change_endpoint(&mut self, backend: u32, status: Status, started_at: Option<Time>) {
         let endpoint = &mut self.list[backend as usize - 1];
         endpoint.status = status;
-        endpoint.started_at = is_restarted.then_some(self.now);
+        endpoint.started_at = started_at;
         let changed = endpoint.clone();
         self.checker.list.insert(backend, changed.clone());
         self.checker.backend_notified_or_used(self.now, backend);
         self.handle(Event::Endpoints(EndpointUpdate::Changes(&[changed])));
     }
 
-    /// Sends a full list without this backend, or with all for 0.
-    fn send_full_list(&mut self, without: u32) {
-        let list: Vec<_> = self.list.iter().filter(|endpoint| endpoint.id.0 != without).cloned().collect();
+    fn send_full_list(&mut self) {
+        self.send_as_full_list(&self.list.clone());
+    }
+
+    fn send_full_list_without(&mut self, backend: u32) {
+        let is_kept = |endpoint: &&Endpoint| endpoint.id != BackendId(backend);
+        let list: Vec<_> = self.list.iter().filter(is_kept).cloned().collect();
+        self.send_as_full_list(&list);
+    }
+
+    /// Sends a list as the full one: the checker regards the backends that the list lacks as removed.
+    fn send_as_full_list(&mut self, list: &[Endpoint]) {
         for endpoint in self.checker.list.values_mut() {
             endpoint.status = Status::Removed;
         }
         self.checker.unclosed_since.clear();
-        for endpoint in &list {
+        for endpoint in list {
             self.checker.list.insert(endpoint.id.0, endpoint.clone());
             self.checker.backend_notified_or_used(self.now, endpoint.id.0);
         }
-        self.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
+        self.handle(Event::Endpoints(EndpointUpdate::Full(list)));
     }
 }
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -2,11 +2,13 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, endpoints, is_rejected, request_class, safe_settings, sends, tenant,
-    without_times,
+use crate::common::actions::{SentAttempt, is_rejected, rejections, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, endpoints, request_class, safe_settings, tenant};
+use balancer::{
+    Action, BackendId, Effect, EndpointUpdate, Event, Outcome, Request, RequestClass, RequestId, Settings,
+    Time,
 };
-use balancer::*;
 
 /// Settings of a balancer at the entry tier, the only one that sheds load.
 fn entry_settings(instance_count: usize) -> Settings {
@@ -20,7 +22,7 @@
 
 #[test]
 fn only_the_entry_tier_sheds_load() {
-    for tier in [0, 1] {
+    let rejected_by_tier = [0, 1].map(|tier| {
         let mut harness = BalancerHarness::new(Settings { tier, ..safe_settings() }, &endpoints(4));
         for id in 0..100 {
             harness.serve(id, 0.05);
@@ -29,19 +31,20 @@
         let mut rejected = 0;
         for id in 1000..1200 {
             assert!(!is_rejected(&harness.request(id), id), "it is queued for a while");
-            let actions = without_times(harness.advance_to(harness.now + 0.005));
-            rejected += actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count();
+            rejected += rejections(&harness.actions_until(harness.now + 0.005));
         }
 
-        if tier == 0 { assert!(rejected > 50, "{rejected}") } else { assert_eq!(rejected, 0) }
-    }
+        rejected
+    });
+
+    assert!(rejected_by_tier[0] > 50, "{rejected_by_tier:?}");
+    assert_eq!(rejected_by_tier[1], 0);
 }
 
-/// An attempt in flight.
+/// An attempt that is going to succeed.
 struct InFlight {
+    attempt: SentAttempt,
     ends_at: Time,
-    id: u64,
-    backend: u32,
     duration: Time,
 }
 
@@ -60,18 +63,14 @@
         let mut actions = harness.request(id);
         queued += usize::from(is_doubled && sends(&actions).is_empty());
         while in_flight.front().is_some_and(|attempt| attempt.ends_at <= next) {
-            let attempt = in_flight.pop_front().unwrap();
-            actions.extend(without_times(harness.advance_to(attempt.ends_at)));
-            let InFlight { id, backend, duration, .. } = attempt;
-            actions.extend(harness.end_attempt(id, 0, backend, Outcome::Success, duration));
+            let InFlight { attempt, ends_at, duration } = in_flight.pop_front().unwrap();
+            actions.extend(harness.actions_until(ends_at));
+            actions.extend(harness.end_attempt(attempt, Outcome::Success, duration));
         }
-        actions.extend(without_times(harness.advance_to(next)));
-        in_flight.extend(sends(&actions).into_iter().map(|(id, backend)| InFlight {
-            ends_at: harness.now + RESPONSE_TIME,
-            id,
-            backend,
-            duration: RESPONSE_TIME,
-        }));
+        actions.extend(harness.actions_until(next));
+        let ends_at = harness.now + RESPONSE_TIME;
+        let sent = sends(&actions).into_iter();
+        in_flight.extend(sent.map(|attempt| InFlight { attempt, ends_at, duration: RESPONSE_TIME }));
     }
     queued
 }
@@ -96,10 +95,10 @@
 fn requests_at_substitutes_of_warming_members_count_as_load() {
     let mut list = endpoints(12);
     let mut harness = BalancerHarness::new(long_slow_start_settings(4), &list);
-    let members: BTreeSet<u32> = (0..200).map(|id| harness.serve(id, 0.05)).collect();
+    let members: BTreeSet<BackendId> = (0..200).map(|id| harness.serve(id, 0.05)).collect();
     assert!(members.len() < 12, "{members:?}");
     // All members are warming up from now on, so that substitutes get nearly every request.
-    for endpoint in list.iter_mut().filter(|endpoint| members.contains(&endpoint.id.0)) {
+    for endpoint in list.iter_mut().filter(|endpoint| members.contains(&endpoint.id)) {
         endpoint.started_at = Some(harness.now);
     }
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
@@ -138,12 +137,12 @@
         let duration = if request % 2 == 0 { 0.05 } else { 0.2 };
         let ends_at = harness.now + duration;
         let sent = sends(&harness.request(request));
-        in_flight.extend(sent.into_iter().map(|(id, backend)| InFlight { ends_at, id, backend, duration }));
+        in_flight.extend(sent.into_iter().map(|attempt| InFlight { attempt, ends_at, duration }));
         harness.advance_to(harness.now + 0.01);
         in_flight.make_contiguous().sort_by(|left, right| left.ends_at.total_cmp(&right.ends_at));
         while request < 500 && in_flight.front().is_some_and(|attempt| attempt.ends_at <= harness.now) {
-            let InFlight { id, backend, duration, .. } = in_flight.pop_front().unwrap();
-            let actions = harness.end_attempt(id, 0, backend, Outcome::Success, duration);
+            let InFlight { attempt, duration, .. } = in_flight.pop_front().unwrap();
+            let actions = harness.end_attempt(attempt, Outcome::Success, duration);
             harness.end_cancelled_attempts(&actions);
         }
     }
@@ -156,19 +155,30 @@
     let in_flight = stop_responding_under_load(&mut harness);
     assert!(sends(&harness.request(1000)).is_empty(), "there is overload, as it is queued at the entry");
 
-    let unconnected: Vec<&InFlight> = in_flight.iter().rev().take(10).collect();
+    let unconnected: Vec<_> = in_flight.iter().rev().take(10).map(|in_flight| in_flight.attempt).collect();
     for attempt in &unconnected {
-        harness.end_attempt(attempt.id, 0, attempt.backend, Outcome::NoConnection, 0.001);
+        harness.end_attempt(*attempt, Outcome::NoConnection, 0.001);
     }
     harness.advance_to(harness.now + 0.6);
 
-    let retried = unconnected.iter().filter(|attempt| harness.attempts[&attempt.id].len() > 1).count();
+    let retried = unconnected.iter().filter(|attempt| harness.attempts_of(attempt.request) > 1).count();
     assert!(retried >= 8, "{retried} of 10 retried");
 }
 
-/// The class and the tenant of a request, which take turns.
-fn class_and_tenant(id: u64) -> (usize, usize) {
-    (id as usize % 2, id as usize / 2 % 2)
+/// Returns the class of a request: the two classes alternate.
+fn class_of(id: RequestId) -> usize {
+    id.0 as usize % 2
+}
+
+/// Returns the tenant of a request: the two tenants alternate after every second request.
+fn tenant_of(id: RequestId) -> usize {
+    id.0 as usize / 2 % 2
+}
+
+/// An attempt without a response so far.
+struct Unanswered {
+    attempt: SentAttempt,
+    sent_at: Time,
 }
 
 #[test]
@@ -181,32 +191,26 @@
 
     // Rejections by class and tenant.
     let mut rejected = [[0; 2]; 2];
-    let mut in_flight = VecDeque::<(u64, u32, Time)>::new();
+    let mut in_flight = VecDeque::<Unanswered>::new();
     for round in 0..4000u64 {
-        let (class, tenant) = class_and_tenant(round);
-        let request = Request {
-            id: RequestId(round),
-            class,
-            tenant: Some(tenant),
-            key: None,
-            timeout: 2.0,
-            streaming_body: false,
-        };
+        let id = RequestId(round);
+        let (class, tenant) = (class_of(id), Some(tenant_of(id)));
+        let request = Request { id, class, tenant, timeout: 2.0, ..Request::default() };
         let mut actions = harness.handle(Event::Request(request));
         // All backends together respond in turn: to all that arrives at first, then to seven in ten.
         if (round < 500 || round % 10 < 7)
-            && let Some((id, backend, sent_at)) = in_flight.pop_front()
+            && let Some(Unanswered { attempt, sent_at }) = in_flight.pop_front()
         {
             let duration = (harness.now - sent_at).max(0.001);
-            actions.extend(harness.end_attempt(id, 0, backend, Outcome::Success, duration));
+            actions.extend(harness.end_attempt(attempt, Outcome::Success, duration));
         }
-        actions.extend(without_times(harness.advance_to(harness.now + 0.005)));
+        actions.extend(harness.actions_until(harness.now + 0.005));
         actions.extend(harness.end_cancelled_attempts(&actions.clone()));
-        in_flight.extend(sends(&actions).into_iter().map(|(id, backend)| (id, backend, harness.now)));
+        let sent_at = harness.now;
+        in_flight.extend(sends(&actions).into_iter().map(|attempt| Unanswered { attempt, sent_at }));
         for action in &actions {
             if let Action::Reject { id, .. } = action {
-                let (class, tenant) = class_and_tenant(id.0);
-                rejected[class][tenant] += usize::from(id.0 > 500);
+                rejected[class_of(*id)][tenant_of(*id)] += usize::from(id.0 > 500);
             }
         }
     }
@@ -228,11 +232,11 @@
     for id in 100..400 {
         let actions = harness.request(id);
         rejected += usize::from(is_rejected(&actions, id));
-        let timed_actions = without_times(harness.advance_to(harness.now + 0.01));
+        let timed_actions = harness.actions_until(harness.now + 0.01);
         harness.end_cancelled_attempts(&timed_actions);
         // Backends 1 to 6 never respond; the others do as usual.
-        if let Some((_, backend)) = sends(&actions).first().filter(|(_, backend)| *backend > 6) {
-            harness.end_attempt(id, 0, *backend, Outcome::Success, 0.01);
+        if let Some(sent) = sends(&actions).first().filter(|sent| sent.backend > BackendId(6)) {
+            harness.end_attempt(*sent, Outcome::Success, 0.01);
         }
     }
 
--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -1,27 +1,27 @@
 //! A request whose client has disconnected is not forwarded, neither first nor as a retry.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, endpoints, is_rejected, safe_settings, sends, settings_with_effect,
-    without_times,
-};
-use balancer::*;
+use crate::common::actions::{is_rejected, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
+use balancer::{Action, Effect, Event, Outcome, Request, RequestId, Settings};
 
 /// A balancer before two backends.
 fn harness_with_two_backends(settings: Settings) -> BalancerHarness {
     BalancerHarness::new(settings, &[endpoint(1), endpoint(2)])
 }
 
-fn safe_settings_with_cancellation(cancellation_allowed: bool) -> Settings {
-    Settings { cancellation_allowed, ..safe_settings() }
+/// Returns settings of safe requests where attempts may be cancelled, and settings where they may not.
+fn settings_with_and_without_cancellation() -> [Settings; 2] {
+    [true, false].map(|cancellation_allowed| Settings { cancellation_allowed, ..safe_settings() })
 }
 
 /// The client of request 1 disconnects. Returns the actions that follow, also after the end of the
 /// request's body and after a time in which every timer fires.
 fn actions_after_disconnect(mut harness: BalancerHarness) -> Vec<Action> {
     let mut actions = harness.handle(Event::ClientDisconnected(RequestId(1)));
-    actions.extend(without_times(harness.advance_to(harness.now + 30.0)));
+    actions.extend(harness.actions_until(harness.now + 30.0));
     actions.extend(harness.handle(Event::BodyReceived(RequestId(1))));
-    actions.extend(without_times(harness.advance_to(harness.now + 30.0)));
+    actions.extend(harness.actions_until(harness.now + 30.0));
     assert_eq!(harness.balancer.open_requests(), 0);
     actions
 }
@@ -54,10 +54,10 @@
 
 #[test]
 fn does_not_retry_a_rejected_attempt_after_a_disconnect() {
-    for cancellation_allowed in [true, false] {
-        let mut harness = harness_with_two_backends(safe_settings_with_cancellation(cancellation_allowed));
-        let backend = harness.send(1);
-        assert!(harness.end_attempt(1, 0, backend, Outcome::Rejected, 0.01).is_empty());
+    for settings in settings_with_and_without_cancellation() {
+        let mut harness = harness_with_two_backends(settings);
+        let sent = harness.send(1);
+        assert!(harness.end_attempt(sent, Outcome::Rejected, 0.01).is_empty());
 
         assert!(actions_after_disconnect(harness).is_empty());
     }
@@ -65,10 +65,10 @@
 
 #[test]
 fn does_not_retry_after_a_failed_connection_and_a_disconnect() {
-    for cancellation_allowed in [true, false] {
-        let mut harness = harness_with_two_backends(safe_settings_with_cancellation(cancellation_allowed));
-        let backend = harness.send(1);
-        assert!(harness.end_attempt(1, 0, backend, Outcome::NoConnection, 0.01).is_empty());
+    for settings in settings_with_and_without_cancellation() {
+        let mut harness = harness_with_two_backends(settings);
+        let sent = harness.send(1);
+        assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
         assert!(actions_after_disconnect(harness).is_empty());
     }
@@ -76,9 +76,8 @@
 
 #[test]
 fn does_not_hedge_an_attempt_after_a_disconnect() {
-    for cancellation_allowed in [true, false] {
-        let settings =
-            Settings { hedging_allowed: true, ..safe_settings_with_cancellation(cancellation_allowed) };
+    for settings in settings_with_and_without_cancellation() {
+        let settings = Settings { hedging_allowed: true, ..settings };
         let mut harness = harness_with_two_backends(settings);
         assert_eq!(sends(&harness.request(1)).len(), 1);
 
@@ -88,11 +87,11 @@
 
 #[test]
 fn does_not_retry_a_streamed_request_after_a_disconnect() {
-    for cancellation_allowed in [true, false] {
-        let mut harness = harness_with_two_backends(safe_settings_with_cancellation(cancellation_allowed));
+    for settings in settings_with_and_without_cancellation() {
+        let mut harness = harness_with_two_backends(settings);
         let request = Request { id: RequestId(1), timeout: 2.0, streaming_body: true, ..Request::default() };
-        let (_, backend) = sends(&harness.handle(Event::Request(request)))[0];
-        assert!(harness.end_attempt(1, 0, backend, Outcome::NoConnection, 0.01).is_empty());
+        let sent = sends(&harness.handle(Event::Request(request)))[0];
+        assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
         assert!(actions_after_disconnect(harness).is_empty());
     }
@@ -100,41 +99,45 @@
 
 #[test]
 fn does_not_forward_a_request_queued_for_its_key_after_a_disconnect() {
-    for cancellation_allowed in [true, false] {
-        let mut settings = safe_settings_with_cancellation(cancellation_allowed);
+    for mut settings in settings_with_and_without_cancellation() {
         settings.classes[0].ordered_by_key = true;
         let mut harness = harness_with_two_backends(settings);
         let with_key = |id| Request { id: RequestId(id), timeout: 2.0, key: Some(7), ..Request::default() };
-        let (_, backend) = sends(&harness.handle(Event::Request(with_key(9))))[0];
+        let sent = sends(&harness.handle(Event::Request(with_key(9))))[0];
         assert!(harness.handle(Event::Request(with_key(1))).is_empty());
 
         assert!(harness.handle(Event::ClientDisconnected(RequestId(1))).is_empty());
 
-        assert!(sends(&harness.end_attempt(9, 0, backend, Outcome::Success, 0.1)).is_empty());
+        assert!(sends(&harness.end_attempt(sent, Outcome::Success, 0.1)).is_empty());
         assert!(actions_after_disconnect(harness).is_empty());
     }
 }
 
 #[test]
 fn does_not_forward_a_request_queued_at_the_entry_after_a_disconnect() {
-    for cancellation_allowed in [true, false] {
-        let settings = Settings { tier: 0, ..safe_settings_with_cancellation(cancellation_allowed) };
+    for settings in settings_with_and_without_cancellation() {
+        let settings = Settings { tier: 0, ..settings };
         let mut harness = harness_with_two_backends(settings);
         for id in 100..200 {
             harness.serve(id, 0.1);
         }
-        let requests: Vec<_> = (1000..1100).map(|id| (id, sends(&harness.request(id)))).collect();
-        let (queued, forwarded): (Vec<_>, Vec<_>) =
-            requests.into_iter().partition(|(_, sends)| sends.is_empty());
+        let mut queued = Vec::new();
+        let mut forwarded = Vec::new();
+        for id in 1000..1100 {
+            match sends(&harness.request(id)).first() {
+                Some(sent) => forwarded.push(*sent),
+                None => queued.push(id),
+            }
+        }
         assert!(!queued.is_empty());
 
-        for (id, _) in &queued {
+        for id in &queued {
             assert!(harness.handle(Event::ClientDisconnected(RequestId(*id))).is_empty());
         }
 
-        for (id, sends_of_request) in forwarded {
-            let actions = harness.end_attempt(id, 0, sends_of_request[0].1, Outcome::Success, 0.1);
-            assert!(sends(&actions).is_empty() && !queued.iter().any(|(id, _)| is_rejected(&actions, *id)));
+        for sent in forwarded {
+            let actions = harness.end_attempt(sent, Outcome::Success, 0.1);
+            assert!(sends(&actions).is_empty() && !queued.iter().any(|id| is_rejected(&actions, *id)));
         }
         assert!(actions_after_disconnect(harness).is_empty());
     }
--- a/crates/balancer/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -1,9 +1,9 @@
 //! Settings with zeros, and determinism.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoints, is_rejected, request_class, safe_settings, sends, tenant, without_times,
-};
-use balancer::*;
+use crate::common::actions::{is_rejected, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
+use balancer::{Effect, EndpointUpdate, Event, Request, RequestClass, RequestId, Settings};
 
 /// Settings in which every number that may be zero is zero.
 fn zero_settings() -> Settings {
@@ -50,7 +50,7 @@
     harness.handle(Event::Endpoints(EndpointUpdate::Failed));
 
     assert_eq!(harness.balancer.open_requests(), 0);
-    assert!(harness.timers.iter().all(|(at, _)| at.is_finite()));
+    assert!(harness.timers.iter().all(|timer| timer.due.is_finite()));
 }
 
 #[test]
@@ -75,7 +75,7 @@
         let mut actions = Vec::new();
         for id in 0..200 {
             actions.extend(harness.request(id));
-            actions.extend(without_times(harness.advance_to(harness.now + 0.03)));
+            actions.extend(harness.actions_until(harness.now + 0.03));
         }
         actions
     };
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -1,27 +1,18 @@
 //! The endpoint list: draining and removed backends, and polling of discovery with its backoff.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, endpoints, safe_settings, sends, without_times,
-};
-use balancer::*;
+use crate::common::actions::{SentAttempt, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, endpoints, safe_settings};
+use balancer::{Action, BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Status, Time};
 
 #[test]
 fn sends_nothing_to_a_draining_or_removed_backend() {
     for status in [Status::Draining, Status::Removed] {
         let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
-        harness.request(1);
+        let sent = harness.send(1);
         harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[Endpoint { status, ..endpoint(1) }])));
 
-        let ended = EndedAttempt {
-            id: RequestId(1),
-            backend: BackendId(1),
-            attempt: 0,
-            outcome: Outcome::Rejected,
-            duration: 0.1,
-            request_finished: false,
-            report: None,
-        };
-        harness.handle(Event::AttemptEnded(ended));
+        harness.end_attempt(sent, Outcome::Rejected, 0.1);
 
         // Neither the retry, though there is no other backend, nor a new request.
         assert_eq!(harness.sends_until(0.9), []);
@@ -37,7 +28,11 @@
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(2)])));
 
     for id in 0..20 {
-        assert_eq!(sends(&harness.request(id)), [(id, 2)], "what a full list lacks is removed");
+        assert_eq!(
+            sends(&harness.request(id)),
+            [SentAttempt::new(id, 2)],
+            "what a full list lacks is removed"
+        );
     }
 }
 
@@ -45,7 +40,7 @@
 fn closes_idle_connections_to_a_draining_backend() {
     let settings = Settings { idle_close_limit: Some(0.5), ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(1));
-    harness.request(1);
+    let sent = harness.send(1);
     let draining = Endpoint { status: Status::Draining, ..endpoint(1) };
     let close = Action::CloseIdleConnections(BackendId(1));
 
@@ -54,7 +49,7 @@
     assert!(actions.contains(&close));
     harness.advance_to(0.1);
     assert!(
-        harness.end_attempt(1, 0, 1, Outcome::Success, 0.1).contains(&close),
+        harness.end_attempt(sent, Outcome::Success, 0.1).contains(&close),
         "the connection that was in use at the notification"
     );
 }
@@ -83,29 +78,31 @@
     let polls = harness.advance_to(settings.endpoint_poll_limit);
 
     assert_eq!(polls.len(), 1);
-    assert_eq!(polls[0].1, Action::WatchEndpoints);
+    assert_eq!(polls[0].action, Action::WatchEndpoints);
     let mut last_delay = 0.0;
     for round in 0..6 {
         let start = harness.now;
         harness.handle(Event::Endpoints(EndpointUpdate::Failed));
         let mut polls = harness.advance_to(start + 2.0 * settings.endpoint_poll_limit);
-        polls.retain(|(_, action)| matches!(action, Action::WatchEndpoints));
+        polls.retain(|timed| timed.action == Action::WatchEndpoints);
         assert_eq!(polls.len(), 1, "one poll after each failure");
-        let delay = polls[0].0 - start;
+        let delay = polls[0].at - start;
         assert!(delay > 0.0 && delay < 1.5 * settings.endpoint_poll_limit, "{delay}");
         if round > 3 {
             assert!(delay > last_delay * 0.3, "delays don't shrink beyond their jitter");
         }
         last_delay = delay;
-        assert!(sends(&harness.request(round))[0].1 <= 3, "the last list is cached");
+        assert!(harness.send(round).backend <= BackendId(3), "the last list is cached");
     }
 }
 
 #[test]
 fn balancers_started_together_poll_at_different_times() {
-    let mut first_polls: Vec<Time> = (0..20)
-        .map(|seed| BalancerHarness::with_seed(seed, polling_settings(), &endpoints(3)).advance_to(10.0)[0].0)
-        .collect();
+    let first_poll = |seed| {
+        let mut harness = BalancerHarness::with_seed(seed, polling_settings(), &endpoints(3));
+        harness.advance_to(10.0)[0].at
+    };
+    let mut first_polls: Vec<Time> = (0..20).map(first_poll).collect();
 
     first_polls.sort_by(f64::total_cmp);
     assert!(first_polls[19] - first_polls[0] > 2.0);
@@ -132,7 +129,7 @@
 
             // A missed event counts as notified 6 s after the watch went silent, 2.3 s before this.
             assert!(
-                without_times(harness.advance_to(poll_limit + 1.6)).contains(&Action::WatchEndpoints),
+                harness.actions_until(poll_limit + 1.6).contains(&Action::WatchEndpoints),
                 "{poll_limit}"
             );
         }
@@ -174,8 +171,8 @@
 /// Fails the poll in progress and advances to the start of the next one.
 fn fail_poll_and_await_next(harness: &mut BalancerHarness) {
     harness.handle(Event::Endpoints(EndpointUpdate::Failed));
-    let (due, _) = *harness.timers.last().expect("a timer");
-    assert!(without_times(harness.advance_to(due)).contains(&Action::WatchEndpoints));
+    let due = harness.timers.last().expect("a timer").due;
+    assert!(harness.actions_until(due).contains(&Action::WatchEndpoints));
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/final_response.rs
+++ b/crates/balancer/tests/decisions/final_response.rs
@@ -1,10 +1,9 @@
 //! Each request gets exactly one final response, before its deadline.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoints, is_failed, is_rejected, safe_settings, sends, settings_with_effect,
-    without_times,
-};
-use balancer::*;
+use crate::common::actions::{TimedAction, is_failed, is_rejected, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoints, safe_settings, settings_with_effect};
+use balancer::{Action, Effect, Event, IdempotencyGroup, Outcome, RequestId, Settings, Time};
 
 /// The outcomes of an attempt without a response that the client could get.
 const FAILURES: [Outcome; 6] = [
@@ -31,10 +30,10 @@
         for (outcome, retry_allowed) in FAILURES.into_iter().zip(retries_allowed) {
             let settings = Settings { max_attempts: 1, ..settings_with_effect(effect) };
             let mut harness = BalancerHarness::new(settings, &endpoints(3));
-            let backend = harness.send(1);
+            let sent = harness.send(1);
             harness.now = 0.1;
 
-            let actions = harness.end_attempt(1, 0, backend, outcome, 0.1);
+            let actions = harness.end_attempt(sent, outcome, 0.1);
 
             assert_eq!(is_rejected(&actions, 1), retry_allowed, "{effect:?} {outcome:?}");
             assert_eq!(is_failed(&actions, 1), !retry_allowed, "{effect:?} {outcome:?}");
@@ -49,19 +48,19 @@
     settings.classes[0].late_priority_weight = 0.5;
     let mut harness = BalancerHarness::new(settings, &endpoints(3));
 
-    harness.request_with_timeout(1, 1.5);
+    let sent = sends(&harness.request_with_timeout(1, 1.5))[0];
     let timed_actions = harness.advance_to(3.0);
 
     let response_times: Vec<Time> = timed_actions
         .iter()
-        .filter(|(_, action)| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
-        .map(|(at, _)| *at)
+        .filter(|timed| matches!(timed.action, Action::Reject { .. } | Action::Fail { .. }))
+        .map(|timed| timed.at)
         .collect();
     assert_eq!(response_times.len(), 1);
     assert!(response_times[0] < 1.5 && response_times[0] > 1.4);
     assert_eq!(harness.balancer.open_requests(), 0);
     // A late outcome of the finished request is counted and causes no action.
-    assert_eq!(harness.end_attempt(1, 0, 1, Outcome::Timeout, 1.5), []);
+    assert_eq!(harness.end_attempt(sent, Outcome::Timeout, 1.5), []);
 }
 
 #[test]
@@ -71,11 +70,9 @@
     harness.request_with_timeout(1, 1.9);
     let timed_actions = harness.advance_to(3.0);
 
-    assert!(
-        timed_actions
-            .iter()
-            .any(|(at, action)| is_rejected(std::slice::from_ref(action), 1) && (*at - 1.0).abs() < 0.01)
-    );
+    let is_rejection_at_objective =
+        |timed: &TimedAction| is_rejected(&[timed.action], 1) && (timed.at - 1.0).abs() < 0.01;
+    assert!(timed_actions.iter().any(is_rejection_at_objective), "{timed_actions:?}");
 }
 
 #[test]
@@ -91,7 +88,7 @@
     let mut harness = BalancerHarness::new(safe_settings(), &[]);
 
     let mut actions = harness.request(3);
-    actions.extend(without_times(harness.advance_to(3.0)));
+    actions.extend(harness.actions_until(3.0));
 
     assert!(is_rejected(&actions, 3));
     assert_eq!(sends(&actions), []);
@@ -102,9 +99,9 @@
     for (max_retry_after, expected) in [(2.0, true), (0.0, false)] {
         let settings = Settings { max_retry_after, max_attempts: 1, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings, &endpoints(1));
-        harness.request(1);
+        let sent = harness.send(1);
 
-        let actions = harness.end_attempt(1, 0, 1, Outcome::Rejected, 0.01);
+        let actions = harness.end_attempt(sent, Outcome::Rejected, 0.01);
 
         let retry_after = actions.iter().find_map(|action| match action {
             Action::Reject { retry_after, .. } => Some(*retry_after),
@@ -128,9 +125,9 @@
         let settings = Settings { cancellation_allowed, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings, &endpoints(4));
         harness.request(1);
-        let second_backend = harness.sends_until(0.5)[0].1;
+        let second = harness.sends_until(0.5)[0];
 
-        let actions = harness.end_attempt(1, 1, second_backend, Outcome::Success, 0.1);
+        let actions = harness.end_attempt(second, Outcome::Success, 0.1);
 
         assert_eq!(actions, [expected]);
     }
--- a/crates/balancer/tests/decisions/maintenance.rs
+++ b/crates/balancer/tests/decisions/maintenance.rs
@@ -3,10 +3,12 @@
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, endpoints, is_rejected, safe_settings, sends, without_times,
+use crate::common::actions::{SentAttempt, is_rejected, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, endpoints, safe_settings};
+use balancer::{
+    Action, BackendId, Endpoint, EndpointUpdate, Event, MaintenanceChange, Outcome, Settings, Status, Time,
 };
-use balancer::*;
 
 fn start_maintenance(harness: &mut BalancerHarness, id: u32) -> Vec<Action> {
     harness.handle(Event::Maintenance { backend: BackendId(id), change: MaintenanceChange::Begins })
@@ -18,24 +20,24 @@
 
 /// Sends ten requests at once in each of these rounds, ends them unevenly, so that none is retried,
 /// and returns the backends that they were sent to.
-fn send_rounds(harness: &mut BalancerHarness, rounds: Range<u64>) -> Vec<u32> {
+fn send_rounds(harness: &mut BalancerHarness, rounds: Range<u64>) -> Vec<BackendId> {
     rounds.flat_map(|round| send_ten_requests(harness, 10 * round)).collect()
 }
 
-fn send_ten_requests(harness: &mut BalancerHarness, first_id: u64) -> Vec<u32> {
-    let backends: Vec<u32> = (first_id..first_id + 10).map(|id| harness.send(id)).collect();
-    for (index, (id, backend)) in (first_id..).zip(&backends).enumerate() {
+fn send_ten_requests(harness: &mut BalancerHarness, first_id: u64) -> Vec<BackendId> {
+    let sent: Vec<_> = (first_id..first_id + 10).map(|id| harness.send(id)).collect();
+    for (index, attempt) in sent.iter().enumerate() {
         if index % 5 == 0 {
             harness.advance_to(harness.now + 0.05);
         }
         let duration = if index < 5 { 0.05 } else { 0.1 };
-        harness.end_attempt(id, 0, *backend, Outcome::Success, duration);
+        harness.end_attempt(*attempt, Outcome::Success, duration);
     }
-    backends
+    sent.into_iter().map(|attempt| attempt.backend).collect()
 }
 
-fn count_of_first_backend(backends: &[u32]) -> usize {
-    backends.iter().filter(|backend| **backend == 1).count()
+fn count_of_first_backend(backends: &[BackendId]) -> usize {
+    backends.iter().filter(|backend| **backend == BackendId(1)).count()
 }
 
 #[test]
@@ -46,7 +48,8 @@
     assert_eq!(start_maintenance(&mut harness, 1), [Action::CloseIdleConnections(BackendId(1))]);
     assert_eq!(start_maintenance(&mut harness, 1), [], "once is enough");
 
-    assert_eq!((harness.balancer.backends_listed(), harness.balancer.backends_avoided()), (2, 1));
+    assert_eq!(harness.balancer.backends_listed(), 2);
+    assert_eq!(harness.balancer.backends_avoided(), 1);
     let removed = Endpoint { status: Status::Removed, ..endpoint(1) };
     let restarted = Endpoint { started_at: Some(0.0), ..endpoint(1) };
     let updates = [
@@ -58,14 +61,14 @@
     for (update, first_id) in updates.into_iter().zip((100..).step_by(100)) {
         harness.handle(Event::Endpoints(update));
         for id in first_id..first_id + 20 {
-            assert_eq!(harness.serve(id, 0.01), 2, "{update:?}");
+            assert_eq!(harness.serve(id, 0.01), BackendId(2), "{update:?}");
         }
     }
     // Nor is a retry sent to it, though there is no other backend.
-    let actions = harness.request(1000);
-    assert_eq!(sends(&actions), [(1000, 2)]);
-    let mut actions = harness.end_attempt(1000, 0, 2, Outcome::Reset, 0.01);
-    actions.extend(without_times(harness.advance_to(harness.now + 3.0)));
+    let sent = SentAttempt::new(1000, 2);
+    assert_eq!(sends(&harness.request(1000)), [sent]);
+    let mut actions = harness.end_attempt(sent, Outcome::Reset, 0.01);
+    actions.extend(harness.actions_until(harness.now + 3.0));
 
     assert!(sends(&actions).is_empty() && is_rejected(&actions, 1000), "{actions:?}");
 }
@@ -78,7 +81,7 @@
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(1), endpoint(2)])));
 
     for id in 0..20 {
-        assert_eq!(harness.serve(id, 0.01), 2);
+        assert_eq!(harness.serve(id, 0.01), BackendId(2));
     }
 }
 
@@ -86,10 +89,22 @@
     Settings { slow_start_duration: 20.0, slow_start_initial_capacity: 0.1, ..safe_settings() }
 }
 
+/// The start that the endpoint list shows of a backend that returns from maintenance, in seconds, and whether
+/// the backend is in slow start then.
+struct Return {
+    started_at: Option<Time>,
+    warms_up: bool,
+}
+
 #[test]
 fn a_backend_returns_from_maintenance_through_slow_start_unless_restarted_meanwhile() {
     // The list shows no start, one from before the maintenance, or one during it.
-    for (started_at, warms_up) in [(None, true), (Some(-60.0), true), (Some(2.5), false)] {
+    let returns = [
+        Return { started_at: None, warms_up: true },
+        Return { started_at: Some(-60.0), warms_up: true },
+        Return { started_at: Some(2.5), warms_up: false },
+    ];
+    for Return { started_at, warms_up } in returns {
         let started_before = started_at.filter(|time| *time < 0.0);
         let list = [Endpoint { started_at: started_before, ..endpoint(1) }, endpoint(2)];
         let mut harness = BalancerHarness::new(slow_start_settings(), &list);
@@ -110,6 +125,19 @@
     }
 }
 
+/// A member in maintenance, and a backend that is removed meanwhile.
+struct MemberAndRemoved {
+    member: BackendId,
+    removed: BackendId,
+}
+
+/// Returns each pair of a member and a listed backend.
+fn pairs_with_removed(members: &BTreeSet<BackendId>, list: &[Endpoint]) -> Vec<MemberAndRemoved> {
+    let with_member =
+        |member| list.iter().map(move |endpoint| MemberAndRemoved { member, removed: endpoint.id });
+    members.iter().flat_map(|member| with_member(*member)).collect()
+}
+
 #[test]
 fn a_member_is_in_the_subset_again_whatever_changed_during_its_maintenance() {
     // Twelve backends, four to each of three balancers; one of them is removed and others come
@@ -119,22 +147,20 @@
         let settings =
             Settings { instance_count: 3, instance_index, slow_start_duration: 1.0, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings.clone(), &list);
-        let members: BTreeSet<u32> = send_rounds(&mut harness, 0..20).into_iter().collect();
+        let members: BTreeSet<BackendId> = send_rounds(&mut harness, 0..20).into_iter().collect();
         assert!(members.len() < 12, "{members:?}");
-        for (member, removed) in
-            members.into_iter().flat_map(|member| (1..=12).map(move |removed| (member, removed)))
-        {
+        for MemberAndRemoved { member, removed } in pairs_with_removed(&members, &list) {
             let mut harness = BalancerHarness::new(settings.clone(), &list);
             send_rounds(&mut harness, 0..20);
-            start_maintenance(&mut harness, member);
+            start_maintenance(&mut harness, member.0);
             let others: Vec<Endpoint> =
-                list.iter().filter(|endpoint| endpoint.id.0 != removed).cloned().collect();
+                list.iter().filter(|endpoint| endpoint.id != removed).cloned().collect();
             harness.handle(Event::Endpoints(EndpointUpdate::Full(&others)));
             send_rounds(&mut harness, 20..40);
-            end_maintenance(&mut harness, member);
+            end_maintenance(&mut harness, member.0);
             // A member that was removed itself is listed again a little later, with new ones.
-            let listed_anew = (20..24).map(endpoint).chain([endpoint(member)]);
-            let others = others.iter().filter(|endpoint| endpoint.id.0 != member).cloned();
+            let listed_anew = (20..24).map(endpoint).chain([endpoint(member.0)]);
+            let others = others.iter().filter(|endpoint| endpoint.id != member).cloned();
             let list_after: Vec<Endpoint> = others.chain(listed_anew).collect();
             harness.handle(Event::Endpoints(EndpointUpdate::Full(&list_after)));
 
@@ -143,7 +169,7 @@
             let mut after = after.into_iter();
             assert!(
                 after.any(|backend| backend == member),
-                "{member} at {instance_index}, {removed} removed"
+                "{member:?} at {instance_index}, {removed:?} removed"
             );
         }
     }
@@ -161,20 +187,20 @@
     };
     let mut list = endpoints(12);
     let mut harness = BalancerHarness::new(settings, &list);
-    let members: BTreeSet<u32> = send_rounds(&mut harness, 0..40).into_iter().collect();
-    for endpoint in list.iter_mut().filter(|endpoint| members.contains(&endpoint.id.0)) {
+    let members: BTreeSet<BackendId> = send_rounds(&mut harness, 0..40).into_iter().collect();
+    for endpoint in list.iter_mut().filter(|endpoint| members.contains(&endpoint.id)) {
         endpoint.started_at = Some(harness.now);
     }
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
     let backends = send_rounds(&mut harness, 40..60);
     let substitute = *backends.iter().find(|backend| !members.contains(backend)).expect("a substitute");
 
-    start_maintenance(&mut harness, substitute);
+    start_maintenance(&mut harness, substitute.0);
     send_rounds(&mut harness, 60..90);
-    end_maintenance(&mut harness, substitute);
+    end_maintenance(&mut harness, substitute.0);
 
     let mut after = send_rounds(&mut harness, 90..130).into_iter();
-    assert!(after.any(|backend| backend == substitute), "{substitute}, members {members:?}");
+    assert!(after.any(|backend| backend == substitute), "{substitute:?}, members {members:?}");
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/ordered_keys.rs
+++ b/crates/balancer/tests/decisions/ordered_keys.rs
@@ -1,9 +1,9 @@
 //! Classes that keep the order of an ordering key: one request of a key runs at a time.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoints, is_failed, is_rejected, sends, settings_with_effect, without_times,
-};
-use balancer::*;
+use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoints, settings_with_effect};
+use balancer::{Action, Effect, Event, Outcome, Request, RequestId};
 
 /// A balancer with a class of unsafe requests that keeps the order of a key, which rests for 0.2 s
 /// after an attempt without a response.
@@ -20,22 +20,22 @@
     harness.handle(Event::Request(request))
 }
 
-fn request_ids(sends: &[(u64, u32)]) -> Vec<u64> {
-    sends.iter().map(|(id, _)| *id).collect()
+fn request_ids(sends: &[SentAttempt]) -> Vec<RequestId> {
+    sends.iter().map(|sent| sent.request).collect()
 }
 
 #[test]
 fn runs_requests_of_a_key_one_at_a_time_in_order_of_arrival() {
     let mut harness = harness_with_ordered_class();
-    let backend = sends(&request_with_key(&mut harness, 1, 7))[0].1;
+    let first = sends(&request_with_key(&mut harness, 1, 7))[0];
     assert_eq!(sends(&request_with_key(&mut harness, 2, 7)), []);
     assert_eq!(sends(&request_with_key(&mut harness, 3, 7)), []);
     assert_eq!(sends(&request_with_key(&mut harness, 4, 8)).len(), 1, "another key is free");
     harness.advance_to(0.1);
 
-    let next = sends(&harness.end_attempt(1, 0, backend, Outcome::Success, 0.1));
+    let next = sends(&harness.end_attempt(first, Outcome::Success, 0.1));
 
-    assert_eq!(request_ids(&next), [2], "in the order of arrival");
+    assert_eq!(request_ids(&next), [RequestId(2)], "in the order of arrival");
     // Its client disconnects. The cancelled attempt occupies the key, which then rests.
     assert!(
         harness
@@ -43,9 +43,9 @@
             .contains(&Action::Cancel { id: RequestId(2), attempt: 0 })
     );
     assert_eq!(harness.sends_until(0.4), []);
-    assert_eq!(sends(&harness.end_attempt(2, 0, next[0].1, Outcome::Cancelled, 0.3)), []);
+    assert_eq!(sends(&harness.end_attempt(next[0], Outcome::Cancelled, 0.3)), []);
     assert_eq!(harness.sends_until(0.59), [], "the key rests");
-    assert_eq!(request_ids(&harness.sends_until(0.62)), [3]);
+    assert_eq!(request_ids(&harness.sends_until(0.62)), [RequestId(3)]);
 }
 
 #[test]
@@ -54,7 +54,7 @@
     request_with_key(&mut harness, 1, 7);
     assert_eq!(sends(&request_with_key(&mut harness, 2, 7)), []);
 
-    let actions = without_times(harness.advance_to(3.0));
+    let actions = harness.actions_until(3.0);
 
     assert!(is_failed(&actions, 1), "it may have run");
     assert!(is_rejected(&actions, 2), "it was never sent");
--- a/crates/balancer/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -1,8 +1,13 @@
 //! Outlier detection: backends that fail fast or never respond get few requests.
 
-use crate::common::balancer_harness::{BalancerHarness, endpoints, safe_settings};
-use balancer::*;
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoints, safe_settings};
+use balancer::{BackendId, Outcome, Settings};
 
+/// The backend that fails or never responds.
+const OUTLIER: BackendId = BackendId(1);
+
+/// A balancer before two backends, with a single attempt for each request.
 fn harness_with_one_attempt() -> BalancerHarness {
     BalancerHarness::new(Settings { max_attempts: 1, ..safe_settings() }, &endpoints(2))
 }
@@ -13,21 +18,22 @@
     let mut harness = harness_with_one_attempt();
     let mut sent_to_outlier = 0;
     for id in 0..200 {
-        let backend = harness.send(id);
+        let sent = harness.send(id);
         harness.now += 0.02;
-        if backend == 1 {
+        if sent.backend == OUTLIER {
             sent_to_outlier += 1;
-            harness.end_attempt(id, 0, 1, Outcome::Error, 0.001);
+            harness.end_attempt(sent, Outcome::Error, 0.001);
         } else {
-            harness.end_attempt(id, 0, 2, Outcome::Success, 0.02);
+            harness.end_attempt(sent, Outcome::Success, 0.02);
         }
     }
     assert!(sent_to_outlier < 20, "{sent_to_outlier}");
 
     harness.advance_to(harness.now + 60.0);
 
+    let response_time = |id| 0.01 + 0.02 * (id % 3) as f64;
     let sent_after_recovery =
-        (0..50).filter(|id| harness.serve(1000 + id, 0.01 + 0.02 * (id % 3) as f64) == 1).count();
+        (0..50).filter(|id| harness.serve(1000 + id, response_time(*id)) == OUTLIER).count();
     assert!(sent_after_recovery > 10, "{sent_after_recovery}");
 }
 
@@ -41,13 +47,14 @@
 
     let mut sent_to_outlier = 0;
     for id in 1000..1040 {
-        if harness.send(id) == 1 {
+        let sent = harness.send(id);
+        if sent.backend == OUTLIER {
             sent_to_outlier += 1;
             harness.advance_to(harness.now + 1.1);
-            harness.end_attempt(id, 0, 1, Outcome::Timeout, 1.0);
+            harness.end_attempt(sent, Outcome::Timeout, 1.0);
         } else {
             harness.advance_to(harness.now + 0.02);
-            harness.end_attempt(id, 0, 2, Outcome::Success, 0.02);
+            harness.end_attempt(sent, Outcome::Success, 0.02);
         }
     }
 
--- a/crates/balancer/tests/decisions/placement.rs
+++ b/crates/balancer/tests/decisions/placement.rs
@@ -2,14 +2,15 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, endpoints, safe_settings, sends, without_times,
-};
-use balancer::*;
+use crate::common::actions::{SentAttempt, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, endpoints, safe_settings};
+use balancer::{Action, BackendId, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, Settings, Time};
 
 /// The backends that 60 requests are sent to, from this id on, none of which gets a response.
-fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<u32> {
-    (first_id..first_id + 60).flat_map(|id| sends(&harness.request(id))).map(|(_, backend)| backend).collect()
+fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<BackendId> {
+    let sent = (first_id..first_id + 60).flat_map(|id| sends(&harness.request(id)));
+    sent.map(|attempt| attempt.backend).collect()
 }
 
 #[test]
@@ -20,7 +21,7 @@
     assert!(before.len() <= 4, "{before:?}");
     let removed = *before.iter().next().unwrap();
     let mut list = endpoints(40);
-    list.retain(|endpoint| endpoint.id.0 != removed);
+    list.retain(|endpoint| endpoint.id != removed);
 
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
     let after = backends_used(&mut harness, 100);
@@ -32,22 +33,30 @@
     );
 }
 
-/// The size of a subset with eight requests in flight on average.
-fn busy_subset_size(connections_have_cost: bool) -> usize {
-    let settings = Settings { instance_count: 50, connections_have_cost, ..safe_settings() };
+/// An attempt without a response so far.
+struct AttemptInFlight {
+    attempt: SentAttempt,
+    sent_at: Time,
+}
+
+/// Returns the size of the subset of a balancer with these settings, one of fifty before forty backends, with
+/// eight requests in flight on average.
+fn busy_subset_size(settings: Settings) -> usize {
+    let settings = Settings { instance_count: 50, ..settings };
     let mut harness = BalancerHarness::new(settings, &endpoints(40));
     // For longer than rates are remembered.
     let mut in_flight = VecDeque::new();
     for id in 0..600 {
+        let sent_at = harness.now;
         let sent = sends(&harness.request(id));
-        in_flight.extend(sent.into_iter().map(|(id, backend)| (id, backend, harness.now)));
+        in_flight.extend(sent.into_iter().map(|attempt| AttemptInFlight { attempt, sent_at }));
         if in_flight.len() > 8 {
-            let (id, backend, sent_at) = in_flight.pop_front().unwrap();
+            let AttemptInFlight { attempt, sent_at } = in_flight.pop_front().unwrap();
             let duration = harness.now - sent_at;
-            let actions = harness.end_attempt(id, 0, backend, Outcome::Success, duration);
+            let actions = harness.end_attempt(attempt, Outcome::Success, duration);
             harness.end_cancelled_attempts(&actions);
         }
-        let actions = without_times(harness.advance_to(harness.now + 0.02));
+        let actions = harness.actions_until(harness.now + 0.02);
         harness.end_cancelled_attempts(&actions);
     }
     backends_used(&mut harness, 1000).len()
@@ -57,15 +66,28 @@
 fn costly_connections_keep_a_busy_subset_small() {
     // Guards against connections to so many members that all together exceed what backends accept:
     // connections then fail to backends that run and respond to others.
-    let (free, costly) = (busy_subset_size(false), busy_subset_size(true));
+    let free = busy_subset_size(safe_settings());
+    let costly = busy_subset_size(Settings { connections_have_cost: true, ..safe_settings() });
 
     assert!(free > 2 * costly, "{free} and {costly}");
 }
 
+/// The numbers of balancers and backends.
+struct FleetSize {
+    instance_count: usize,
+    backends: u32,
+}
+
 #[test]
 fn every_backend_is_in_a_subset() {
     // Guards against random subsets of a few balancers that leave backends out.
-    for (instance_count, backends) in [(3, 20), (1, 9), (7, 30), (40, 60)] {
+    let fleets = [
+        FleetSize { instance_count: 3, backends: 20 },
+        FleetSize { instance_count: 1, backends: 9 },
+        FleetSize { instance_count: 7, backends: 30 },
+        FleetSize { instance_count: 40, backends: 60 },
+    ];
+    for FleetSize { instance_count, backends } in fleets {
         let mut used = BTreeSet::new();
         for instance_index in 0..instance_count {
             let settings = Settings { instance_count, instance_index, ..safe_settings() };
@@ -85,7 +107,7 @@
 
     let mut sent = [0, 0];
     for id in 0..40 {
-        sent[harness.send(id) as usize - 1] += 1;
+        sent[harness.send(id).backend.0 as usize - 1] += 1;
     }
 
     assert!((26..=34).contains(&sent[0]), "{sent:?}");
@@ -93,7 +115,12 @@
 
 /// Backends 1 to 8, in zone 1 those with an odd id.
 fn endpoints_in_two_zones() -> Vec<Endpoint> {
-    (1..=8).map(|id| Endpoint { zone: id % 2, ..endpoint(id) }).collect()
+    (1..=8).map(|id| Endpoint { zone: zone_of(BackendId(id)), ..endpoint(id) }).collect()
+}
+
+/// Returns the zone of one of these backends.
+fn zone_of(backend: BackendId) -> u32 {
+    backend.0 % 2
 }
 
 #[test]
@@ -103,11 +130,11 @@
     let settings = Settings { cross_zone_cost: 0.2, zone: 1, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints_in_two_zones());
     for id in 0..40 {
-        assert_eq!(harness.serve(id, 0.05) % 2, 1, "idle backends of the own zone");
+        assert_eq!(zone_of(harness.serve(id, 0.05)), 1, "idle backends of the own zone");
     }
 
     let sent = (100..140).flat_map(|id| sends(&harness.request(id)));
-    let crossed = sent.filter(|(_, backend)| backend % 2 == 0).count();
+    let crossed = sent.filter(|attempt| zone_of(attempt.backend) == 0).count();
 
     assert!((1..20).contains(&crossed), "{crossed}");
 }
@@ -117,7 +144,7 @@
     let settings = Settings { zone: 1, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints_in_two_zones());
 
-    let crossed = (0..40).filter(|id| harness.serve(*id, 0.05).is_multiple_of(2)).count();
+    let crossed = (0..40).filter(|id| zone_of(harness.serve(*id, 0.05)) == 0).count();
 
     assert!(crossed > 5, "no cost, no preference: {crossed}");
 }
@@ -130,8 +157,8 @@
     let (mut health_checks, mut sent) = (0, [0, 0]);
     for id in 0..200 {
         let actions = harness.request(id);
-        let backend = sends(&actions)[0].1;
-        sent[backend as usize - 1] += usize::from(id >= 100);
+        let attempt = sends(&actions)[0];
+        sent[attempt.backend.0 as usize - 1] += usize::from(id >= 100);
         for action in &actions {
             if let Action::HealthCheck(backend) = action {
                 health_checks += 1;
@@ -142,7 +169,7 @@
             }
         }
         harness.advance_to(harness.now + 0.05);
-        harness.end_attempt(id, 0, backend, Outcome::Success, 0.05);
+        harness.end_attempt(attempt, Outcome::Success, 0.05);
     }
 
     assert!((50..80).contains(&health_checks), "one for a few sends: {health_checks}");
--- a/crates/balancer/tests/decisions/retransmission.rs
+++ b/crates/balancer/tests/decisions/retransmission.rs
@@ -1,15 +1,11 @@
 //! Retries: the retransmission probability, the doubling timers, and what the effect of a class allows.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, endpoints, is_failed, is_rejected, safe_settings, settings_with_effect,
+use crate::common::actions::{SentAttempt, is_failed, is_rejected, send_times};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
+use balancer::{
+    BackendId, Effect, Endpoint, EndpointUpdate, Event, IdempotencyGroup, Outcome, Settings, Time,
 };
-use balancer::*;
-
-/// When attempts were sent, in seconds after `start`.
-fn send_times(timed_actions: &[(Time, Action)], start: Time) -> Vec<Time> {
-    let is_send = |action: &Action| matches!(action, Action::Send { .. });
-    timed_actions.iter().filter(|(_, action)| is_send(action)).map(|(at, _)| *at - start).collect()
-}
 
 #[test]
 fn always_retries_a_request_that_is_alone() {
@@ -36,14 +32,14 @@
             harness.now += 0.1;
         }
         // When these timers fire, 40 requests wait where 10 a second are sent: far beyond T1.
-        harness.timers.retain(|(at, _)| *at > 3.9);
-        timers_fired += harness.timers.iter().filter(|(at, _)| *at < 4.4).count();
+        harness.timers.retain(|timer| timer.due > 3.9);
+        timers_fired += harness.timers.iter().filter(|timer| timer.due < 4.4).count();
         retries += send_times(&harness.advance_to(4.4), 0.0).len();
     }
 
-    let share = retries as f64 / timers_fired as f64;
-    assert!(share < 0.5, "{share}");
-    assert!(share > 0.0, "p never falls to zero");
+    let retried_fraction = retries as f64 / timers_fired as f64;
+    assert!(retried_fraction < 0.5, "{retried_fraction}");
+    assert!(retried_fraction > 0.0, "p never falls to zero");
 }
 
 #[test]
@@ -83,9 +79,9 @@
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(6));
 
         let first = harness.send(1);
-        let second = harness.sends_until(0.5)[0].1;
+        let second = harness.sends_until(0.5)[0];
 
-        assert_ne!(first, second);
+        assert_ne!(first.backend, second.backend);
     }
 }
 
@@ -95,9 +91,9 @@
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     harness.request(1);
     harness.now = 0.1;
-    harness.request(2);
+    let later = harness.send(2);
     harness.now = 0.2;
-    harness.end_attempt(2, 0, 1, Outcome::Success, 0.1);
+    harness.end_attempt(later, Outcome::Success, 0.1);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[endpoint(2)])));
 
     assert_eq!(harness.sends_until(0.5), []);
@@ -109,7 +105,7 @@
     harness.request(1);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[endpoint(2)])));
 
-    assert_eq!(harness.sends_until(0.5), [(1, 2)]);
+    assert_eq!(harness.sends_until(0.5), [SentAttempt::new(1, 2)]);
 }
 
 #[test]
@@ -120,17 +116,17 @@
     for id in 100..200 {
         harness.serve(id, 0.05);
     }
-    let sent = harness.now;
+    let sent_at = harness.now;
     harness.request(1);
-    harness.request(2);
-    harness.advance_to(sent + 0.03);
+    let later = harness.send(2);
+    harness.advance_to(sent_at + 0.03);
 
-    harness.end_attempt(2, 0, 1, Outcome::Success, 0.03);
+    harness.end_attempt(later, Outcome::Success, 0.03);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[endpoint(2)])));
 
     // T1 is a little over 0.05 s: one timer passes, the next sends the hedged request.
-    assert_eq!(harness.sends_until(sent + 0.1), []);
-    assert_eq!(harness.sends_until(sent + 0.3), [(1, 2)]);
+    assert_eq!(harness.sends_until(sent_at + 0.1), []);
+    assert_eq!(harness.sends_until(sent_at + 0.3), [SentAttempt::new(1, 2)]);
 }
 
 #[test]
@@ -155,10 +151,10 @@
 fn retries_only_failed_attempts_when_hedging_is_not_allowed() {
     let settings = Settings { hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
-    let backend = harness.send(1);
+    let sent = harness.send(1);
     assert_eq!(harness.sends_until(0.2), []);
 
-    harness.end_attempt(1, 0, backend, Outcome::Error, 0.2);
+    harness.end_attempt(sent, Outcome::Error, 0.2);
 
     assert_eq!(harness.sends_until(0.5).len(), 1, "a failed attempt is retried at the next timer");
 }
@@ -169,10 +165,10 @@
         [(Outcome::Rejected, 1), (Outcome::NoConnection, 1), (Outcome::Error, 0), (Outcome::Reset, 0)]
     {
         let mut harness = BalancerHarness::new(settings_with_effect(Effect::Unsafe), &endpoints(4));
-        let backend = harness.send(1);
+        let sent = harness.send(1);
         harness.now = 0.1;
 
-        let actions = harness.end_attempt(1, 0, backend, outcome, 0.1);
+        let actions = harness.end_attempt(sent, outcome, 0.1);
 
         assert_eq!(is_failed(&actions, 1), retries == 0, "nothing to wait for");
         assert_eq!(harness.sends_until(0.5).len(), retries, "{outcome:?}");
@@ -191,12 +187,23 @@
 /// A balancer before two zones of two cells with two backends each, with a class of idempotent
 /// requests.
 fn idempotent_harness(seed: u64, group: IdempotencyGroup, window: Time) -> BalancerHarness {
-    let endpoints: Vec<Endpoint> =
-        (0..8).map(|index| Endpoint { cell: index % 4, zone: index % 2, ..endpoint(index + 1) }).collect();
+    let in_cell_and_zone = |id| {
+        let backend = BackendId(id);
+        Endpoint { cell: cell_of(backend), zone: zone_of(backend), ..endpoint(id) }
+    };
+    let endpoints: Vec<_> = (1..=8).map(in_cell_and_zone).collect();
     let settings = settings_with_effect(Effect::Idempotent { group, window });
     BalancerHarness::with_seed(seed, settings, &endpoints)
 }
 
+fn cell_of(backend: BackendId) -> u32 {
+    (backend.0 - 1) % 4
+}
+
+fn zone_of(backend: BackendId) -> u32 {
+    (backend.0 - 1) % 2
+}
+
 #[test]
 fn retries_an_idempotent_request_inside_the_cell_of_its_key() {
     for seed in 0..30 {
@@ -206,7 +213,7 @@
         let retries = harness.sends_until(0.5);
 
         assert_eq!(retries.len(), 1, "the other member of the cell, in the subset or not");
-        assert_eq!(retries[0].1 % 4, first % 4);
+        assert_eq!(cell_of(retries[0].backend), cell_of(first.backend));
     }
 }
 
@@ -228,7 +235,9 @@
 
         let first = harness.send(1);
 
-        assert!(harness.sends_until(0.5).iter().all(|(_, backend)| backend % 2 == first % 2));
+        assert!(
+            harness.sends_until(0.5).iter().all(|retry| zone_of(retry.backend) == zone_of(first.backend))
+        );
     }
 }
 
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: what backends that are warming up get from a single balancer.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, endpoints, safe_settings, sends, without_times,
-};
-use balancer::*;
+use crate::common::actions::sends;
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, endpoints, safe_settings};
+use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Status};
 
 /// Settings of one of many balancers, in whose subset a backend warms up for 20 s.
 fn slow_start_settings(instance_count: usize, initial_capacity: f64) -> Settings {
@@ -36,7 +36,7 @@
         restart_first_backend(&mut harness, &mut list);
         for id in 100..108 {
             match harness.serve(id, 0.01) {
-                1 => sent_to_warming += 1,
+                BackendId(1) => sent_to_warming += 1,
                 _ => sent_to_warm += 1,
             }
             harness.advance_to(harness.now + 0.24);
@@ -66,9 +66,9 @@
     let mut sent = 0;
     for id in 1000..1020 {
         let actions = harness.request(id);
-        for (id, backend) in sends(&actions) {
+        for attempt in sends(&actions) {
             sent += 1;
-            harness.end_attempt(id, 0, backend, Outcome::Success, 0.05);
+            harness.end_attempt(attempt, Outcome::Success, 0.05);
         }
         harness.advance_to(harness.now + 0.05);
     }
@@ -87,20 +87,20 @@
 
     let mut sent_to_warming = 0;
     for id in 0..2000 {
-        let sent_while_warming =
-            |sends: &[(u64, u32)]| sends.iter().filter(|(_, backend)| id > 1000 && *backend == 1).count();
-        let actions = harness.request(id);
+        let sent_on_arrival = sends(&harness.request(id));
         if id == 1000 {
             restart_first_backend(&mut harness, &mut list);
         }
-        sent_to_warming += sent_while_warming(&sends(&actions));
         // A hundred a second arrive, and ten of them get a response.
-        if let Some((_, backend)) = sends(&actions).first().filter(|_| id % 10 == 0) {
-            harness.end_attempt(id, 0, *backend, Outcome::Success, 0.05);
+        if let Some(sent) = sent_on_arrival.first().filter(|_| id % 10 == 0) {
+            harness.end_attempt(*sent, Outcome::Success, 0.05);
         }
-        let actions = without_times(harness.advance_to(harness.now + 0.01));
-        sent_to_warming += sent_while_warming(&sends(&actions));
+        let actions = harness.actions_until(harness.now + 0.01);
         harness.end_cancelled_attempts(&actions);
+        if id > 1000 {
+            let sent = sent_on_arrival.into_iter().chain(sends(&actions));
+            sent_to_warming += sent.filter(|attempt| attempt.backend == BackendId(1)).count();
+        }
     }
 
     // Ten seconds of 2.5 a second and backend, of which it can do a tenth to a half.
@@ -164,8 +164,8 @@
     let mut distribution = Distribution { to_warm: vec![0; warm_backends], unsent: 0 };
     for id in 200..200 + requests {
         match sends(&harness.request(id)).first() {
-            Some(&(_, backend)) => {
-                if let Some(sent) = distribution.to_warm.get_mut(backend as usize - 1) {
+            Some(attempt) => {
+                if let Some(sent) = distribution.to_warm.get_mut(attempt.backend.0 as usize - 1) {
                     *sent += 1;
                 }
             }
--- a/crates/balancer/tests/decisions/streamed_bodies.rs
+++ b/crates/balancer/tests/decisions/streamed_bodies.rs
@@ -1,15 +1,14 @@
 //! Requests whose bodies are streamed: their timers, retries and load.
 
-use crate::common::balancer_harness::{
-    BalancerHarness, endpoint, is_failed, is_rejected, safe_settings, sends, settings_with_effect,
-    without_times,
-};
-use balancer::*;
+use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoint, safe_settings, settings_with_effect};
+use balancer::{Effect, Event, Outcome, Request, RequestId, Settings};
 
-/// A request with a streamed body arrives; returns the backend that it is sent to.
-fn send_streamed_request(harness: &mut BalancerHarness, id: u64) -> u32 {
+/// Handles the arrival of a request with a streamed body, and returns the first attempt.
+fn send_streamed_request(harness: &mut BalancerHarness, id: u64) -> SentAttempt {
     let request = Request { id: RequestId(id), timeout: 2.0, streaming_body: true, ..Request::default() };
-    sends(&harness.handle(Event::Request(request)))[0].1
+    sends(&harness.handle(Event::Request(request)))[0]
 }
 
 #[test]
@@ -21,9 +20,8 @@
     harness.handle(Event::BodyReceived(RequestId(1)));
     harness.handle(Event::BodyReceived(RequestId(1)));
 
-    let timed_actions = harness.advance_to(30.5);
-    assert!(sends(&without_times(timed_actions)).is_empty(), "the body can't be streamed to two backends");
-    let actions = without_times(harness.advance_to(32.0));
+    assert!(harness.sends_until(30.5).is_empty(), "the body can't be streamed to two backends");
+    let actions = harness.actions_until(32.0);
     assert!(is_rejected(&actions, 1), "{actions:?}");
 }
 
@@ -33,15 +31,15 @@
         [(false, safe_settings()), (true, safe_settings()), (true, settings_with_effect(Effect::Unsafe))]
     {
         let mut harness = BalancerHarness::new(settings, &[endpoint(1), endpoint(2)]);
-        let backend = send_streamed_request(&mut harness, 1);
+        let sent = send_streamed_request(&mut harness, 1);
         if consumed {
             harness.handle(Event::BodyConsumed(RequestId(1)));
         }
 
-        let mut actions = harness.end_attempt(1, 0, backend, Outcome::NoConnection, 0.01);
+        let mut actions = harness.end_attempt(sent, Outcome::NoConnection, 0.01);
 
         assert_eq!(is_rejected(&actions, 1), consumed, "at once, if at all");
-        actions.extend(without_times(harness.advance_to(3.0)));
+        actions.extend(harness.actions_until(3.0));
         assert_eq!(sends(&actions).len(), usize::from(!consumed));
         assert!(!is_failed(&actions, 1));
     }
@@ -55,15 +53,15 @@
     for id in 0..100 {
         harness.serve(id, 0.1);
     }
-    let streamed: Vec<_> = (1000..1040).map(|id| (id, send_streamed_request(&mut harness, id))).collect();
+    let streamed: Vec<_> = (1000..1040).map(|id| send_streamed_request(&mut harness, id)).collect();
 
     for id in 100..200 {
         harness.serve(id, 0.1); // panics if the request is not sent at once
     }
 
-    for (id, backend) in streamed {
-        harness.handle(Event::BodyReceived(RequestId(id)));
-        harness.end_attempt(id, 0, backend, Outcome::Success, 10.0);
+    for sent in streamed {
+        harness.handle(Event::BodyReceived(sent.request));
+        harness.end_attempt(sent, Outcome::Success, 10.0);
     }
     assert_eq!(harness.balancer.open_requests(), 0);
     for id in 200..300 {
--- a/crates/balancer/tests/endpoint_churn.rs
+++ b/crates/balancer/tests/endpoint_churn.rs
@@ -3,30 +3,33 @@
 
 mod common;
 
-use balancer::{EndpointUpdate, Event, Outcome};
-use common::balancer_harness::{BalancerHarness, endpoint, is_rejected, safe_settings, sends};
+use balancer::{BackendId, EndpointUpdate, Event, Outcome};
+use common::actions::{SentAttempt, is_rejected, sends};
+use common::balancer_harness::BalancerHarness;
+use common::fixtures::{endpoint, safe_settings};
 
 #[test]
 fn the_decision_module_forgets_removed_backends_without_attempts_in_flight() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
-    let first = sends(&harness.request(1));
-    assert_eq!(first, [(1, 1)]);
+    let first = SentAttempt::new(1, 1);
+    assert_eq!(sends(&harness.request(1)), [first]);
 
     for id in 2..500 {
         harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(id), endpoint(1000 + id)])));
         // Requests go on meanwhile, and are attributed to the right backends.
         harness.now += 0.01;
         let request = u64::from(id);
-        let backend = sends(&harness.request(request))[0].1;
+        let sent = harness.send(request);
+        let BackendId(backend) = sent.backend;
         assert!(backend == id || backend == 1000 + id, "{backend} at {id}");
-        let actions = harness.end_attempt(request, 0, backend, Outcome::Success, 0.01);
+        let actions = harness.end_attempt(sent, Outcome::Success, 0.01);
         assert!(!is_rejected(&actions, request));
     }
 
     assert!(harness.balancer.backends_known() <= 5, "{}", harness.balancer.backends_known());
     // The backend of the first request is known until its attempt has ended.
     assert!(harness.balancer.backends_known() > 2);
-    harness.end_attempt(1, 0, 1, Outcome::Success, 1.0);
+    harness.end_attempt(first, Outcome::Success, 1.0);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[])));
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(499)])));
     assert_eq!(harness.balancer.backends_known(), 1);
--- a/crates/balancer/tests/replay/agenda.rs
+++ b/crates/balancer/tests/replay/agenda.rs
@@ -37,10 +37,27 @@
     Change(usize),
 }
 
-/// Occurrences by their times; of those at one time the first that was added comes first.
+/// An occurrence with its time.
+#[derive(Clone, Copy, Debug)]
+pub struct PlannedOccurrence {
+    /// The time in seconds.
+    pub at: Time,
+    /// The occurrence.
+    pub occurrence: Occurrence,
+}
+
+/// The place of an occurrence on the agenda: occurrences of one time keep the order in which they were added.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Place {
+    /// The bits of the time. The bits of times that are not negative sort as the times do.
+    time_bits: u64,
+    sequence: usize,
+}
+
+/// Occurrences in the order of their times.
 #[derive(Debug, Default)]
 pub struct Agenda {
-    occurrences: BTreeMap<(u64, usize), Occurrence>,
+    occurrences: BTreeMap<Place, Occurrence>,
     added: usize,
 }
 
@@ -48,15 +65,15 @@
     /// Adds an occurrence. One at an infinite time never happens.
     pub fn add(&mut self, at: Time, occurrence: Occurrence) {
         if at.is_finite() {
-            // The bits of times that are not negative sort as the times do.
-            self.occurrences.insert((at.max(0.0).to_bits(), self.added), occurrence);
+            let place = Place { time_bits: at.max(0.0).to_bits(), sequence: self.added };
+            self.occurrences.insert(place, occurrence);
             self.added += 1;
         }
     }
 
-    /// Removes the next occurrence, with its time in seconds.
-    pub fn next(&mut self) -> Option<(Time, Occurrence)> {
-        let ((bits, _), occurrence) = self.occurrences.pop_first()?;
-        Some((Time::from_bits(bits), occurrence))
+    /// Removes the next occurrence, and returns the occurrence with its time.
+    pub fn next(&mut self) -> Option<PlannedOccurrence> {
+        let (place, occurrence) = self.occurrences.pop_first()?;
+        Some(PlannedOccurrence { at: Time::from_bits(place.time_bits), occurrence })
     }
 }
--- a/crates/balancer/tests/replay/scenario.rs
+++ b/crates/balancer/tests/replay/scenario.rs
@@ -29,12 +29,16 @@
     Unlist(BackendId),
     /// The complete endpoint list is sent.
     SendList,
-    /// Discovery fails, or works again.
-    DiscoveryWorks(bool),
+    /// Discovery fails: polls fail, and the watch breaks.
+    DiscoveryFails,
+    /// Discovery works again.
+    DiscoveryRecovers,
     /// Operators remove a backend from service, or put it back.
     Maintenance(BackendId, MaintenanceChange),
-    /// A second process begins or ceases to run.
-    SecondProcess(bool),
+    /// A second process begins to run.
+    SecondProcessBegins,
+    /// The second process ceases to run.
+    SecondProcessEnds,
     /// Other settings are in force.
     Settings(Box<Settings>),
 }
--- a/crates/balancer/tests/replay/scenarios/backends.rs
+++ b/crates/balancer/tests/replay/scenarios/backends.rs
@@ -51,13 +51,13 @@
     scenario
         .at(2.0, listed(3, Status::Draining))
         .at(2.5, listed(3, Status::Removed))
-        .at(3.0, Change::DiscoveryWorks(false))
+        .at(3.0, Change::DiscoveryFails)
         .at(3.5, listed(8, Status::InService))
-        .at(6.0, Change::DiscoveryWorks(true))
+        .at(6.0, Change::DiscoveryRecovers)
         .at(7.0, listed(5, Status::Draining))
         .at(7.5, Change::Unlist(BackendId(6)))
-        .at(8.0, Change::DiscoveryWorks(false))
-        .at(9.0, Change::DiscoveryWorks(true))
+        .at(8.0, Change::DiscoveryFails)
+        .at(9.0, Change::DiscoveryRecovers)
 }
 
 pub fn cross_zone_cost() -> Scenario {
--- a/crates/balancer/tests/replay/scenarios/overload.rs
+++ b/crates/balancer/tests/replay/scenarios/overload.rs
@@ -20,8 +20,8 @@
         .at(2.3, Change::Rate(120.0))
         .at(3.0, Change::Rate(330.0))
         .at(4.3, Change::Rate(150.0))
-        .at(4.4, Change::SecondProcess(true))
-        .at(4.7, Change::SecondProcess(false))
+        .at(4.4, Change::SecondProcessBegins)
+        .at(4.7, Change::SecondProcessEnds)
 }
 
 pub fn lower_tier_overload() -> Scenario {
--- a/crates/balancer/tests/replay/scenarios/requests.rs
+++ b/crates/balancer/tests/replay/scenarios/requests.rs
@@ -79,9 +79,9 @@
     let versions = [reordered, fewer, more, without_tenants, at_first];
     for (index, settings) in versions.iter().cycle().take(10).enumerate() {
         let at = 0.7 * (index + 1) as Time;
-        scenario = scenario
-            .at(at, Change::Settings(Box::new(settings.clone())))
-            .at(at + 0.1, Change::SecondProcess(index.is_multiple_of(2)));
+        let begins = index.is_multiple_of(2);
+        let second_process = if begins { Change::SecondProcessBegins } else { Change::SecondProcessEnds };
+        scenario = scenario.at(at, Change::Settings(Box::new(settings.clone()))).at(at + 0.1, second_process);
     }
     scenario
 }
--- a/crates/balancer/tests/replay/simulation.rs
+++ b/crates/balancer/tests/replay/simulation.rs
@@ -1,6 +1,6 @@
 //! A balancer on virtual time, among simulated clients, backends, operators and discovery.
 
-use crate::agenda::{Agenda, AttemptId, Occurrence};
+use crate::agenda::{Agenda, AttemptId, Occurrence, PlannedOccurrence};
 use crate::attempts::OpenAttempt;
 use crate::scenario::{Change, Scenario};
 use crate::simulated_backends::SimulatedBackends;
@@ -64,7 +64,7 @@
 pub fn play(scenario: &Scenario, observe: &mut dyn FnMut(&HandledEvent<'_>)) {
     let mut simulation = Simulation::new(scenario, observe);
     simulation.start();
-    while let Some((at, occurrence)) = simulation.agenda.next()
+    while let Some(PlannedOccurrence { at, occurrence }) = simulation.agenda.next()
         && at < scenario.duration + FINAL_WAIT
     {
         simulation.now = at;
@@ -138,11 +138,13 @@
             Change::List(endpoint) => self.list_endpoint(endpoint),
             Change::Unlist(backend) => self.list.retain(|endpoint| endpoint.id != *backend),
             Change::SendList => self.send_list(),
-            Change::DiscoveryWorks(works) => self.set_discovery(*works),
+            Change::DiscoveryFails => self.fail_discovery(),
+            Change::DiscoveryRecovers => self.discovery_works = true,
             Change::Maintenance(backend, change) => {
                 self.handle(Event::Maintenance { backend: *backend, change: *change });
             }
-            Change::SecondProcess(running) => self.handle(Event::SecondProcess { running: *running }),
+            Change::SecondProcessBegins => self.handle(Event::SecondProcess { running: true }),
+            Change::SecondProcessEnds => self.handle(Event::SecondProcess { running: false }),
             Change::Settings(settings) => {
                 self.settings = settings.as_ref().clone();
                 self.handle(Event::Settings(settings));
@@ -163,9 +165,9 @@
         self.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
     }
 
-    fn set_discovery(&mut self, works: bool) {
-        self.discovery_works = works;
-        if !works && self.is_watching {
+    fn fail_discovery(&mut self) {
+        self.discovery_works = false;
+        if self.is_watching {
             self.is_watching = false;
             self.handle(Event::Endpoints(EndpointUpdate::Failed));
         }
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -3,10 +3,13 @@
 
 mod common;
 
-use balancer::*;
-use common::balancer_harness::{
-    BalancerHarness, endpoint, request_class, safe_settings, sends, tenant, without_times,
+use balancer::{
+    Action, BackendId, Effect, Event, IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings,
+    Time,
 };
+use common::actions::{send_times, sends};
+use common::balancer_harness::BalancerHarness;
+use common::fixtures::{endpoint, request_class, safe_settings, tenant};
 use std::collections::BTreeSet;
 
 fn named_class(name: &str, effect: Effect) -> RequestClass {
@@ -22,11 +25,9 @@
     let start = harness.now;
     harness.handle(Event::Request(request_of_class(id, class)));
     let timed_actions = harness.advance_to(start + 1.5);
-    let is_send = |action: &Action| matches!(action, Action::Send { id: sent, .. } if sent.0 == id);
-    let first_retry = timed_actions.iter().find(|(_, action)| is_send(action));
-    let (sent_at, _) = first_retry.expect("a request that is alone is retried");
     harness.handle(Event::ClientDisconnected(RequestId(id)));
-    sent_at - start
+    let retry_times = send_times(&timed_actions, start);
+    *retry_times.first().expect("a request that is alone is retried")
 }
 
 #[test]
@@ -84,11 +85,11 @@
 fn a_request_ends_by_the_settings_in_force_on_its_arrival() {
     for SettingsChange { on_arrival, afterwards, outcome, is_retried } in settings_changes() {
         let mut harness = BalancerHarness::new(on_arrival, &[endpoint(1), endpoint(2)]);
-        let (_, backend) = sends(&harness.handle(Event::Request(request_of_class(1, 0))))[0];
+        let sent = sends(&harness.handle(Event::Request(request_of_class(1, 0))))[0];
 
         harness.handle(Event::Settings(&afterwards));
-        let mut actions = harness.end_attempt(1, 0, backend, outcome, 0.1);
-        actions.extend(without_times(harness.advance_to(5.0)));
+        let mut actions = harness.end_attempt(sent, outcome, 0.1);
+        actions.extend(harness.actions_until(5.0));
 
         assert_eq!(!sends(&actions).is_empty(), is_retried, "{afterwards:?}");
         let is_final = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
@@ -122,8 +123,8 @@
     assert_eq!(harness.balancer.open_requests(), 0);
 }
 
-fn subset(harness: &BalancerHarness) -> BTreeSet<u32> {
-    harness.balancer.members().map(|id| id.0).collect()
+fn subset(harness: &BalancerHarness) -> BTreeSet<BackendId> {
+    harness.balancer.members().collect()
 }
 
 /// The number of backends and of balancers.
@@ -160,10 +161,10 @@
 
             let used: BTreeSet<_> = fleet.iter().flat_map(subset).collect();
             assert_eq!(used.len(), backends as usize, "{backends} listed, {count} balancers");
-            let moved_members = |(harness, subset_before): (&BalancerHarness, &BTreeSet<u32>)| {
-                subset_before.difference(&subset(harness)).count()
-            };
-            let moved: usize = fleet.iter().zip(&before).map(moved_members).sum();
+            let mut moved = 0;
+            for (harness, subset_before) in fleet.iter().zip(&before) {
+                moved += subset_before.difference(&subset(harness)).count();
+            }
             let members: usize = before.iter().map(BTreeSet::len).sum();
             // Where subsets keep their size none moves; else arcs of the ring shift against one another.
             let same_size = fleet[0].balancer.members().count() == before[0].len();
--- a/crates/balancer/tests/slow_start/fleet.rs
+++ b/crates/balancer/tests/slow_start/fleet.rs
@@ -1,6 +1,6 @@
 //! A fleet of balancers and backends, its load, and the backends that start.
 
-use crate::common::balancer_harness::request_class;
+use crate::common::fixtures::request_class;
 use balancer::{BackendId, Effect, Endpoint, RequestClass, Settings, Time};
 
 /// The number of backends.
--- a/crates/repository-checks/tests/layers.rs
+++ b/crates/repository-checks/tests/layers.rs
@@ -9,8 +9,16 @@
 /// The path of a module below its crate, such as `proxy::engine::timers`.
 type ModulePath = Vec<String>;
 
-/// The modules of a crate, with those that each imports.
+/// A file of a crate.
+struct ModuleFile {
+    module: ModulePath,
+    /// The text without comments and unit tests.
+    code: String,
+}
+
+/// The modules of a crate.
 struct Crate {
+    /// The modules of the crate that each module imports.
     imports: BTreeMap<ModulePath, BTreeSet<ModulePath>>,
 }
 
@@ -22,8 +30,8 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// All module files below a folder, with their module paths.
-fn module_files(folder: &Path, prefix: &[String]) -> Vec<(ModulePath, String)> {
+/// Returns all module files below a folder.
+fn module_files(folder: &Path, prefix: &[String]) -> Vec<ModuleFile> {
     let mut files = Vec::new();
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -36,7 +44,7 @@
             && name != "tests"
         {
             let module = if name == "mod" || name == "lib" { prefix.to_vec() } else { module };
-            files.push((module, code_of(&path)));
+            files.push(ModuleFile { module, code: code_of(&path) });
         }
     }
     files
@@ -77,9 +85,13 @@
 impl Crate {
     fn read(source: &Path) -> Self {
         let files = module_files(source, &[]);
-        let known: BTreeSet<ModulePath> = files.iter().map(|(module, _)| module.clone()).collect();
-        let imports = files.iter().map(|(module, code)| (module.clone(), imports_of(module, code, &known)));
-        Self { imports: imports.collect() }
+        let known: BTreeSet<ModulePath> = files.iter().map(|file| file.module.clone()).collect();
+        let mut imports = BTreeMap::new();
+        for ModuleFile { module, code } in files {
+            let imported = imports_of(&module, &code, &known);
+            imports.insert(module, imported);
+        }
+        Self { imports }
     }
 
     /// A module that imports itself through others, if there is one, with the way back to it.
@@ -148,11 +160,21 @@
     path.split("::").map(str::to_string).collect()
 }
 
+/// A crate, and the number of modules that a check of the crate must at least find.
+struct CrateSize {
+    name: &'static str,
+    least_modules: usize,
+}
+
 #[test]
 fn no_file_imports_itself_through_others() {
-    let crates = [("balancer", 30), ("balancer-proxy", 50), ("simulator-adapter", 10), ("fleet-bench", 50)];
-
-    for (name, least_modules) in crates {
+    let crates = [
+        CrateSize { name: "balancer", least_modules: 30 },
+        CrateSize { name: "balancer-proxy", least_modules: 50 },
+        CrateSize { name: "simulator-adapter", least_modules: 10 },
+        CrateSize { name: "fleet-bench", least_modules: 50 },
+    ];
+    for CrateSize { name, least_modules } in crates {
         let modules = Crate::read(&sources_of(name));
 
         assert!(modules.imports.len() > least_modules, "{name}: {} modules", modules.imports.len());
@@ -160,10 +182,18 @@
     }
 }
 
+/// A layer of a crate.
+struct Layer {
+    /// The path of the module, or of the folder, that makes up the layer.
+    name: &'static str,
+    /// The layers above.
+    above: &'static [&'static str],
+}
+
 /// Asserts that no module of a layer imports a module of the layers above it.
-fn assert_layers(modules: &Crate, forbidden: &[(&str, &[&str])]) {
-    for (layer, above) in forbidden {
-        let files = modules.imports.iter().filter(|(module, _)| module.starts_with(&words(layer)));
+fn assert_layers(modules: &Crate, layers: &[Layer]) {
+    for Layer { name, above } in layers {
+        let files = modules.imports.iter().filter(|(module, _)| module.starts_with(&words(name)));
         for (module, imports) in files {
             let breach =
                 imports.iter().find(|import| above.iter().any(|above| import.starts_with(&words(above))));
@@ -179,13 +209,13 @@
     assert_layers(
         &proxy,
         &[
-            ("upstream", &["engine", "downstream", "control"]),
-            ("engine", &["downstream"]),
-            ("control::config", &["engine", "downstream"]),
-            ("control::discovery", &["engine", "downstream"]),
-            ("control::endpoint_list", &["engine", "downstream"]),
-            ("control::instance_lock", &["engine", "downstream"]),
-            ("control::maintenance_store", &["engine", "downstream"]),
+            Layer { name: "upstream", above: &["engine", "downstream", "control"] },
+            Layer { name: "engine", above: &["downstream"] },
+            Layer { name: "control::config", above: &["engine", "downstream"] },
+            Layer { name: "control::discovery", above: &["engine", "downstream"] },
+            Layer { name: "control::endpoint_list", above: &["engine", "downstream"] },
+            Layer { name: "control::instance_lock", above: &["engine", "downstream"] },
+            Layer { name: "control::maintenance_store", above: &["engine", "downstream"] },
         ],
     );
 }
@@ -194,7 +224,13 @@
 fn the_interface_and_the_state_of_the_decision_module_import_no_decision() {
     let balancer = Crate::read(&sources_of("balancer"));
 
-    assert_layers(&balancer, &[("state", &["decisions"]), ("interface", &["decisions", "state"])]);
+    assert_layers(
+        &balancer,
+        &[
+            Layer { name: "state", above: &["decisions"] },
+            Layer { name: "interface", above: &["decisions", "state"] },
+        ],
+    );
 }
 
 #[test]
@@ -204,7 +240,8 @@
     let imports = imports_of(&module, "use crate::above::A;", &known);
     let planted = Crate { imports: [(module, imports)].into() };
 
-    let check = std::panic::catch_unwind(|| assert_layers(&planted, &[("below", &["above"])]));
+    let check =
+        std::panic::catch_unwind(|| assert_layers(&planted, &[Layer { name: "below", above: &["above"] }]));
 
     assert!(check.is_err());
 }
