--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Helpers of the integration tests, one module for each job.
-#![allow(dead_code, reason = "each test program uses only a part of the helpers")]
+#![allow(dead_code, reason = "each test program uses only some of the helpers")]
 
 pub mod actions;
 pub mod balancer_harness;
--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -1,19 +1,22 @@
-//! A checker of the decision module's invariants, which sees only its events and actions.
+//! A checker of the decision module's invariants that sees only events and actions.
 
 use balancer::{
     Action, BackendId, Effect, Endpoint, IdempotencyGroup, Outcome, RequestId, Settings, Status, Time,
 };
 use std::collections::HashMap;
 
-/// An attempt of a request, as seen from outside.
+/// An attempt of a request, as seen from outside the decision module.
 #[derive(Clone, Debug)]
 pub struct Attempt {
+    /// The cell of the backend.
     pub cell: u32,
+    /// The zone of the backend.
     pub zone: u32,
+    /// The time of the send, in seconds.
     pub sent_at: Time,
-    /// `None` while the attempt is in flight.
+    /// The outcome; `None` while the attempt is in flight.
     pub outcome: Option<Outcome>,
-    /// When the attempt ended; 0 while it is in flight.
+    /// The time at which the attempt ended, in seconds; 0 while the attempt is in flight.
     pub ended_at: Time,
 }
 
@@ -26,24 +29,28 @@
         !matches!(self.outcome, Some(Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent))
     }
 
-    /// Whether the backend may still be at work on the attempt after its end.
+    /// Returns whether the backend may still be at work on the attempt after its end.
     fn may_still_run(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Timeout | Outcome::Reset | Outcome::Cancelled))
     }
 }
 
-/// A request, as seen from outside.
+/// A request, as seen from outside the decision module.
 pub struct ObservedRequest {
+    /// The index of the class.
     pub class: usize,
+    /// The ordering key.
     pub key: Option<u64>,
+    /// The deadline, in seconds.
     pub deadline: Time,
+    /// The attempts, in the order of the sends.
     pub attempts: Vec<Attempt>,
-    /// Whether it has its final response, or its client has disconnected.
+    /// Whether the request has its final response, or its client has disconnected.
     pub is_finished: bool,
 }
 
 impl ObservedRequest {
-    /// A request without attempts.
+    /// Creates a request without attempts.
     pub fn new(class: usize, key: Option<u64>, deadline: Time) -> Self {
         Self { class, key, deadline, attempts: vec![], is_finished: false }
     }
@@ -58,11 +65,12 @@
     pub list: HashMap<u32, Endpoint>,
     /// Draining backends whose idle connections must be closed, since their notification or last use.
     pub unclosed_since: HashMap<u32, Time>,
-    /// What has been violated, in words.
+    /// Descriptions of the violations so far.
     pub violations: Vec<String>,
 }
 
 impl Checker {
+    /// Creates a checker that has seen neither requests nor endpoints.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -73,11 +81,12 @@
         }
     }
 
+    /// Records a violation.
     pub fn record(&mut self, violation: impl Into<String>) {
         self.violations.push(violation.into());
     }
 
-    /// The violation, if any, of the order of its key if this request is sent now.
+    /// Returns the violation of the order of an ordering key, if sending this request now is one.
     pub fn order_violation(&self, now: Time, id: u64) -> Option<&'static str> {
         let is_ordered = |request: &&ObservedRequest| {
             self.settings.classes[request.class].ordered_by_key && request.key.is_some()
@@ -100,7 +109,7 @@
         None
     }
 
-    /// A backend was notified of or used: if it is draining, its idle connections must be closed.
+    /// Records a notification or use of a backend. Idle connections to a draining backend must be closed then.
     pub fn backend_notified_or_used(&mut self, now: Time, backend: u32) {
         if self.list.get(&backend).is_some_and(|endpoint| endpoint.status == Status::Draining) {
             self.unclosed_since.insert(backend, now);
@@ -175,7 +184,7 @@
         }
     }
 
-    /// Whether a retry by the client does no harm.
+    /// Returns whether a retry by the client does no harm.
     fn client_may_retry(&self, id: u64) -> bool {
         self.requests.get(&id).is_some_and(|request| {
             let may_run_twice = matches!(
@@ -208,7 +217,7 @@
     }
 }
 
-/// What is violated by a further attempt of the request at this endpoint, written by `written_by`.
+/// Returns the violations of a further attempt at this endpoint, which is written by `written_by` in seconds.
 fn attempt_violations(
     settings: &Settings,
     request: &ObservedRequest,
--- a/crates/balancer/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -1,5 +1,5 @@
-//! The invariants of the decision module, checked from outside on random legal sequences of events,
-//! with a checker that is shown to find planted violations.
+//! The invariants of the decision module, checked from outside on random legal sequences of events. Planted
+//! violations show that the checker finds each kind.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -60,8 +60,8 @@
     TimedAction { at, action: Action::Fail { id: REQUEST } }
 }
 
-/// The violations that the checker finds in these timed actions. Backends 1 and 2 are in cells 1 and
-/// 2, backend 3 is draining; request 1 is open until 1 s, request 2 is finished.
+/// Returns the violations that the checker finds in these actions. Backends 1 and 2 are in cells 1 and 2,
+/// backend 3 is draining; request 1 is open until 1 s, request 2 is finished.
 fn violations_in(class: usize, timed_actions: &[TimedAction]) -> Vec<String> {
     let mut checker = Checker::new(settings(SettingsVariant::default()));
     checker.list.insert(1, Endpoint { cell: 1, ..endpoint(1) });
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences of events, played to a balancer under the eyes of the checker.
+//! Random legal sequences of events for a balancer whose actions the checker sees.
 
 use balancer::{
     Action, BackendId, Balancer, Effect, EndedAttempt, Endpoint, EndpointUpdate, Event, IdempotencyGroup,
@@ -27,7 +27,7 @@
 
 const STATUSES: [Status; 3] = [Status::InService, Status::Draining, Status::Removed];
 
-/// A step of a random sequence. Indices are taken modulo the number of what they select.
+/// A step of a random sequence. Indices are taken modulo the number of items to select from.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A request arrives.
@@ -126,7 +126,7 @@
     last_request: u64,
 }
 
-/// Plays the steps and lets every request end; returns what was violated.
+/// Plays the steps, lets every request end, and returns the violations.
 pub fn violations_of(steps: &[Step], settings: Settings, seed: u64) -> Vec<String> {
     let mut simulation = Simulation {
         checker: Checker::new(settings.clone()),
@@ -243,7 +243,7 @@
         self.now = end;
     }
 
-    /// The index of the earliest timer, if that is due by `end`.
+    /// Returns the index of the earliest timer, if that is due by `end`.
     fn next_timer_until(&self, end: Time) -> Option<usize> {
         (0..self.timers.len())
             .filter(|index| self.timers[*index].due <= end)
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: load shedding at the entry tier, quotas and priority weights.
+//! Admission: load shedding at the entry tier, by quotas and priority weights.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -10,18 +10,18 @@
     Time,
 };
 
-/// Settings of a balancer at the entry tier, the only one that sheds load.
+/// Returns the settings of a balancer at the entry tier.
 fn entry_settings(instance_count: usize) -> Settings {
     Settings { tier: 0, instance_count, ..safe_settings() }
 }
 
-/// The number of these requests that are sent at once, while none gets a response.
+/// Returns the number of these requests that are sent at once, while none gets a response.
 fn admitted_at_once(harness: &mut BalancerHarness, ids: std::ops::Range<u64>) -> usize {
     ids.map(|id| sends(&harness.request(id)).len()).sum()
 }
 
 #[test]
-fn only_the_entry_tier_sheds_load() {
+fn sheds_load_only_at_the_entry_tier() {
     let rejected_by_tier = [0, 1].map(|tier| {
         let mut harness = BalancerHarness::new(Settings { tier, ..safe_settings() }, &endpoints(4));
         for id in 0..100 {
@@ -30,7 +30,7 @@
 
         let mut rejected = 0;
         for id in 1000..1200 {
-            assert!(!is_rejected(&harness.request(id), id), "it is queued for a while");
+            assert!(!is_rejected(&harness.request(id), id), "the request is queued for a while");
             rejected += rejections(&harness.actions_until(harness.now + 0.005));
         }
 
@@ -48,18 +48,19 @@
     duration: Time,
 }
 
-/// The entry tier with two balancers and four backends of equal response times: some time with
-/// `usual_rate` requests a second, then 5 s with twice that. Returns how many of the latter were not
-/// sent at once.
-fn queued_when_traffic_doubles(usual_rate: f64) -> usize {
+/// Simulates one of two balancers of the entry tier before four backends of equal response times. After 40 s
+/// at the initial rate, in requests per second, requests arrive twice as fast for 5 s. Returns the number of
+/// requests at the doubled rate that were not sent at once.
+fn queued_when_traffic_doubles(initial_rate: f64) -> usize {
     const RESPONSE_TIME: Time = 0.24;
     let mut harness = BalancerHarness::new(entry_settings(2), &endpoints(4));
     let mut in_flight = VecDeque::<InFlight>::new();
     let mut queued = 0;
-    let (usual_requests, doubled_requests) = ((40.0 * usual_rate) as u64, (10.0 * usual_rate) as u64);
-    for id in 0..usual_requests + doubled_requests {
-        let is_doubled = id >= usual_requests;
-        let next = harness.now + if is_doubled { 0.5 / usual_rate } else { 1.0 / usual_rate };
+    let initial_requests = (40.0 * initial_rate) as u64;
+    let doubled_requests = (10.0 * initial_rate) as u64;
+    for id in 0..initial_requests + doubled_requests {
+        let is_doubled = id >= initial_requests;
+        let next = harness.now + if is_doubled { 0.5 / initial_rate } else { 1.0 / initial_rate };
         let mut actions = harness.request(id);
         queued += usize::from(is_doubled && sends(&actions).is_empty());
         while in_flight.front().is_some_and(|attempt| attempt.ends_at <= next) {
@@ -77,12 +78,13 @@
 
 #[test]
 fn admits_doubled_traffic_of_a_few_requests_per_backend() {
-    // What a stopped balancer leaves to the other one, on a small site at the entry tier: 7 requests
-    // in flight at each backend.
-    assert_eq!(queued_when_traffic_doubles(28.0), 0);
+    // A stopped balancer leaves its requests to the other one: 7 are in flight at each backend then.
+    let queued = queued_when_traffic_doubles(28.0);
+
+    assert_eq!(queued, 0);
 }
 
-/// Settings with which a backend that is warming up gets next to nothing.
+/// Returns settings with which a backend that is warming up gets next to no requests.
 fn long_slow_start_settings(instance_count: usize) -> Settings {
     Settings {
         slow_start_duration: 1000.0,
@@ -92,7 +94,7 @@
 }
 
 #[test]
-fn requests_at_substitutes_of_warming_members_count_as_load() {
+fn counts_requests_at_substitutes_of_warming_members_as_load() {
     let mut list = endpoints(12);
     let mut harness = BalancerHarness::new(long_slow_start_settings(4), &list);
     let members: BTreeSet<BackendId> = (0..200).map(|id| harness.serve(id, 0.05)).collect();
@@ -109,7 +111,7 @@
 }
 
 #[test]
-fn fast_warming_members_do_not_hide_an_overload_of_all_others() {
+fn sheds_load_when_all_members_but_those_warming_up_are_overloaded() {
     let mut list = endpoints(6);
     let mut harness = BalancerHarness::new(long_slow_start_settings(1), &list);
     for id in 0..200 {
@@ -119,7 +121,7 @@
         endpoint.started_at = Some(harness.now);
     }
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
-    // The warm half responds sixteen times slower; the other half gets next to nothing.
+    // The unchanged half responds sixteen times slower; the other half gets next to no requests.
     for id in 300..315 {
         harness.serve(id, 0.8);
     }
@@ -129,8 +131,8 @@
     assert!(sent < 100, "{sent} of 200 requests sent, without any response");
 }
 
-/// A hundred requests a second, with responses after 0.05 s or 0.2 s for 5 s, then none for 0.4 s.
-/// Returns what is in flight then.
+/// Sends a hundred requests a second. Responses follow after 0.05 s or 0.2 s for 5 s, then stop for 0.4 s.
+/// Returns the attempts in flight then.
 fn stop_responding_under_load(harness: &mut BalancerHarness) -> VecDeque<InFlight> {
     let mut in_flight = VecDeque::<InFlight>::new();
     for request in 0..540 {
@@ -150,10 +152,10 @@
 }
 
 #[test]
-fn overload_does_not_lower_the_retry_probability_of_failed_connections() {
+fn retries_failed_connections_with_the_same_probability_under_overload() {
     let mut harness = BalancerHarness::new(entry_settings(1), &endpoints(3));
     let in_flight = stop_responding_under_load(&mut harness);
-    assert!(sends(&harness.request(1000)).is_empty(), "there is overload, as it is queued at the entry");
+    assert!(sends(&harness.request(1000)).is_empty(), "under overload a request is queued at the entry");
 
     let unconnected: Vec<_> = in_flight.iter().rev().take(10).map(|in_flight| in_flight.attempt).collect();
     for attempt in &unconnected {
@@ -197,7 +199,7 @@
         let (class, tenant) = (class_of(id), Some(tenant_of(id)));
         let request = Request { id, class, tenant, timeout: 2.0, ..Request::default() };
         let mut actions = harness.handle(Event::Request(request));
-        // All backends together respond in turn: to all that arrives at first, then to seven in ten.
+        // The backends respond to all requests at first, later to seven in ten.
         if (round < 500 || round % 10 < 7)
             && let Some(Unanswered { attempt, sent_at }) = in_flight.pop_front()
         {
@@ -220,7 +222,7 @@
 }
 
 #[test]
-fn hung_backends_do_not_make_the_entry_tier_shed_load() {
+fn sheds_little_load_when_most_backends_hang() {
     // Guards against requests stuck at a few outliers that pass for an overload of all backends.
     let settings = Settings { tier: 0, hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(8));
@@ -234,7 +236,7 @@
         rejected += usize::from(is_rejected(&actions, id));
         let timed_actions = harness.actions_until(harness.now + 0.01);
         harness.end_cancelled_attempts(&timed_actions);
-        // Backends 1 to 6 never respond; the others do as usual.
+        // Backends 1 to 6 never respond; the others respond as before.
         if let Some(sent) = sends(&actions).first().filter(|sent| sent.backend > BackendId(6)) {
             harness.end_attempt(*sent, Outcome::Success, 0.01);
         }
@@ -244,19 +246,22 @@
 }
 
 #[test]
-fn rejects_a_request_whose_timeout_is_below_the_usual_response_time() {
+fn rejects_a_request_whose_timeout_is_far_below_the_expected_latency() {
     // Guards against work for requests whose client gives up before it is done.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
     for id in 0..30 {
         harness.serve(id, 0.1);
     }
 
-    assert!(is_rejected(&harness.request_with_timeout(100, 0.05), 100));
-    assert!(!is_rejected(&harness.request_with_timeout(101, 0.09), 101));
+    let far_below = harness.request_with_timeout(100, 0.05);
+    let little_below = harness.request_with_timeout(101, 0.09);
+
+    assert!(is_rejected(&far_below, 100));
+    assert!(!is_rejected(&little_below, 101));
 }
 
-/// How many of forty requests that arrive together are sent at once, by a balancer that knows the
-/// usual load and has been notified of these changes of a second process.
+/// Returns the number of forty requests arriving together that a balancer sends at once, after a hundred
+/// served requests and these notifications of a second process.
 fn admitted_after(second_process_running: &[bool]) -> usize {
     let mut harness = BalancerHarness::new(entry_settings(1), &[endpoint(1), endpoint(2)]);
     for id in 0..100 {
@@ -269,7 +274,7 @@
 }
 
 #[test]
-fn two_processes_together_admit_no_more_than_one() {
+fn admits_half_as_many_requests_while_a_second_process_runs() {
     let alone = admitted_after(&[]);
     assert!((10..40).contains(&alone), "{alone}");
 
--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -1,11 +1,11 @@
-//! A request whose client has disconnected is not forwarded, neither first nor as a retry.
+//! Requests of disconnected clients: the balancer sends neither a first attempt nor a retry.
 
 use crate::common::actions::{is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
 use balancer::{Action, Effect, Event, Outcome, Request, RequestId, Settings};
 
-/// A balancer before two backends.
+/// Creates a balancer before two backends.
 fn harness_with_two_backends(settings: Settings) -> BalancerHarness {
     BalancerHarness::new(settings, &[endpoint(1), endpoint(2)])
 }
@@ -15,8 +15,8 @@
     [true, false].map(|cancellation_allowed| Settings { cancellation_allowed, ..safe_settings() })
 }
 
-/// The client of request 1 disconnects. Returns the actions that follow, also after the end of the
-/// request's body and after a time in which every timer fires.
+/// Handles the disconnect of the client of request 1. Returns the actions that follow, also after the end of
+/// the request's body and after a time in which every timer fires.
 fn actions_after_disconnect(mut harness: BalancerHarness) -> Vec<Action> {
     let mut actions = harness.handle(Event::ClientDisconnected(RequestId(1)));
     actions.extend(harness.actions_until(harness.now + 30.0));
@@ -41,14 +41,16 @@
 #[test]
 fn cancels_or_withdraws_the_attempt_of_a_disconnected_client() {
     let id = RequestId(1);
-    for (cancellation_allowed, expected) in
-        [(true, Action::Cancel { id, attempt: 0 }), (false, Action::Withdraw { id, attempt: 0 })]
-    {
-        let settings = Settings { cancellation_allowed, ..settings_with_effect(Effect::Unsafe) };
+    let unsafe_settings = settings_with_effect(Effect::Unsafe);
+    let expected_actions = [Action::Cancel { id, attempt: 0 }, Action::Withdraw { id, attempt: 0 }];
+    for (cancellation_allowed, expected) in [true, false].into_iter().zip(expected_actions) {
+        let settings = Settings { cancellation_allowed, ..unsafe_settings.clone() };
         let mut harness = harness_with_two_backends(settings);
         assert_eq!(sends(&harness.request(1)).len(), 1);
 
-        assert_eq!(actions_after_disconnect(harness), [expected]);
+        let actions = actions_after_disconnect(harness);
+
+        assert_eq!(actions, [expected]);
     }
 }
 
@@ -59,7 +61,9 @@
         let sent = harness.send(1);
         assert!(harness.end_attempt(sent, Outcome::Rejected, 0.01).is_empty());
 
-        assert!(actions_after_disconnect(harness).is_empty());
+        let actions = actions_after_disconnect(harness);
+
+        assert!(actions.is_empty(), "{actions:?}");
     }
 }
 
@@ -70,7 +74,9 @@
         let sent = harness.send(1);
         assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
-        assert!(actions_after_disconnect(harness).is_empty());
+        let actions = actions_after_disconnect(harness);
+
+        assert!(actions.is_empty(), "{actions:?}");
     }
 }
 
@@ -81,7 +87,9 @@
         let mut harness = harness_with_two_backends(settings);
         assert_eq!(sends(&harness.request(1)).len(), 1);
 
-        assert!(sends(&actions_after_disconnect(harness)).is_empty());
+        let actions = actions_after_disconnect(harness);
+
+        assert!(sends(&actions).is_empty(), "{actions:?}");
     }
 }
 
@@ -93,7 +101,9 @@
         let sent = sends(&harness.handle(Event::Request(request)))[0];
         assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
-        assert!(actions_after_disconnect(harness).is_empty());
+        let actions = actions_after_disconnect(harness);
+
+        assert!(actions.is_empty(), "{actions:?}");
     }
 }
 
@@ -109,7 +119,9 @@
         assert!(harness.handle(Event::ClientDisconnected(RequestId(1))).is_empty());
 
         assert!(sends(&harness.end_attempt(sent, Outcome::Success, 0.1)).is_empty());
-        assert!(actions_after_disconnect(harness).is_empty());
+        let actions = actions_after_disconnect(harness);
+
+        assert!(actions.is_empty(), "{actions:?}");
     }
 }
 
@@ -139,6 +151,8 @@
             let actions = harness.end_attempt(sent, Outcome::Success, 0.1);
             assert!(sends(&actions).is_empty() && !queued.iter().any(|id| is_rejected(&actions, *id)));
         }
-        assert!(actions_after_disconnect(harness).is_empty());
+        let actions = actions_after_disconnect(harness);
+
+        assert!(actions.is_empty(), "{actions:?}");
     }
 }
--- a/crates/balancer/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -5,7 +5,7 @@
 use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
 use balancer::{Effect, EndpointUpdate, Event, Request, RequestClass, RequestId, Settings};
 
-/// Settings in which every number that may be zero is zero.
+/// Returns settings in which every number that may be zero is zero.
 fn zero_settings() -> Settings {
     Settings {
         classes: vec![RequestClass {
@@ -29,21 +29,14 @@
 }
 
 #[test]
-fn rejects_requests_and_sets_finite_timers_with_zero_settings() {
+fn rejects_requests_and_sets_finite_timers_where_all_settings_are_zero() {
     let mut list = endpoints(3);
     list[0].weight = 0.0;
     list[1].started_at = Some(0.0);
     let mut harness = BalancerHarness::new(zero_settings(), &list);
 
     for id in 0..20 {
-        let request = Request {
-            id: RequestId(id),
-            class: 0,
-            tenant: Some(0),
-            key: None,
-            timeout: 1.0,
-            streaming_body: false,
-        };
+        let request = Request { id: RequestId(id), tenant: Some(0), timeout: 1.0, ..Request::default() };
         let actions = harness.handle(Event::Request(request));
         assert!(is_rejected(&actions, id), "no latency objective and no weight: nothing to wait for");
     }
@@ -65,11 +58,13 @@
         harness.serve(id, 0.1);
     }
 
-    assert_eq!(sends(&harness.request(100)).len(), 1);
+    let actions = harness.request(100);
+
+    assert_eq!(sends(&actions).len(), 1);
 }
 
 #[test]
-fn the_same_seed_and_events_give_the_same_actions() {
+fn returns_the_same_actions_for_the_same_seed_and_events() {
     let actions_with_seed = |seed| {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(9));
         let mut actions = Vec::new();
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -14,7 +14,7 @@
 
         harness.end_attempt(sent, Outcome::Rejected, 0.1);
 
-        // Neither the retry, though there is no other backend, nor a new request.
+        // Neither the retry is sent, though there is no other backend, nor a new request.
         assert_eq!(harness.sends_until(0.9), []);
         let actions = harness.request(2);
         assert_eq!(sends(&actions), []);
@@ -31,7 +31,7 @@
         assert_eq!(
             sends(&harness.request(id)),
             [SentAttempt::new(id, 2)],
-            "what a full list lacks is removed"
+            "a backend that a full list lacks is removed"
         );
     }
 }
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn keeps_idle_connections_to_a_draining_backend_without_an_idle_close_limit() {
+fn keeps_idle_connections_to_a_draining_backend_where_no_limit_is_set() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(1));
     let draining = Endpoint { status: Status::Draining, ..endpoint(1) };
 
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn balancers_started_together_poll_at_different_times() {
+fn polls_at_different_times_in_balancers_that_started_together() {
     let first_poll = |seed| {
         let mut harness = BalancerHarness::with_seed(seed, polling_settings(), &endpoints(3));
         harness.advance_to(10.0)[0].at
@@ -111,7 +111,7 @@
 /// Values of `endpoint_poll_limit`, in seconds.
 const POLL_LIMITS: [Time; 3] = [1.0, 10.0, 60.0];
 
-/// A balancer whose first poll is in progress.
+/// Creates a balancer whose first poll is in progress.
 fn harness_with_first_poll(seed: u64, endpoint_poll_limit: Time) -> BalancerHarness {
     let settings = Settings { endpoint_poll_limit, ..polling_settings() };
     let mut harness = BalancerHarness::with_seed(seed, settings, &[endpoint(1)]);
@@ -136,31 +136,38 @@
     }
 }
 
-/// The longest time in seconds that a poll takes to fail, the first one and one after a failure.
-const MAX_POLL_DURATION: [Time; 2] = [2.25, 1.98];
+/// The longest time that the first poll takes to fail, in seconds.
+const MAX_FIRST_POLL_DURATION: Time = 2.25;
+/// The longest time that a poll after a failure takes to fail, in seconds.
+const MAX_REPEATED_POLL_DURATION: Time = 1.98;
 
 #[test]
-fn two_polls_that_fail_slowly_leave_time_for_a_third_within_6_s() {
+fn polls_a_third_time_within_6_s_when_two_polls_fail_slowly() {
     for poll_limit in POLL_LIMITS {
         for seed in 0..200 {
             let mut harness = harness_with_first_poll(seed, poll_limit);
-            // This many polls fail at once before the one that gets no response as discovery returns.
-            for failed_at_once in 0..10 {
+            // Polls that fail at once before the poll that gets no response as discovery returns.
+            for failed_at_once in 0..10_u32 {
                 let first = harness.now;
                 for _ in 0..failed_at_once {
                     fail_poll_and_await_next(&mut harness);
                 }
                 let start = harness.now;
 
-                harness.advance_to(start + MAX_POLL_DURATION[failed_at_once.min(1)]);
+                let is_first = failed_at_once == 0;
+                let duration = if is_first { MAX_FIRST_POLL_DURATION } else { MAX_REPEATED_POLL_DURATION };
+                harness.advance_to(start + duration);
                 fail_poll_and_await_next(&mut harness);
-                harness.advance_to(harness.now + MAX_POLL_DURATION[1]);
+                harness.advance_to(harness.now + MAX_REPEATED_POLL_DURATION);
                 fail_poll_and_await_next(&mut harness);
 
                 let elapsed = harness.now - start;
                 assert!(elapsed < 5.25, "{poll_limit}, seed {seed}, {failed_at_once} failed: {elapsed}");
-                // The first of them follows soon, the others a second apart.
-                assert!(start - first >= 0.5 * failed_at_once.saturating_sub(1) as f64, "{start} {first}");
+                // The first repeated poll follows soon, the others a second apart.
+                assert!(
+                    start - first >= 0.5 * f64::from(failed_at_once.saturating_sub(1)),
+                    "{start} {first}"
+                );
                 harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[])));
                 harness.advance_to(harness.now + poll_limit);
             }
@@ -176,7 +183,7 @@
 }
 
 #[test]
-fn balancers_whose_polls_fail_together_repeat_them_at_different_times() {
+fn repeats_failed_polls_at_different_times_in_balancers_that_fail_together() {
     let repeat_times = |seed| {
         let mut harness = harness_with_first_poll(seed, Settings::default().endpoint_poll_limit);
         [0, 1].map(|_| {
@@ -188,7 +195,7 @@
 
     for repeat in 0..2 {
         times.sort_by(|left, right| left[repeat].total_cmp(&right[repeat]));
-        // Any third of them is spread over more than a twentieth of a second.
+        // Any third of the balancers is spread over more than a twentieth of a second.
         let shortest_spread = times
             .windows(67)
             .map(|window| window[66][repeat] - window[0][repeat])
--- a/crates/balancer/tests/decisions/final_response.rs
+++ b/crates/balancer/tests/decisions/final_response.rs
@@ -1,11 +1,11 @@
-//! Each request gets exactly one final response, before its deadline.
+//! Final responses: each request gets exactly one, before its deadline.
 
 use crate::common::actions::{TimedAction, is_failed, is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings, settings_with_effect};
 use balancer::{Action, Effect, Event, IdempotencyGroup, Outcome, RequestId, Settings, Time};
 
-/// The outcomes of an attempt without a response that the client could get.
+/// The outcomes of an attempt without a response for the client.
 const FAILURES: [Outcome; 6] = [
     Outcome::Error,
     Outcome::Rejected,
@@ -15,19 +15,29 @@
     Outcome::NotSent,
 ];
 
+/// The failures with which an attempt cannot have run.
+const FAILURES_BEFORE_RUNNING: [Outcome; 3] = [Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent];
+
+/// The outcomes of the last attempt after which a client may retry a request.
+struct ClientRetries {
+    effect: Effect,
+    allowed_after: &'static [Outcome],
+}
+
 #[test]
 fn rejects_after_the_last_attempt_only_if_the_client_may_retry() {
     let idempotent = |group| Effect::Idempotent { group, window: 5.0 };
-    // For each of `FAILURES`, whether the client may retry the request.
+    // The outcomes after which the client may retry a request of an effect.
     let cases = [
-        (Effect::Safe, [true; 6]),
-        (idempotent(IdempotencyGroup::All), [true; 6]),
-        (idempotent(IdempotencyGroup::Zone), [false, true, false, true, false, true]),
-        (idempotent(IdempotencyGroup::Cell), [false, true, false, true, false, true]),
-        (Effect::Unsafe, [false, true, false, true, false, true]),
+        ClientRetries { effect: Effect::Safe, allowed_after: &FAILURES },
+        ClientRetries { effect: idempotent(IdempotencyGroup::All), allowed_after: &FAILURES },
+        ClientRetries { effect: idempotent(IdempotencyGroup::Zone), allowed_after: &FAILURES_BEFORE_RUNNING },
+        ClientRetries { effect: idempotent(IdempotencyGroup::Cell), allowed_after: &FAILURES_BEFORE_RUNNING },
+        ClientRetries { effect: Effect::Unsafe, allowed_after: &FAILURES_BEFORE_RUNNING },
     ];
-    for (effect, retries_allowed) in cases {
-        for (outcome, retry_allowed) in FAILURES.into_iter().zip(retries_allowed) {
+    for ClientRetries { effect, allowed_after } in cases {
+        for outcome in FAILURES {
+            let retry_allowed = allowed_after.contains(&outcome);
             let settings = Settings { max_attempts: 1, ..settings_with_effect(effect) };
             let mut harness = BalancerHarness::new(settings, &endpoints(3));
             let sent = harness.send(1);
@@ -64,7 +74,7 @@
 }
 
 #[test]
-fn rejects_at_the_latency_objective_a_request_that_is_worthless_later() {
+fn rejects_at_the_latency_objective_a_request_without_late_priority_weight() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(3));
 
     harness.request_with_timeout(1, 1.9);
@@ -76,11 +86,14 @@
 }
 
 #[test]
-fn rejects_a_request_whose_time_is_up_on_arrival() {
+fn rejects_a_request_whose_timeout_is_not_positive() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(3));
 
-    assert!(is_rejected(&harness.request_with_timeout(1, 0.0), 1));
-    assert!(is_rejected(&harness.request_with_timeout(2, -1.0), 2));
+    let without_time = harness.request_with_timeout(1, 0.0);
+    let overdue = harness.request_with_timeout(2, -1.0);
+
+    assert!(is_rejected(&without_time, 1));
+    assert!(is_rejected(&overdue, 2));
 }
 
 #[test]
@@ -96,7 +109,7 @@
 
 #[test]
 fn rejects_with_retry_after_where_the_settings_allow_it() {
-    for (max_retry_after, expected) in [(2.0, true), (0.0, false)] {
+    for max_retry_after in [2.0, 0.0] {
         let settings = Settings { max_retry_after, max_attempts: 1, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings, &endpoints(1));
         let sent = harness.send(1);
@@ -110,7 +123,7 @@
         let retry_after = retry_after.expect("rejected at once");
         assert_eq!(
             retry_after.is_some_and(|seconds| seconds > 0.0 && seconds <= max_retry_after),
-            expected,
+            max_retry_after > 0.0,
             "{retry_after:?}"
         );
     }
@@ -119,9 +132,8 @@
 #[test]
 fn cancels_or_withdraws_the_other_attempts_after_a_success() {
     let id = RequestId(1);
-    for (cancellation_allowed, expected) in
-        [(true, Action::Cancel { id, attempt: 0 }), (false, Action::Withdraw { id, attempt: 0 })]
-    {
+    let expected_actions = [Action::Cancel { id, attempt: 0 }, Action::Withdraw { id, attempt: 0 }];
+    for (cancellation_allowed, expected) in [true, false].into_iter().zip(expected_actions) {
         let settings = Settings { cancellation_allowed, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings, &endpoints(4));
         harness.request(1);
--- a/crates/balancer/tests/decisions/maintenance.rs
+++ b/crates/balancer/tests/decisions/maintenance.rs
@@ -1,4 +1,4 @@
-//! Backends in maintenance get no request, and return through slow start.
+//! Maintenance: a balancer sends no request to a backend in maintenance, and slow start follows.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -18,8 +18,8 @@
     harness.handle(Event::Maintenance { backend: BackendId(id), change: MaintenanceChange::Ends })
 }
 
-/// Sends ten requests at once in each of these rounds, ends them unevenly, so that none is retried,
-/// and returns the backends that they were sent to.
+/// Sends ten requests at once in each of these rounds, and returns their backends. The requests end at
+/// different times, so that none is retried.
 fn send_rounds(harness: &mut BalancerHarness, rounds: Range<u64>) -> Vec<BackendId> {
     rounds.flat_map(|round| send_ten_requests(harness, 10 * round)).collect()
 }
@@ -64,7 +64,7 @@
             assert_eq!(harness.serve(id, 0.01), BackendId(2), "{update:?}");
         }
     }
-    // Nor is a retry sent to it, though there is no other backend.
+    // A retry is not sent to the backend in maintenance either, though there is no other backend.
     let sent = SentAttempt::new(1000, 2);
     assert_eq!(sends(&harness.request(1000)), [sent]);
     let mut actions = harness.end_attempt(sent, Outcome::Reset, 0.01);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn maintenance_holds_for_a_backend_that_is_listed_later() {
+fn sends_nothing_to_a_backend_in_maintenance_that_is_listed_later() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(2)]);
 
     start_maintenance(&mut harness, 1);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_backend_returns_from_maintenance_through_slow_start_unless_restarted_meanwhile() {
+fn slow_start_follows_maintenance_unless_the_backend_restarted_before_its_end() {
     // The list shows no start, one from before the maintenance, or one during it.
     let returns = [
         Return { started_at: None, warms_up: true },
@@ -120,7 +120,7 @@
         end_maintenance(&mut harness, 1);
 
         let after = count_of_first_backend(&send_rounds(&mut harness, 220..240));
-        assert!(after > 0, "it is used within two seconds");
+        assert!(after > 0, "the backend is used within two seconds");
         assert_eq!(3 * after < before, warms_up, "{after} against {before}, started {started_at:?}");
     }
 }
@@ -139,9 +139,9 @@
 }
 
 #[test]
-fn a_member_is_in_the_subset_again_whatever_changed_during_its_maintenance() {
-    // Twelve backends, four to each of three balancers; one of them is removed and others come
-    // during the maintenance of a member.
+fn uses_a_member_again_after_its_maintenance_whatever_was_listed_meanwhile() {
+    // Twelve backends, four to each of three balancers. During the maintenance of a member one of the
+    // backends is removed, and others are added.
     let list = endpoints(12);
     for instance_index in 0..3 {
         let settings =
@@ -158,7 +158,7 @@
             harness.handle(Event::Endpoints(EndpointUpdate::Full(&others)));
             send_rounds(&mut harness, 20..40);
             end_maintenance(&mut harness, member.0);
-            // A member that was removed itself is listed again a little later, with new ones.
+            // The member is listed after the maintenance even if removed meanwhile, and new backends with it.
             let listed_anew = (20..24).map(endpoint).chain([endpoint(member.0)]);
             let others = others.iter().filter(|endpoint| endpoint.id != member).cloned();
             let list_after: Vec<Endpoint> = others.chain(listed_anew).collect();
@@ -176,8 +176,8 @@
 }
 
 #[test]
-fn a_substitute_of_warming_members_is_used_again_after_its_maintenance() {
-    // One balancer of many, whose members are warming up, so that substitutes are used.
+fn uses_a_substitute_of_warming_members_again_after_its_maintenance() {
+    // The members of this balancer, one of many, are warming up, so that substitutes are used.
     let settings = Settings {
         instance_count: 20,
         slow_start_duration: 2.0,
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn ending_a_maintenance_that_never_started_changes_nothing() {
+fn ignores_the_end_of_a_maintenance_that_never_started() {
     let mut harness = BalancerHarness::new(slow_start_settings(), &[endpoint(1), endpoint(2)]);
     let mut other = BalancerHarness::new(slow_start_settings(), &[endpoint(1), endpoint(2)]);
 
--- a/crates/balancer/tests/decisions/ordered_keys.rs
+++ b/crates/balancer/tests/decisions/ordered_keys.rs
@@ -1,11 +1,11 @@
-//! Classes that keep the order of an ordering key: one request of a key runs at a time.
+//! Ordering keys: in classes that keep the order, one request of a key runs at a time.
 
 use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, settings_with_effect};
 use balancer::{Action, Effect, Event, Outcome, Request, RequestId};
 
-/// A balancer with a class of unsafe requests that keeps the order of a key, which rests for 0.2 s
+/// Creates a balancer with a class of unsafe requests that keeps the order of a key. A key rests for 0.2 s
 /// after an attempt without a response.
 fn harness_with_ordered_class() -> BalancerHarness {
     let mut settings = settings_with_effect(Effect::Unsafe);
@@ -30,13 +30,17 @@
     let first = sends(&request_with_key(&mut harness, 1, 7))[0];
     assert_eq!(sends(&request_with_key(&mut harness, 2, 7)), []);
     assert_eq!(sends(&request_with_key(&mut harness, 3, 7)), []);
-    assert_eq!(sends(&request_with_key(&mut harness, 4, 8)).len(), 1, "another key is free");
+    assert_eq!(
+        sends(&request_with_key(&mut harness, 4, 8)).len(),
+        1,
+        "a request of another key does not wait"
+    );
     harness.advance_to(0.1);
 
     let next = sends(&harness.end_attempt(first, Outcome::Success, 0.1));
 
     assert_eq!(request_ids(&next), [RequestId(2)], "in the order of arrival");
-    // Its client disconnects. The cancelled attempt occupies the key, which then rests.
+    // The client of request 2 disconnects. The cancelled attempt occupies the key, which then rests.
     assert!(
         harness
             .handle(Event::ClientDisconnected(RequestId(2)))
@@ -56,14 +60,14 @@
 
     let actions = harness.actions_until(3.0);
 
-    assert!(is_failed(&actions, 1), "it may have run");
-    assert!(is_rejected(&actions, 2), "it was never sent");
+    assert!(is_failed(&actions, 1), "the first request may have run");
+    assert!(is_rejected(&actions, 2), "the queued request was never sent");
     assert_eq!(sends(&actions), []);
 }
 
 #[test]
-fn rejects_at_once_a_request_behind_more_of_its_key_than_its_deadline_allows() {
-    // Behind many requests that take 0.2 s each, one with 2 s left would only lengthen the queue.
+fn rejects_at_once_a_request_whose_deadline_is_too_near_for_the_queue_of_its_key() {
+    // Behind many requests that take 0.2 s each, a request with 2 s left would only lengthen the queue.
     let mut harness = harness_with_ordered_class();
     for id in 0..60 {
         harness.serve(id, 0.2);
--- a/crates/balancer/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -7,14 +7,14 @@
 /// The backend that fails or never responds.
 const OUTLIER: BackendId = BackendId(1);
 
-/// A balancer before two backends, with a single attempt for each request.
+/// Creates a balancer before two backends, with a single attempt for each request.
 fn harness_with_one_attempt() -> BalancerHarness {
     BalancerHarness::new(Settings { max_attempts: 1, ..safe_settings() }, &endpoints(2))
 }
 
 #[test]
 fn avoids_a_backend_that_fails_fast_and_returns_to_it_later() {
-    // Counted by requests in flight alone, it looks idle.
+    // By the requests in flight alone, a backend that fails fast looks idle.
     let mut harness = harness_with_one_attempt();
     let mut sent_to_outlier = 0;
     for id in 0..200 {
@@ -39,7 +39,7 @@
 
 #[test]
 fn avoids_a_backend_that_never_responds() {
-    // Regression: its timeouts arrive when the request has ended, and were not counted.
+    // Regression: timeouts of attempts whose request has ended were not counted.
     let mut harness = harness_with_one_attempt();
     for id in 0..20 {
         harness.serve(id, 0.01 + 0.01 * (id % 3) as f64);
--- a/crates/balancer/tests/decisions/placement.rs
+++ b/crates/balancer/tests/decisions/placement.rs
@@ -7,14 +7,14 @@
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{Action, BackendId, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, Settings, Time};
 
-/// The backends that 60 requests are sent to, from this id on, none of which gets a response.
+/// Returns the backends of 60 requests with the ids from `first_id` on, none of which gets a response.
 fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<BackendId> {
     let sent = (first_id..first_id + 60).flat_map(|id| sends(&harness.request(id)));
     sent.map(|attempt| attempt.backend).collect()
 }
 
 #[test]
-fn a_subset_is_small_and_stays_when_another_backend_is_removed() {
+fn keeps_the_other_members_of_a_small_subset_when_a_member_is_removed() {
     let settings = Settings { instance_count: 50, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(40));
     let before = backends_used(&mut harness, 0);
@@ -44,7 +44,7 @@
 fn busy_subset_size(settings: Settings) -> usize {
     let settings = Settings { instance_count: 50, ..settings };
     let mut harness = BalancerHarness::new(settings, &endpoints(40));
-    // For longer than rates are remembered.
+    // The requests arrive for longer than rates are remembered.
     let mut in_flight = VecDeque::new();
     for id in 0..600 {
         let sent_at = harness.now;
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn costly_connections_keep_a_busy_subset_small() {
+fn keeps_the_subset_of_a_busy_balancer_small_where_connections_have_a_cost() {
     // Guards against connections to so many members that all together exceed what backends accept:
     // connections then fail to backends that run and respond to others.
     let free = busy_subset_size(safe_settings());
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn every_backend_is_in_a_subset() {
+fn assigns_every_backend_to_a_subset() {
     // Guards against random subsets of a few balancers that leave backends out.
     let fleets = [
         FleetSize { instance_count: 3, backends: 20 },
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn prefers_backends_with_fewer_requests_in_flight_by_weight() {
+fn prefers_backends_with_fewer_requests_in_flight_per_weight() {
     let list = [Endpoint { weight: 3.0, ..endpoint(1) }, endpoint(2)];
     let mut harness = BalancerHarness::new(safe_settings(), &list);
 
@@ -113,7 +113,7 @@
     assert!((26..=34).contains(&sent[0]), "{sent:?}");
 }
 
-/// Backends 1 to 8, in zone 1 those with an odd id.
+/// Returns backends 1 to 8 in two zones, where odd ids are in zone 1.
 fn endpoints_in_two_zones() -> Vec<Endpoint> {
     (1..=8).map(|id| Endpoint { zone: zone_of(BackendId(id)), ..endpoint(id) }).collect()
 }
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn crosses_zones_only_when_the_own_zone_is_much_busier() {
+fn crosses_zones_only_when_the_own_zone_is_much_busier_and_crossing_has_a_cost() {
     // Guards against paying for crossings that gain nothing, and against a zone that is given
     // more traffic than its own backends can carry.
     let settings = Settings { cross_zone_cost: 0.2, zone: 1, ..safe_settings() };
@@ -154,7 +154,8 @@
     let settings = Settings { health_checks_for_load_reports: true, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(2));
 
-    let (mut health_checks, mut sent) = (0, [0, 0]);
+    let mut health_checks = 0;
+    let mut sent = [0, 0];
     for id in 0..200 {
         let actions = harness.request(id);
         let attempt = sends(&actions)[0];
@@ -180,7 +181,8 @@
 fn checks_no_backend_when_health_checks_are_not_allowed() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
 
-    assert!(
-        (0..20).all(|id| !harness.request(id).iter().any(|action| matches!(action, Action::HealthCheck(_))))
-    );
+    let actions: Vec<_> = (0..20).flat_map(|id| harness.request(id)).collect();
+
+    let is_health_check = |action: &Action| matches!(action, Action::HealthCheck(_));
+    assert!(!actions.iter().any(is_health_check), "{actions:?}");
 }
--- a/crates/balancer/tests/decisions/retransmission.rs
+++ b/crates/balancer/tests/decisions/retransmission.rs
@@ -1,4 +1,4 @@
-//! Retries: the retransmission probability, the doubling timers, and what the effect of a class allows.
+//! Retries: the retransmission probability, the doubling timers, and the effects of the classes.
 
 use crate::common::actions::{SentAttempt, is_failed, is_rejected, send_times};
 use crate::common::balancer_harness::BalancerHarness;
@@ -9,7 +9,7 @@
 
 #[test]
 fn always_retries_a_request_that_is_alone() {
-    // Regression: a balancer with little traffic, whose send rate times T1 is far below one, did not.
+    // Regression: a balancer with little traffic did not retry, as its send rate times T1 is far below one.
     for seed in 0..300 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(4));
         harness.advance_to(0.5);
@@ -22,7 +22,7 @@
 
 #[test]
 fn retries_with_the_least_probability_when_many_requests_are_unanswered() {
-    // The send rate is that of one short burst, so by Little's law these requests wait for long.
+    // By Little's law the few requests a second of this burst explain far fewer unanswered requests.
     let mut retries = 0;
     let mut timers_fired = 0;
     for seed in 0..200 {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn first_timer_without_history_follows_the_latency_objective() {
+fn first_timer_follows_the_latency_objective_without_earlier_responses() {
     // A safe request with a latency objective of 1 s: T1 is 0.4 s, spread by a tenth.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(8));
 
@@ -56,7 +56,7 @@
 
 #[test]
 fn retry_timers_double() {
-    // With a history of short responses T1 is short.
+    // After short responses T1 is short.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(8));
     for id in 0..50 {
         harness.serve(100 + id, 0.05);
@@ -68,7 +68,7 @@
     let times = send_times(&harness.advance_to(start + 1.0), start);
 
     assert_eq!(times.len(), 3, "{times:?}");
-    assert!(times[0] > 0.05 && times[0] < 0.1, "just over the normal response time: {times:?}");
+    assert!(times[0] > 0.05 && times[0] < 0.1, "just over the expected latency: {times:?}");
     assert!((2.2..4.0).contains(&(times[1] / times[0])), "{times:?}");
     assert!((1.8..2.9).contains(&(times[2] / times[1])), "{times:?}");
 }
@@ -105,7 +105,9 @@
     harness.request(1);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[endpoint(2)])));
 
-    assert_eq!(harness.sends_until(0.5), [SentAttempt::new(1, 2)]);
+    let hedged = harness.sends_until(0.5);
+
+    assert_eq!(hedged, [SentAttempt::new(1, 2)]);
 }
 
 #[test]
@@ -130,7 +132,7 @@
 }
 
 #[test]
-fn sends_at_most_max_attempts() {
+fn sends_no_retry_when_max_attempts_is_one() {
     let settings = Settings { max_attempts: 1, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
 
@@ -140,11 +142,13 @@
 }
 
 #[test]
-fn rejects_at_once_when_no_attempt_is_allowed() {
+fn rejects_at_once_when_max_attempts_is_zero() {
     let settings = Settings { max_attempts: 0, hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
 
-    assert!(is_rejected(&harness.request(1), 1));
+    let actions = harness.request(1);
+
+    assert!(is_rejected(&actions, 1));
 }
 
 #[test]
@@ -184,8 +188,8 @@
     assert_eq!(harness.sends_until(0.9), [], "the first attempt may be running");
 }
 
-/// A balancer before two zones of two cells with two backends each, with a class of idempotent
-/// requests.
+/// Creates a balancer with a class of idempotent requests, before two zones of two cells with two backends
+/// each.
 fn idempotent_harness(seed: u64, group: IdempotencyGroup, window: Time) -> BalancerHarness {
     let in_cell_and_zone = |id| {
         let backend = BackendId(id);
@@ -234,16 +238,16 @@
         let mut harness = idempotent_harness(seed, IdempotencyGroup::Zone, 5.0);
 
         let first = harness.send(1);
+        let retries = harness.sends_until(0.5);
 
-        assert!(
-            harness.sends_until(0.5).iter().all(|retry| zone_of(retry.backend) == zone_of(first.backend))
-        );
+        assert!(retries.iter().all(|retry| zone_of(retry.backend) == zone_of(first.backend)));
     }
 }
 
 #[test]
 fn own_attempts_do_not_lower_the_retry_probability_of_their_request() {
-    // Guards against a balancer with little traffic where a request's attempts cut its further ones.
+    // Guards against a balancer with little traffic where the attempts of a request lower the probability of
+    // further ones.
     let mut requests_with_three_retries = 0;
     for seed in 0..100 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(8));
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,11 +1,11 @@
-//! Slow start: what backends that are warming up get from a single balancer.
+//! Slow start: the requests that a single balancer sends to backends that are warming up.
 
 use crate::common::actions::sends;
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Status};
 
-/// Settings of one of many balancers, in whose subset a backend warms up for 20 s.
+/// Returns the settings of one of many balancers, where slow start takes 20 s.
 fn slow_start_settings(instance_count: usize, initial_capacity: f64) -> Settings {
     Settings {
         instance_count,
@@ -15,18 +15,19 @@
     }
 }
 
-/// The endpoint list changes: backend 1 has just started.
+/// Changes the endpoint list: backend 1 has just started.
 fn restart_first_backend(harness: &mut BalancerHarness, list: &mut [Endpoint]) {
     list[0].started_at = Some(harness.now);
     harness.handle(Event::Endpoints(EndpointUpdate::Full(list)));
 }
 
 #[test]
-fn a_backend_that_is_warming_up_gets_its_part_of_the_traffic() {
+fn sends_a_backend_that_is_warming_up_a_fraction_of_the_requests_of_the_others() {
     // Many balancers with little traffic stay, each on its own, far below the overload multiple.
     let settings = slow_start_settings(100, 0.2);
     let mut list = endpoints(4);
-    let (mut sent_to_warming, mut sent_to_warm) = (0, 0);
+    let mut sent_to_warming = 0;
+    let mut sent_to_others = 0;
     for seed in 0..100 {
         let mut harness = BalancerHarness::with_seed(seed, settings.clone(), &endpoints(4));
         for id in 0..40 {
@@ -37,22 +38,22 @@
         for id in 100..108 {
             match harness.serve(id, 0.01) {
                 BackendId(1) => sent_to_warming += 1,
-                _ => sent_to_warm += 1,
+                _ => sent_to_others += 1,
             }
             harness.advance_to(harness.now + 0.24);
         }
     }
 
-    let each_warm = sent_to_warm as f64 / 3.0;
+    let sent_to_each_other = sent_to_others as f64 / 3.0;
     assert!(
-        (sent_to_warming as f64) < 0.8 * each_warm,
-        "{sent_to_warming} against {each_warm}: a fifth to a third, times the margin"
+        (sent_to_warming as f64) < 0.8 * sent_to_each_other,
+        "{sent_to_warming} against {sent_to_each_other}: a fifth to a third, times the margin"
     );
-    assert!(sent_to_warming > 0, "without requests a backend might never warm up");
+    assert!(sent_to_warming > 0, "without requests a backend might stay in slow start");
 }
 
 #[test]
-fn does_not_overload_backends_that_all_warm_up_at_once() {
+fn does_not_overload_backends_that_all_start_at_once() {
     let mut list = endpoints(3);
     let mut harness = BalancerHarness::new(slow_start_settings(1, 0.1), &list);
     for id in 0..200 {
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn an_overload_does_not_raise_the_budget_of_a_backend_that_is_warming_up() {
+fn does_not_raise_the_budget_of_a_backend_that_is_warming_up_under_overload() {
     // Guards against budgets that follow what is sent: with clients that retry without pause the
     // budget was four times what the backends could do, and one was overloaded.
     let settings = Settings { slow_start_overload_multiple: 2.0, ..slow_start_settings(1, 0.1) };
@@ -103,12 +104,12 @@
         }
     }
 
-    // Ten seconds of 2.5 a second and backend, of which it can do a tenth to a half.
+    // For ten seconds 2.5 a second come to each backend, and this one can serve a tenth to a half of them.
     assert!(sent_to_warming <= 12, "{sent_to_warming}");
 }
 
 #[test]
-fn balancers_with_little_traffic_do_not_spend_saved_budgets_at_once() {
+fn does_not_spend_saved_budgets_at_once_when_all_other_members_fail() {
     // Guards against budgets that balancers with little traffic save up to a whole request: when the
     // other members failed, all of them spent it within a second, and the backend was overloaded.
     let settings = Settings { slow_start_overload_multiple: 2.0, ..slow_start_settings(100, 0.1) };
@@ -131,21 +132,27 @@
         sent_at_once += sends(&harness.request(1000)).len();
     }
 
-    // Two a second over a few members, half of capacity there, 0.8 of it for a second.
+    // Two a second over a few members, with half of the capacity and a budget of 0.8 of that for a second.
     assert!(sent_at_once <= 130, "{sent_at_once} of 200");
 }
 
-/// Where the requests of one balancer went.
+/// The numbers of requests of one balancer, by their backends.
 struct Distribution {
     /// Requests sent to each of the backends that are not warming up.
-    to_warm: Vec<u64>,
+    sent_to_others: Vec<u64>,
     /// Requests that were not sent at once.
     unsent: usize,
 }
 
-/// One of 17 balancers before 16 backends, all but `warm_backends` of which are replaced by new ones;
-/// then this number of requests arrives.
-fn distribute_after_replacement(instance_index: usize, warm_backends: usize, requests: u64) -> Distribution {
+/// The number of balancers.
+const INSTANCE_COUNT: usize = 17;
+/// The number of backends that are not replaced, of sixteen.
+const UNCHANGED_BACKENDS: usize = 6;
+/// The requests that arrive at each balancer after the replacement.
+const REQUESTS_AFTER_REPLACEMENT: u64 = 12;
+
+/// Returns the distribution of the requests of one balancer that arrive after most backends were replaced.
+fn distribute_after_replacement(instance_index: usize) -> Distribution {
     let settings = Settings {
         instance_count: INSTANCE_COUNT,
         instance_index,
@@ -157,15 +164,15 @@
     for id in 0..100 {
         harness.serve(id, 0.08);
     }
-    let mut list = endpoints(warm_backends as u32);
+    let mut list = endpoints(UNCHANGED_BACKENDS as u32);
     list.extend((101..=110).map(|id| Endpoint { started_at: Some(harness.now), ..endpoint(id) }));
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
 
-    let mut distribution = Distribution { to_warm: vec![0; warm_backends], unsent: 0 };
-    for id in 200..200 + requests {
+    let mut distribution = Distribution { sent_to_others: vec![0; UNCHANGED_BACKENDS], unsent: 0 };
+    for id in 200..200 + REQUESTS_AFTER_REPLACEMENT {
         match sends(&harness.request(id)).first() {
             Some(attempt) => {
-                if let Some(sent) = distribution.to_warm.get_mut(attempt.backend.0 as usize - 1) {
+                if let Some(sent) = distribution.sent_to_others.get_mut(attempt.backend.0 as usize - 1) {
                     *sent += 1;
                 }
             }
@@ -175,29 +182,27 @@
     distribution
 }
 
-const INSTANCE_COUNT: usize = 17;
-
 #[test]
-fn spreads_what_warming_members_cannot_take_over_all_warm_backends() {
-    let (warm_backends, requests) = (6, 12);
+fn spreads_requests_over_all_unchanged_backends_when_members_are_warming_up() {
+    let mut sent_by_all = vec![0; UNCHANGED_BACKENDS];
+    let mut unsent = 0;
+    let mut most_to_one_backend = 0;
 
-    let mut sent_by_all = vec![0; warm_backends];
-    let (mut unsent, mut most_to_one_backend) = (0, 0);
     for instance_index in 0..INSTANCE_COUNT {
-        let distribution = distribute_after_replacement(instance_index, warm_backends, requests);
+        let distribution = distribute_after_replacement(instance_index);
         unsent += distribution.unsent;
-        most_to_one_backend = most_to_one_backend.max(*distribution.to_warm.iter().max().unwrap());
-        for (total, sent) in sent_by_all.iter_mut().zip(distribution.to_warm) {
+        most_to_one_backend = most_to_one_backend.max(*distribution.sent_to_others.iter().max().unwrap());
+        for (total, sent) in sent_by_all.iter_mut().zip(distribution.sent_to_others) {
             *total += sent;
         }
     }
 
-    assert_eq!(unsent, 0, "requests that found no backend, with six warm ones");
+    assert_eq!(unsent, 0, "requests that found no backend, with six unchanged ones");
     assert!(
-        most_to_one_backend <= requests / 2,
-        "{most_to_one_backend} of {requests} requests of a balancer went to one backend"
+        most_to_one_backend <= REQUESTS_AFTER_REPLACEMENT / 2,
+        "{most_to_one_backend} requests of a balancer went to one backend"
     );
-    let mean = sent_by_all.iter().sum::<u64>() as f64 / warm_backends as f64;
+    let mean = sent_by_all.iter().sum::<u64>() as f64 / UNCHANGED_BACKENDS as f64;
     assert!(
         sent_by_all.iter().all(|sent| (0.6 * mean..1.6 * mean).contains(&(*sent as f64))),
         "{sent_by_all:?}"
--- a/crates/balancer/tests/decisions/streamed_bodies.rs
+++ b/crates/balancer/tests/decisions/streamed_bodies.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_timeout_of_a_streamed_request_starts_with_the_end_of_its_body() {
+fn starts_the_timeout_of_a_streamed_request_when_the_body_has_been_received() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1), endpoint(2)]);
     send_streamed_request(&mut harness, 1);
     assert!(harness.advance_to(30.0).is_empty(), "neither hedged nor ended while the body comes");
@@ -25,11 +25,20 @@
     assert!(is_rejected(&actions, 1), "{actions:?}");
 }
 
+/// Settings, and whether the body has been consumed when the first attempt fails.
+struct StreamedRetry {
+    consumed: bool,
+    settings: Settings,
+}
+
 #[test]
 fn retries_a_streamed_request_only_until_its_body_is_consumed() {
-    for (consumed, settings) in
-        [(false, safe_settings()), (true, safe_settings()), (true, settings_with_effect(Effect::Unsafe))]
-    {
+    let cases = [
+        StreamedRetry { consumed: false, settings: safe_settings() },
+        StreamedRetry { consumed: true, settings: safe_settings() },
+        StreamedRetry { consumed: true, settings: settings_with_effect(Effect::Unsafe) },
+    ];
+    for StreamedRetry { consumed, settings } in cases {
         let mut harness = BalancerHarness::new(settings, &[endpoint(1), endpoint(2)]);
         let sent = send_streamed_request(&mut harness, 1);
         if consumed {
@@ -46,8 +55,8 @@
 }
 
 #[test]
-fn slowly_streamed_bodies_do_not_count_as_overload() {
-    // At the entry tier, with forty bodies being streamed, other requests are admitted as ever.
+fn does_not_count_slowly_streamed_bodies_as_overload() {
+    // With forty bodies in transfer, the entry tier has to admit all other requests.
     let settings = Settings { tier: 0, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &[endpoint(1), endpoint(2)]);
     for id in 0..100 {
--- a/crates/balancer/tests/endpoint_churn.rs
+++ b/crates/balancer/tests/endpoint_churn.rs
@@ -1,5 +1,5 @@
-//! Backends that are replaced again and again: removed ones are forgotten, and not before the last
-//! reference to them is gone.
+//! Backends that are replaced again and again: a removed backend is forgotten when the last attempt there has
+//! ended.
 
 mod common;
 
@@ -9,14 +9,14 @@
 use common::fixtures::{endpoint, safe_settings};
 
 #[test]
-fn the_decision_module_forgets_removed_backends_without_attempts_in_flight() {
+fn forgets_removed_backends_without_attempts_in_flight() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     let first = SentAttempt::new(1, 1);
     assert_eq!(sends(&harness.request(1)), [first]);
 
     for id in 2..500 {
         harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(id), endpoint(1000 + id)])));
-        // Requests go on meanwhile, and are attributed to the right backends.
+        // Requests go to the listed backends meanwhile.
         harness.now += 0.01;
         let request = u64::from(id);
         let sent = harness.send(request);
--- a/crates/balancer/tests/replay/agenda.rs
+++ b/crates/balancer/tests/replay/agenda.rs
@@ -1,18 +1,18 @@
-//! What is going to happen in a simulation, in the order of its times.
+//! The agenda of a simulation: planned occurrences, in the order of their times.
 
 use balancer::{BackendId, RequestId, Time, TimerToken};
 use std::collections::BTreeMap;
 
-/// Names an attempt of a request.
+/// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Its number, from 0, in the order of the sends.
+    /// The number of the attempt, from 0, in the order of the sends.
     pub number: usize,
 }
 
-/// Something that happens.
+/// An occurrence in a simulation.
 #[derive(Clone, Copy, Debug)]
 pub enum Occurrence {
     /// The next request arrives.
@@ -25,7 +25,7 @@
     AttemptEnds(AttemptId),
     /// The body of a request has been received.
     BodyReceived(RequestId),
-    /// Too much of the body of a request has been forwarded for another attempt.
+    /// So much of the body of a request has been forwarded that another attempt is impossible.
     BodyConsumed(RequestId),
     /// A client disconnects.
     ClientDisconnects(RequestId),
@@ -62,7 +62,7 @@
 }
 
 impl Agenda {
-    /// Adds an occurrence. One at an infinite time never happens.
+    /// Adds an occurrence. An occurrence at an infinite time never happens.
     pub fn add(&mut self, at: Time, occurrence: Occurrence) {
         if at.is_finite() {
             let place = Place { time_bits: at.max(0.0).to_bits(), sequence: self.added };
--- a/crates/balancer/tests/replay/attempts.rs
+++ b/crates/balancer/tests/replay/attempts.rs
@@ -6,15 +6,15 @@
 use balancer::{BackendId, EndedAttempt, Event, Outcome, Request, RequestId, Time};
 use rand::Rng;
 
-/// Ordering keys in use.
+/// The number of ordering keys in use.
 const ORDERING_KEYS: u64 = 6;
-/// The fraction of attempts that are written at once, as there is a connection.
+/// The fraction of attempts that are written at once on an idle connection.
 const WRITTEN_AT_ONCE: f64 = 0.6;
 /// The fraction of attempts whose connection is never established.
 const NEVER_CONNECTED: f64 = 0.02;
-/// How long a connection takes at most, in seconds.
+/// The longest time until a connection is established, in seconds.
 const MAX_CONNECT_DURATION: Time = 0.03;
-/// How long a streamed body takes at most, in seconds.
+/// The longest duration of a streamed body, in seconds.
 const MAX_BODY_DURATION: Time = 0.2;
 /// The fraction of error responses that are passed on to the client.
 const FINAL_ERRORS: f64 = 0.4;
@@ -33,7 +33,7 @@
         self.random.random::<f64>() < probability
     }
 
-    /// The next request arrives, and the one after it is planned.
+    /// Handles the arrival of a request, and plans the next arrival.
     pub(crate) fn request_arrives(&mut self) {
         let until_next = 2.0 * self.random.random::<f64>() / self.rate;
         if self.now + until_next < self.scenario.duration {
@@ -46,20 +46,21 @@
         let tenants = self.settings.tenants.len();
         let tenant = (tenants > 0).then(|| self.random.random_range(0..tenants));
         let key = self.is_drawn(0.9).then(|| self.random.random_range(0..ORDERING_KEYS));
-        let part = traffic.least_timeout + (1.0 - traffic.least_timeout) * self.random.random::<f64>();
-        let timeout = part * self.settings.classes[class].max_timeout;
+        let timeout_fraction =
+            traffic.least_timeout + (1.0 - traffic.least_timeout) * self.random.random::<f64>();
+        let timeout = timeout_fraction * self.settings.classes[class].max_timeout;
         let streaming_body = self.is_drawn(traffic.streamed);
         let body_duration = if streaming_body { self.plan_body(id) } else { 0.0 };
         let body_received_at = self.now + body_duration;
         self.requests.insert(id, OpenRequest { body_received_at, timeout, attempts: 0 });
         if self.is_drawn(traffic.disconnecting) {
-            let patience = timeout * self.random.random::<f64>();
-            self.agenda.add(self.now + patience, Occurrence::ClientDisconnects(id));
+            let until_disconnect = timeout * self.random.random::<f64>();
+            self.agenda.add(self.now + until_disconnect, Occurrence::ClientDisconnects(id));
         }
         self.handle(Event::Request(Request { id, class, tenant, key, timeout, streaming_body }));
     }
 
-    /// Plans how the body of a request is received, and returns how long that takes in seconds.
+    /// Plans the transfer of the body of a request, and returns the duration in seconds.
     fn plan_body(&mut self, id: RequestId) -> Time {
         let duration = MAX_BODY_DURATION * self.random.random::<f64>();
         if self.is_drawn(0.5) {
@@ -149,7 +150,7 @@
         self.end_early(attempt, Outcome::Cancelled);
     }
 
-    /// An attempt that has been written completely goes on.
+    /// Ends an attempt unless all of the request has been written.
     pub(crate) fn withdraw(&mut self, attempt: AttemptId) {
         if self.attempts.get(&attempt).is_some_and(|open| self.now < open.written_at) {
             self.end_early(attempt, Outcome::NotSent);
--- a/crates/balancer/tests/replay/coverage.rs
+++ b/crates/balancer/tests/replay/coverage.rs
@@ -3,7 +3,7 @@
 use balancer::{Action, EndpointUpdate, Event, MaintenanceChange, Outcome};
 use std::collections::BTreeMap;
 
-/// All kinds that have to occur. Outcomes are those of attempts.
+/// All kinds of events, actions and outcomes of attempts that have to occur.
 const KINDS: [&str; 37] = [
     "Request",
     "BodyReceived",
@@ -44,7 +44,7 @@
     "LoadReport",
 ];
 
-/// How often each kind has occurred.
+/// The number of occurrences of each kind.
 #[derive(Debug, Default)]
 pub struct Coverage {
     occurrences: BTreeMap<&'static str, usize>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the kinds that have occurred less often than this, with their occurrences.
+    /// Returns the kinds with fewer than `minimum` occurrences, with their numbers.
     pub fn rarer_than(&self, minimum: usize) -> Vec<String> {
         let counts = KINDS.iter().map(|kind| (kind, self.occurrences.get(kind).copied().unwrap_or(0)));
         let rare = counts.filter(|(_, count)| *count < minimum);
--- a/crates/balancer/tests/replay/digest.rs
+++ b/crates/balancer/tests/replay/digest.rs
@@ -15,7 +15,7 @@
 }
 
 impl RunningDigest {
-    /// Returns the digest of all that was added.
+    /// Returns the digest of all events so far.
     pub fn value(&self) -> u64 {
         self.0
     }
--- a/crates/balancer/tests/replay/main.rs
+++ b/crates/balancer/tests/replay/main.rs
@@ -1,8 +1,8 @@
-//! Replays fixed streams of events through the decision module, and compares every action that it returns
-//! with recorded digests.
+//! Replays fixed streams of events through the decision module, and compares the digests of all returned
+//! actions with recorded digests.
 //!
-//! A change that is not meant to alter decisions must leave the digests alone. One that is meant to alter
-//! them renews the digests, and says in its commit which decisions differ and why:
+//! A change that is not meant to alter decisions must leave the digests alone. A change of decisions renews the
+//! digests, and the commit names the decisions that differ and the reason:
 //!
 //! ```text
 //! RENEW_REPLAY_DIGESTS=1 cargo test --release -p balancer --test replay
@@ -27,9 +27,9 @@
 use scenario::Scenario;
 use std::collections::BTreeMap;
 
-/// Set to rewrite the recorded digests instead of comparing with them.
+/// The environment variable that is set to rewrite the recorded digests instead of comparing with them.
 const RENEWAL_VARIABLE: &str = "RENEW_REPLAY_DIGESTS";
-/// Occurrences over all scenarios that each kind of event, action and outcome needs.
+/// The number of occurrences over all scenarios that each kind of event, action and outcome needs.
 const MIN_OCCURRENCES: usize = 5;
 
 /// Plays the scenario, and returns the digests after each of its events.
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn returns_the_recorded_actions() {
+fn returns_the_recorded_actions_in_each_scenario() {
     let scenarios = scenarios::all();
     let current: BTreeMap<_, _> =
         scenarios.iter().map(|scenario| (scenario.name.to_string(), digests_of(scenario))).collect();
--- a/crates/balancer/tests/replay/recording.rs
+++ b/crates/balancer/tests/replay/recording.rs
@@ -5,8 +5,9 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// Hexadecimal digits of the short digest after each event. As a running digest differs for good, 8 bits
-/// name the first event that differs in all but one of 256 cases, and the one after it in most others.
+/// The number of hexadecimal digits of the short digest after each event. A running digest differs for good
+/// from the first difference on, so that 8 bits name the event of the difference in 255 of 256 cases, and the
+/// next event in most others.
 const DIGITS_PER_EVENT: usize = 2;
 const EVENTS_PER_LINE: usize = 64;
 
--- a/crates/balancer/tests/replay/scenario.rs
+++ b/crates/balancer/tests/replay/scenario.rs
@@ -1,18 +1,18 @@
-//! What a scenario consists of: settings, traffic, backends, and changes at fixed times.
+//! Scenarios: settings, traffic, backends, and changes at fixed times.
 
 use balancer::{BackendId, Endpoint, MaintenanceChange, Outcome, Settings, Status, Time};
 
-/// How a backend behaves.
+/// The behaviour of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
-    /// It serves requests, with a service time this many times the usual one.
+    /// The backend serves requests.
     Serves {
-        /// Multiple of the usual service time.
-        slowness: f64,
+        /// The service time, as a multiple of the service time of the traffic.
+        latency_factor: f64,
     },
-    /// It accepts requests, and never answers.
+    /// The backend accepts requests, and never responds.
     Hangs,
-    /// It ends each attempt in this way, within a fraction of the usual service time.
+    /// The backend ends each attempt with this outcome, within the service time of the traffic.
     Fails(Outcome),
 }
 
@@ -21,9 +21,9 @@
 pub enum Change {
     /// Requests arrive at this rate from now on, in requests a second.
     Rate(f64),
-    /// A backend behaves in another way.
+    /// The behaviour of a backend changes.
     Behaviour(BackendId, Behaviour),
-    /// The endpoint list says something else of a backend, or has a new one.
+    /// The endpoint list has a new or changed entry for a backend.
     List(Endpoint),
     /// A backend disappears from the endpoint list without having been listed as removed.
     Unlist(BackendId),
@@ -43,7 +43,7 @@
     Settings(Box<Settings>),
 }
 
-/// The requests that arrive.
+/// The arriving requests of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
     /// Requests a second at first.
@@ -73,31 +73,31 @@
     }
 }
 
-/// What backends report of their load with their responses, or with health checks.
+/// The content of the load reports that backends send with their responses, or with health checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reporting {
-    /// Nothing.
+    /// Backends report nothing.
     #[default]
     Nothing,
-    /// Their service times.
+    /// Backends report their service times.
     ServiceTimes,
-    /// Their service times and the requests a second that they serve.
+    /// Backends report their service times, and the requests a second that they serve.
     ServiceTimesAndRates,
 }
 
 /// A change with its time.
 #[derive(Clone, Debug)]
 pub struct PlannedChange {
-    /// When it happens, in seconds.
+    /// The time of the change, in seconds.
     pub at: Time,
-    /// What changes.
+    /// The change.
     pub change: Change,
 }
 
 /// A stream of events, generated from a fixed seed.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name in the recording.
+    /// The name of the scenario in the recording.
     pub name: &'static str,
     /// The seed of the balancer and of the simulation.
     pub seed: u64,
@@ -105,9 +105,9 @@
     pub duration: Time,
     /// The settings at first.
     pub settings: Settings,
-    /// The requests.
+    /// The arriving requests.
     pub traffic: Traffic,
-    /// What backends report.
+    /// The content of load reports.
     pub reporting: Reporting,
     /// The endpoint list at first.
     pub endpoints: Vec<Endpoint>,
@@ -116,7 +116,7 @@
 }
 
 impl Scenario {
-    /// A scenario of a few seconds with usual traffic, nothing reported and no changes.
+    /// Creates a scenario of a few seconds with the default traffic, no load reports and no changes.
     pub fn new(name: &'static str, seed: u64, settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         Self {
             name,
@@ -137,12 +137,12 @@
     }
 }
 
-/// Backends with the ids from 1 on, spread over two zones and three cells.
+/// Returns backends with the ids from 1 on, spread over two zones and three cells.
 pub fn endpoints(count: u32) -> Vec<Endpoint> {
     (1..=count).map(endpoint).collect()
 }
 
-/// A backend in service, whose zone, cell and weight follow from its id.
+/// Returns a backend in service, whose zone, cell and weight follow from the id.
 pub fn endpoint(id: u32) -> Endpoint {
     let weight = if id.is_multiple_of(4) { 1.5 } else { 1.0 };
     Endpoint {
--- a/crates/balancer/tests/replay/scenarios/backends.rs
+++ b/crates/balancer/tests/replay/scenarios/backends.rs
@@ -1,6 +1,6 @@
 //! Backends that start, hang or are slow, maintenance, zones, and the endpoint list.
 
-use super::{behaves, listed, maintenance, settings, slow, started};
+use super::{behaves, listed, maintenance, serves, settings, started};
 use crate::scenario::{Behaviour, Change, Reporting, Scenario, Traffic, endpoints};
 use balancer::{BackendId, MaintenanceChange, Outcome, Settings, Status};
 
@@ -35,7 +35,7 @@
     scenario.name = "slow_start_by_reported_rates";
     scenario.seed = 7;
     scenario.reporting = Reporting::ServiceTimesAndRates;
-    scenario.at(4.0, slow(6, 2.0)).at(6.0, maintenance(7, MaintenanceChange::Begins))
+    scenario.at(4.0, serves(6, 2.0)).at(6.0, maintenance(7, MaintenanceChange::Begins))
 }
 
 pub fn polled_endpoint_list() -> Scenario {
@@ -72,8 +72,8 @@
     scenario.reporting = Reporting::ServiceTimes;
     scenario.traffic = Traffic { rate: 90.0, ..Traffic::default() };
     scenario
-        .at(1.0, slow(1, 3.0))
-        .at(2.0, slow(3, 2.0))
+        .at(1.0, serves(1, 3.0))
+        .at(2.0, serves(3, 2.0))
         .at(3.0, behaves(5, Behaviour::Hangs))
         .at(4.0, Change::Rate(250.0))
         .at(5.0, Change::Rate(60.0))
@@ -85,12 +85,12 @@
     let mut scenario = Scenario::new("hung_and_outlying_backends", 11, settings, endpoints(6));
     scenario.traffic.rate = 100.0;
     scenario
-        .at(1.0, slow(1, 4.0))
+        .at(1.0, serves(1, 4.0))
         .at(2.0, behaves(2, Behaviour::Fails(Outcome::Error)))
         .at(3.0, behaves(3, Behaviour::Hangs))
         .at(4.0, behaves(2, Behaviour::Fails(Outcome::Reset)))
         .at(4.2, maintenance(4, MaintenanceChange::Begins))
         .at(4.6, maintenance(4, MaintenanceChange::Ends))
-        .at(5.0, slow(3, 1.0))
-        .at(6.0, slow(2, 2.4))
+        .at(5.0, serves(3, 1.0))
+        .at(6.0, serves(2, 2.4))
 }
--- a/crates/balancer/tests/replay/scenarios/mod.rs
+++ b/crates/balancer/tests/replay/scenarios/mod.rs
@@ -1,5 +1,5 @@
-//! The scenarios. Together they are to come near the thresholds that tuning constants set, so that a change of
-//! a constant by 1% alters at least one action.
+//! The scenarios. Together the scenarios come near the thresholds that tuning constants set, so that a change
+//! of a constant by 1% alters at least one action.
 
 mod backends;
 mod overload;
@@ -48,7 +48,7 @@
     Effect::Idempotent { group, window }
 }
 
-/// A class of each effect.
+/// Returns a class of each effect.
 fn classes() -> Vec<RequestClass> {
     vec![
         class("read", Effect::Safe),
@@ -71,8 +71,8 @@
     Change::Behaviour(BackendId(id), behaviour)
 }
 
-fn slow(id: u32, slowness: f64) -> Change {
-    behaves(id, Behaviour::Serves { slowness })
+fn serves(id: u32, latency_factor: f64) -> Change {
+    behaves(id, Behaviour::Serves { latency_factor })
 }
 
 fn maintenance(id: u32, change: MaintenanceChange) -> Change {
--- a/crates/balancer/tests/replay/scenarios/requests.rs
+++ b/crates/balancer/tests/replay/scenarios/requests.rs
@@ -1,6 +1,6 @@
 //! Requests of all effects, with ordering keys, streamed bodies or brief timeouts, and changing settings.
 
-use super::{behaves, class, settings, slow, tenant};
+use super::{behaves, class, serves, settings, tenant};
 use crate::scenario::{Behaviour, Change, Scenario, Traffic, endpoints};
 use balancer::{BackendId, Effect, Outcome, Settings, Time};
 
@@ -20,8 +20,8 @@
         .at(3.0, behaves(5, Behaviour::Hangs))
         .at(4.5, Change::Unlist(BackendId(7)))
         .at(4.6, Change::SendList)
-        .at(5.0, slow(2, 1.0))
-        .at(6.0, slow(5, 1.0))
+        .at(5.0, serves(2, 1.0))
+        .at(6.0, serves(5, 1.0))
 }
 
 pub fn ordered_keys() -> Scenario {
@@ -31,7 +31,7 @@
     }
     let mut scenario = Scenario::new("ordered_keys", 4, settings, endpoints(6));
     scenario.traffic = Traffic { failing: 0.1, disconnecting: 0.05, ..Traffic::default() };
-    scenario.at(2.0, behaves(3, Behaviour::Hangs)).at(4.0, slow(3, 3.0))
+    scenario.at(2.0, behaves(3, Behaviour::Hangs)).at(4.0, serves(3, 3.0))
 }
 
 pub fn streamed_bodies() -> Scenario {
--- a/crates/balancer/tests/replay/simulated_backends.rs
+++ b/crates/balancer/tests/replay/simulated_backends.rs
@@ -1,4 +1,4 @@
-//! The simulated backends: how long each takes for an attempt, how the attempt ends, and what is reported.
+//! The simulated backends: the durations and outcomes of attempts, and the load reports.
 
 use crate::scenario::{Behaviour, Reporting, Traffic};
 use balancer::{BackendId, LoadReport, Outcome, Time};
@@ -6,19 +6,19 @@
 use rand::rngs::SmallRng;
 use std::collections::BTreeMap;
 
-/// Attempts that a backend serves at once without slowing down.
+/// The number of attempts that a backend serves at once without slowing down.
 const CONCURRENCY: usize = 4;
-/// Attempts at once beyond which a backend rejects more.
+/// The number of attempts at once beyond which a backend rejects more.
 const MAX_CONCURRENCY: usize = 30;
-/// How a backend that serves may fail nevertheless.
+/// The outcomes of failing attempts at a backend that serves requests.
 const FAILURES: [Outcome; 4] = [Outcome::Error, Outcome::Rejected, Outcome::NoConnection, Outcome::Reset];
 
-/// The end that an attempt comes to if nobody interferes.
+/// The end of an attempt that is neither cancelled nor withdrawn.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// How it ends.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// How long it takes, in seconds.
+    /// The duration of the attempt, in seconds.
     pub duration: Time,
 }
 
@@ -28,7 +28,7 @@
     in_flight: usize,
 }
 
-/// All simulated backends; those that nothing is known of serve at the usual speed.
+/// All simulated backends. A backend without a set behaviour serves requests at the normal speed.
 #[derive(Debug)]
 pub struct SimulatedBackends {
     backends: BTreeMap<BackendId, SimulatedBackend>,
@@ -37,17 +37,17 @@
 }
 
 impl SimulatedBackends {
-    /// Backends that serve this traffic.
+    /// Creates backends that serve this traffic.
     pub fn new(traffic: Traffic, reporting: Reporting) -> Self {
         Self { backends: BTreeMap::new(), traffic, reporting }
     }
 
-    /// From now on the backend behaves so.
+    /// Changes the behaviour of a backend.
     pub fn set_behaviour(&mut self, id: BackendId, behaviour: Behaviour) {
         self.backend(id).behaviour = behaviour;
     }
 
-    /// Begins an attempt, and draws the end that it comes to within `timeout` seconds.
+    /// Begins an attempt, and draws the end of the attempt within `timeout` seconds.
     pub fn begin_attempt(&mut self, id: BackendId, timeout: Time, random: &mut SmallRng) -> AttemptEnd {
         let Traffic { service_time, failing, .. } = self.traffic;
         let fails = random.random::<f64>() < failing;
@@ -63,8 +63,8 @@
                 AttemptEnd { outcome: Outcome::Rejected, duration: service_time * spread }
             }
             _ if fails => AttemptEnd { outcome: failure, duration: service_time * (0.25 + 0.5 * spread) },
-            Behaviour::Serves { slowness } => {
-                let work = service_time * slowness * (0.4 + 1.8 * spread * spread);
+            Behaviour::Serves { latency_factor } => {
+                let work = service_time * latency_factor * (0.4 + 1.8 * spread * spread);
                 AttemptEnd { outcome: Outcome::Success, duration: work * waiting }
             }
         };
@@ -76,15 +76,15 @@
         self.backend(id).in_flight -= 1;
     }
 
-    /// Draws what the backend reports of its load.
+    /// Draws the load report of a backend.
     pub fn report(&mut self, id: BackendId, random: &mut SmallRng) -> Option<LoadReport> {
         let service_time = self.traffic.service_time * (0.8 + 0.4 * random.random::<f64>());
         let rate = self.traffic.rate * (0.8 + 0.4 * random.random::<f64>());
-        let slowness = match self.backend(id).behaviour {
-            Behaviour::Serves { slowness } => slowness,
+        let latency_factor = match self.backend(id).behaviour {
+            Behaviour::Serves { latency_factor } => latency_factor,
             Behaviour::Hangs | Behaviour::Fails(_) => 1.0,
         };
-        let service_time = Some(service_time * slowness);
+        let service_time = Some(service_time * latency_factor);
         match self.reporting {
             Reporting::Nothing => None,
             Reporting::ServiceTimes => Some(LoadReport { service_time, requests_per_second: None }),
@@ -95,7 +95,7 @@
     }
 
     fn backend(&mut self, id: BackendId) -> &mut SimulatedBackend {
-        let usual = SimulatedBackend { behaviour: Behaviour::Serves { slowness: 1.0 }, in_flight: 0 };
-        self.backends.entry(id).or_insert(usual)
+        let normal = SimulatedBackend { behaviour: Behaviour::Serves { latency_factor: 1.0 }, in_flight: 0 };
+        self.backends.entry(id).or_insert(normal)
     }
 }
--- a/crates/balancer/tests/replay/simulation.rs
+++ b/crates/balancer/tests/replay/simulation.rs
@@ -9,9 +9,9 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// How long discovery takes at most to answer a poll, in seconds.
+/// The longest time that discovery takes to answer a poll, in seconds.
 const MAX_POLL_DURATION: Time = 0.05;
-/// How long a health check takes at most, in seconds.
+/// The longest duration of a health check, in seconds.
 const MAX_HEALTH_CHECK_DURATION: Time = 0.02;
 /// The time after the last arrival at which a simulation ends, in seconds.
 const FINAL_WAIT: Time = 5.0;
@@ -19,24 +19,24 @@
 /// An event that the balancer has handled.
 #[derive(Clone, Copy, Debug)]
 pub struct HandledEvent<'a> {
-    /// Its number in the scenario, from 0.
+    /// The number of the event in the scenario, from 0.
     pub number: usize,
-    /// Its time, in seconds.
+    /// The time of the event, in seconds.
     pub time: Time,
     /// The event.
     pub event: Event<'a>,
-    /// What the balancer returned.
+    /// The actions that the balancer returned.
     pub actions: &'a [Action],
 }
 
 /// A request without a final response.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OpenRequest {
-    /// When its body has been received, in seconds.
+    /// The time at which the body has been received, in seconds.
     pub body_received_at: Time,
-    /// Time until its client gives up, from then on, in seconds.
+    /// The time from the end of the body until the client gives up, in seconds.
     pub timeout: Time,
-    /// Attempts so far.
+    /// The number of attempts so far.
     pub attempts: usize,
 }
 
@@ -60,7 +60,7 @@
     observe: &'a mut dyn FnMut(&HandledEvent<'_>),
 }
 
-/// Plays a scenario from its begin to its end, and shows each event to the observer.
+/// Plays a scenario, and shows each event to the observer.
 pub fn play(scenario: &Scenario, observe: &mut dyn FnMut(&HandledEvent<'_>)) {
     let mut simulation = Simulation::new(scenario, observe);
     simulation.start();
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Has the balancer handle an event, and does what it wants done.
+    /// Passes an event to the balancer, and performs the actions that the balancer returns.
     pub(crate) fn handle(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings that change while the decision module runs: all at once, between two events, and nothing is
-//! lost.
+//! Settings that change while the decision module runs: all at once, between two events, and without losing
+//! requests or estimates.
 
 mod common;
 
@@ -20,7 +20,8 @@
     Request { id: RequestId(id), class, timeout: 2.0, ..Request::default() }
 }
 
-/// The time from the arrival of a request to its first retry. Its client disconnects afterwards.
+/// Returns the time from the arrival of a request to its first retry, in seconds. The client of the request
+/// disconnects afterwards.
 fn time_to_first_retry(harness: &mut BalancerHarness, id: u64, class: usize) -> Time {
     let start = harness.now;
     harness.handle(Event::Request(request_of_class(id, class)));
@@ -31,14 +32,14 @@
 }
 
 #[test]
-fn the_estimates_of_a_class_stay_with_its_name() {
+fn keeps_the_estimates_of_a_class_whose_index_changes() {
     let classes = vec![named_class("a", Effect::Safe), named_class("b", Effect::Safe)];
     let before = Settings { classes: classes.clone(), ..safe_settings() };
     let mut harness = BalancerHarness::new(before.clone(), &[endpoint(1), endpoint(2)]);
     for id in 0..50 {
         harness.serve(id, 0.05);
     }
-    // The first retry follows soon after the usual 0.05 s; that of an unknown class much later.
+    // The first retry follows soon after the expected latency of 0.05 s; in an unknown class much later.
     assert!(time_to_first_retry(&mut harness, 100, 0) < 0.2);
 
     let after = Settings { classes: vec![named_class("new", Effect::Safe), classes[0].clone()], ..before };
@@ -48,7 +49,7 @@
     assert!(time_to_first_retry(&mut harness, 102, 0) > 0.4);
 }
 
-/// A request arrives under some settings, which change before its attempt ends.
+/// A change of the settings between the arrival of a request and the end of its attempt.
 struct SettingsChange {
     on_arrival: Settings,
     afterwards: Settings,
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_request_ends_by_the_settings_in_force_on_its_arrival() {
+fn ends_a_request_by_the_settings_in_force_on_its_arrival() {
     for SettingsChange { on_arrival, afterwards, outcome, is_retried } in settings_changes() {
         let mut harness = BalancerHarness::new(on_arrival, &[endpoint(1), endpoint(2)]);
         let sent = sends(&harness.handle(Event::Request(request_of_class(1, 0))))[0];
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn the_used_quota_of_a_tenant_stays_with_its_name() {
+fn ends_open_requests_of_tenants_that_are_moved_or_removed() {
     let mut settings = Settings {
         tier: 0,
         tenants: vec![tenant("x", 1.0), tenant("y", 1.0)],
@@ -112,7 +113,7 @@
     };
     assert_eq!(sends(&send_for_tenant(&mut harness, 1, 0)).len(), 1);
 
-    // Open requests of tenants that are removed, or have another index, end as ever.
+    // Open requests of tenants that are removed, or have another index, end like all others.
     settings.tenants = vec![tenant("z", 1.0), tenant("x", 1.0)];
     harness.handle(Event::Settings(&settings));
     assert_eq!(sends(&send_for_tenant(&mut harness, 2, 1)).len(), 1);
@@ -127,7 +128,7 @@
     harness.balancer.members().collect()
 }
 
-/// The number of backends and of balancers.
+/// The numbers of backends and balancers.
 struct FleetSize {
     backends: u32,
     balancers: usize,
@@ -143,7 +144,7 @@
 ];
 
 #[test]
-fn adding_or_removing_a_balancer_moves_few_members_and_leaves_no_backend_out() {
+fn moves_few_members_and_leaves_no_backend_out_when_the_number_of_balancers_changes() {
     for FleetSize { backends, balancers } in FLEET_SIZES {
         let list: Vec<_> = (0..backends).map(|index| endpoint(100 + 7 * index)).collect();
         let settings =
@@ -166,7 +167,7 @@
                 moved += subset_before.difference(&subset(harness)).count();
             }
             let members: usize = before.iter().map(BTreeSet::len).sum();
-            // Where subsets keep their size none moves; else arcs of the ring shift against one another.
+            // Where subsets keep their size no member moves; else the subsets of a round overlap differently.
             let same_size = fleet[0].balancer.members().count() == before[0].len();
             assert!(
                 moved * 3 <= members * 2 && (!same_size || moved == 0),
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn applying_the_same_settings_again_changes_nothing() {
+fn changes_nothing_when_the_same_settings_are_applied_again() {
     let list: Vec<_> = (0..9).map(endpoint).collect();
     let settings = Settings { instance_count: 4, instance_index: 1, ..safe_settings() };
     let mut unchanged = BalancerHarness::new(settings.clone(), &list);
