--- a/crates/balancer-proxy/src/control/config/mod.rs
+++ b/crates/balancer-proxy/src/control/config/mod.rs
@@ -74,7 +74,7 @@
             seed: translation::parse_seed(raw.seed.as_deref())?,
             limits: raw.limits.into_process_limits(),
             cached_endpoints,
-            snapshot: raw.settings.into_snapshot()?,
+            snapshot: translation::into_snapshot(raw.settings)?,
             file_digest: digest(&text),
         })
     }
--- a/crates/balancer-proxy/src/control/config/validation.rs
+++ b/crates/balancer-proxy/src/control/config/validation.rs
@@ -2,23 +2,21 @@
 //! fall back to.
 
 use super::error::ConfigError;
-use super::raw::{RawCapabilities, RawClass, RawConfig, RawCosts, RawRules, RawSettings, RawTenant};
-use balancer::Settings;
+use super::raw::RawConfig;
+use balancer_settings::{
+    RawClass, RawCosts, RawRules, RawSettings, VALID_QUANTITY, defaults, is_valid_quantity,
+};
 use std::collections::HashSet;
 use std::fmt::Display;
 
-/// Returns the value if it is finite and not negative.
-pub(super) fn not_negative(field: impl Display, value: f64) -> Result<f64, ConfigError> {
-    if value.is_finite() && value >= 0.0 {
-        Ok(value)
-    } else {
-        Err(ConfigError::invalid_value(field, "a number not below 0", value))
-    }
-}
-
-/// Checks a value that may be absent.
+/// Checks a quantity that may be absent.
 fn check_not_negative(field: impl Display, value: Option<f64>) -> Result<(), ConfigError> {
-    value.map_or(Ok(()), |value| not_negative(field, value).map(drop))
+    match value {
+        Some(value) if !is_valid_quantity(value) => {
+            Err(ConfigError::invalid_value(field, VALID_QUANTITY, value))
+        }
+        _ => Ok(()),
+    }
 }
 
 /// Checks that no two of the names in `settings.{list}` are equal, as they identify their entries.
@@ -36,85 +34,65 @@
 impl RawConfig {
     /// Checks a file that is read while requests are served. The first fault found is returned.
     pub(super) fn validate_for_reload(&self) -> Result<(), ConfigError> {
-        self.settings.check_identity()?;
+        check_identity(&self.settings)?;
         check_not_negative("limits.memory_mb", self.limits.memory_mb)?;
-        self.settings.check_ranges()
+        check_ranges(&self.settings)
     }
 }
 
-impl RawSettings {
-    fn check_identity(&self) -> Result<(), ConfigError> {
-        if !self.version.is_null() && !self.version.is_u64() {
-            return Err(ConfigError::invalid_value("settings.version", "a whole number", &self.version));
-        }
-        check_distinct("classes", self.classes.iter().map(|class| &class.name))?;
-        check_distinct("projects", self.projects.iter().map(|tenant| &tenant.name))?;
-        let instances = self.n_instances.unwrap_or(Settings::default().instance_count);
-        if self.me >= instances {
-            let expected = format_args!("less than n-instances, {instances}");
-            return Err(ConfigError::invalid_value("settings.me", expected, self.me));
-        }
-        Ok(())
+/// Checks the version, the names of classes and tenants, and the index of this proxy.
+fn check_identity(settings: &RawSettings) -> Result<(), ConfigError> {
+    if !settings.version.is_null() && !settings.version.is_u64() {
+        return Err(ConfigError::invalid_value("settings.version", "a whole number", &settings.version));
     }
-
-    fn check_ranges(&self) -> Result<(), ConfigError> {
-        check_not_negative("settings.over-share-worth", self.over_share_worth)?;
-        check_not_negative("settings.quantum", self.quantum)?;
-        self.caps.check_ranges()?;
-        self.costs.check_ranges()?;
-        self.rules.check_ranges()?;
-        for (index, class) in self.classes.iter().enumerate() {
-            class.check_ranges(index)?;
-        }
-        for (index, tenant) in self.projects.iter().enumerate() {
-            tenant.check_ranges(index)?;
-        }
-        Ok(())
+    check_distinct("classes", settings.classes.iter().map(|class| &class.name))?;
+    check_distinct("projects", settings.projects.iter().map(|tenant| &tenant.name))?;
+    let instances = settings.n_instances.unwrap_or(defaults::INSTANCE_COUNT);
+    if settings.me >= instances {
+        let expected = format_args!("less than n-instances, {instances}");
+        return Err(ConfigError::invalid_value("settings.me", expected, settings.me));
     }
+    Ok(())
 }
 
-impl RawCapabilities {
-    /// The timeouts are checked where they are translated, at startup too.
-    fn check_ranges(&self) -> Result<(), ConfigError> {
-        check_not_negative("settings.caps.max-retry-after", Some(self.max_retry_after))
+/// Checks the quantities that startup accepts unchecked. The time-outs, the grace period, the latency
+/// objectives and the deadlines are checked where they are translated, at startup too.
+fn check_ranges(settings: &RawSettings) -> Result<(), ConfigError> {
+    check_not_negative("settings.over-share-worth", settings.over_share_worth)?;
+    check_not_negative("settings.quantum", settings.quantum)?;
+    check_not_negative("settings.caps.max-retry-after", Some(settings.caps.max_retry_after))?;
+    check_costs(&settings.costs)?;
+    check_rules(&settings.rules)?;
+    for (index, class) in settings.classes.iter().enumerate() {
+        check_class(index, class)?;
     }
-}
-
-impl RawCosts {
-    fn check_ranges(&self) -> Result<(), ConfigError> {
-        check_not_negative("settings.costs.connection", Some(self.connection))?;
-        check_not_negative("settings.costs.cross-zone", Some(self.cross_zone))?;
-        check_not_negative("settings.costs.handshake", Some(self.handshake))
+    for (index, tenant) in settings.projects.iter().enumerate() {
+        check_not_negative(format_args!("settings.projects[{index}].quota-per-s"), tenant.quota_per_s)?;
     }
+    Ok(())
 }
 
-impl RawRules {
-    /// The grace period is checked where it is translated, at startup too.
-    fn check_ranges(&self) -> Result<(), ConfigError> {
-        check_not_negative("settings.rules.ask-within", self.ask_within)?;
-        check_not_negative("settings.rules.cold", self.cold)?;
-        check_not_negative("settings.rules.cold-share", self.cold_share)?;
-        check_not_negative("settings.rules.fall-multiple", self.fall_multiple)?;
-        check_not_negative("settings.rules.tip-after", self.tip_after)?;
-        check_not_negative("settings.rules.settle-after-doubt", self.settle_after_doubt)?;
-        check_not_negative("settings.rules.release-within", self.release_within)
-    }
+fn check_costs(costs: &RawCosts) -> Result<(), ConfigError> {
+    check_not_negative("settings.costs.connection", Some(costs.connection))?;
+    check_not_negative("settings.costs.cross-zone", Some(costs.cross_zone))?;
+    check_not_negative("settings.costs.handshake", Some(costs.handshake))
 }
 
-impl RawClass {
-    /// The latency objective and the deadline are checked where they are translated, at startup too.
-    fn check_ranges(&self, index: usize) -> Result<(), ConfigError> {
-        let check = |key: &str, value: Option<f64>| {
-            check_not_negative(format_args!("settings.classes[{index}].{key}"), value)
-        };
-        check("late-worth", self.late_worth)?;
-        check("worth", self.worth)?;
-        check("window", self.window)
-    }
+fn check_rules(rules: &RawRules) -> Result<(), ConfigError> {
+    check_not_negative("settings.rules.ask-within", rules.ask_within)?;
+    check_not_negative("settings.rules.cold", rules.cold)?;
+    check_not_negative("settings.rules.cold-share", rules.cold_share)?;
+    check_not_negative("settings.rules.fall-multiple", rules.fall_multiple)?;
+    check_not_negative("settings.rules.tip-after", rules.tip_after)?;
+    check_not_negative("settings.rules.settle-after-doubt", rules.settle_after_doubt)?;
+    check_not_negative("settings.rules.release-within", rules.release_within)
 }
 
-impl RawTenant {
-    fn check_ranges(&self, index: usize) -> Result<(), ConfigError> {
-        check_not_negative(format_args!("settings.projects[{index}].quota-per-s"), self.quota_per_s)
-    }
+fn check_class(index: usize, class: &RawClass) -> Result<(), ConfigError> {
+    let check = |key: &str, value: Option<f64>| {
+        check_not_negative(format_args!("settings.classes[{index}].{key}"), value)
+    };
+    check("late-worth", class.late_worth)?;
+    check("worth", class.worth)?;
+    check("window", class.window)
 }
--- a/crates/simulator-adapter/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -1,19 +1,40 @@
 //! The settings of an instance, given as `path=value` pairs.
 //!
-//! Unknown paths are skipped. As with the real proxy, absent ones have defaults, and a class counts
-//! as unsafe to retry unless the settings say otherwise.
+//! The pairs are read into the raw form of the crate `balancer-settings`, as the JSON of the configuration
+//! file is, and translated there. These are the differences between the two syntaxes; each has a test in
+//! `tests/settings_syntaxes.rs`:
+//!
+//! - **Negative quantities.** Pairs with a negative number are rejected. The file is checked for most of its
+//!   quantities at a reload only, as a start has no earlier settings to fall back to.
+//! - **Keys without effect.** A pair is read only where it has an effect: the window of an idempotent class,
+//!   the longest `Retry-After` where clients honour one, health checks where load reports come with them.
+//!   The file is deserialized as a whole, so that a value of the wrong type is an error in any case.
+//! - **Flags.** Pairs have `true`, `false`, `1` or `0`; JSON has `true` or `false`.
+//! - **Null.** An optional key of the file may be null, and then counts as absent. Pairs have no null.
+//! - **Repeated keys.** The last of several pairs with one path counts. In the file a repeated key is an
+//!   error.
+//! - **Zones.** All instances of the adapter share one numbering of zones, as they share endpoint lists. A
+//!   proxy numbers zones by their positions in `zones`, which the adapter does not read.
+//! - **Load reports.** The simulator sends the values of a report without names, in the order of
+//!   `stats.fields`. Reports over HTTP have named values, so that the proxy does not read that key.
+//! - **Keys of the proxy.** `version`, `caps.connect-timeout`, `caps.idle-close`, `caps.max-open` and
+//!   `rules.drain-grace` concern sockets, which the simulator plays itself: their pairs are skipped.
 
 use super::error::{Result, WireError};
 use super::names::{InstanceNames, NameIndex};
 use super::values;
-use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant};
+use balancer::Settings;
+use balancer_settings::{
+    RawCapabilities, RawClass, RawCosts, RawEffect, RawGroup, RawRegistryMode, RawRules, RawSettings,
+    RawStats, RawTenant, VALID_QUANTITY,
+};
 use std::collections::HashMap;
 
-/// The pairs, by path.
+/// The values of the pairs, by path.
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
-    /// Reads the pairs; of several with one path the last one counts.
+    /// Splits the text into pairs. The last of several pairs with one path counts.
     fn parse(text: &'a str) -> Result<Self> {
         let mut values = HashMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
@@ -36,19 +57,23 @@
         self.get(path).map(|value| values::non_negative(path, value)).transpose()
     }
 
-    fn number_or(&self, path: &str, default: f64) -> Result<f64> {
-        Ok(self.number(path)?.unwrap_or(default))
+    fn number_or_zero(&self, path: &str) -> Result<f64> {
+        Ok(self.number(path)?.unwrap_or(0.0))
+    }
+
+    fn count(&self, path: &str) -> Result<Option<usize>> {
+        self.get(path).map(|value| values::integer(path, value)).transpose()
     }
 
-    fn count(&self, path: &str) -> Result<usize> {
+    fn required_count(&self, path: &str) -> Result<usize> {
         values::integer(path, self.required(path)?)
     }
 
-    fn count_or(&self, path: &str, default: usize) -> Result<usize> {
-        self.get(path).map_or(Ok(default), |value| values::integer(path, value))
+    fn count_or_zero(&self, path: &str) -> Result<usize> {
+        Ok(self.count(path)?.unwrap_or(0))
     }
 
-    /// Whether something is so; what is absent is not.
+    /// Reads a flag, which is not set if the pair is absent.
     fn flag(&self, path: &str) -> Result<bool> {
         match self.get(path) {
             Some("true" | "1") => Ok(true),
@@ -58,119 +83,133 @@
     }
 }
 
-/// Reads settings, and the names that events of the instance will use. `zones` gets its zone.
+/// Reads the settings of an instance, and the names that events of the instance will use. The zone of the
+/// instance is added to `zones`.
+///
+/// # Errors
+///
+/// [`WireError`] if a part of the text is no pair, a required pair is absent, or a value is invalid.
 pub(super) fn parse(text: &str, zones: &mut NameIndex) -> Result<(Settings, InstanceNames)> {
     let pairs = Pairs::parse(text)?;
-    let classes = classes(&pairs)?;
-    let tenants = tenants(&pairs)?;
-    let max_retry_after = max_retry_after(&pairs)?;
+    let raw = raw_settings(&pairs)?;
     let names = InstanceNames {
-        classes: classes.iter().map(|class| class.name.clone()).collect(),
-        tenants: tenants.iter().map(|tenant| tenant.name.clone()).collect(),
+        classes: raw.classes.iter().map(|class| class.name.clone()).collect(),
+        tenants: raw.projects.iter().map(|tenant| tenant.name.clone()).collect(),
         load_report_fields: load_report_fields(&pairs),
     };
-    let default = Settings::default();
-    let settings = Settings {
-        classes,
-        tenants,
-        over_quota_weight: pairs.number_or("over-share-worth", 1.0)?,
-        instance_count: pairs.count_or("n-instances", default.instance_count)?,
-        instance_index: pairs.count_or("me", default.instance_index)?,
-        tier: pairs.count_or("tier", default.tier)?,
-        zone: zones.index(pairs.get("zone").unwrap_or("")),
-        cross_zone_cost: pairs.number_or("costs.cross-zone", 0.0)?,
-        connections_have_cost: connections_have_cost(&pairs)?,
-        health_checks_for_load_reports: health_checks_for_load_reports(&pairs)?,
-        cancellation_allowed: pairs.flag("caps.cancel")?,
-        hedging_allowed: pairs.flag("caps.second-copies")?,
-        max_attempts: pairs.count_or("caps.max-attempts", default.max_attempts)?,
-        max_retry_after,
-        must_poll_endpoints: must_poll_endpoints(&pairs)?,
-        endpoint_poll_limit: pairs.number_or("rules.ask-within", default.endpoint_poll_limit)?,
-        slow_start_initial_capacity: pairs
-            .number_or("rules.cold-share", default.slow_start_initial_capacity)?,
-        slow_start_duration: pairs.number_or("rules.cold", default.slow_start_duration)?,
-        slow_start_overload_multiple: pairs
-            .number_or("rules.fall-multiple", default.slow_start_overload_multiple)?,
-        slow_start_overload_window: pairs.number_or("rules.tip-after", default.slow_start_overload_window)?,
-        key_rest_duration: pairs.number_or("rules.settle-after-doubt", 0.0)?,
-        idle_close_limit: pairs.number("rules.release-within")?,
-        quantum: pairs.number_or("quantum", default.quantum)?,
-    };
+    let zone_index = zones.index(&raw.zone);
+    let settings = raw.into_settings(zone_index).map_err(|invalid| {
+        WireError::invalid_value(&invalid.path, VALID_QUANTITY, &invalid.value.to_string())
+    })?;
     Ok((settings, names))
 }
 
-fn classes(pairs: &Pairs<'_>) -> Result<Vec<RequestClass>> {
-    (0..pairs.count("classes.count")?).map(|index| class(pairs, index)).collect()
+fn raw_settings(pairs: &Pairs<'_>) -> Result<RawSettings> {
+    let stats = RawStats { how: pairs.get("stats.how").unwrap_or_default().to_string() };
+    Ok(RawSettings {
+        classes: classes(pairs)?,
+        projects: tenants(pairs)?,
+        caps: capabilities(pairs, &stats)?,
+        over_share_worth: pairs.number("over-share-worth")?,
+        n_instances: pairs.count("n-instances")?,
+        me: pairs.count_or_zero("me")?,
+        tier: pairs.count_or_zero("tier")?,
+        zone: pairs.get("zone").unwrap_or_default().to_string(),
+        costs: costs(pairs)?,
+        registry_mode: registry_mode(pairs)?,
+        rules: rules(pairs)?,
+        quantum: pairs.number("quantum")?,
+        stats,
+        ..RawSettings::default()
+    })
+}
+
+fn classes(pairs: &Pairs<'_>) -> Result<Vec<RawClass>> {
+    (0..pairs.required_count("classes.count")?).map(|index| class(pairs, index)).collect()
 }
 
-fn class(pairs: &Pairs<'_>, index: usize) -> Result<RequestClass> {
+fn class(pairs: &Pairs<'_>, index: usize) -> Result<RawClass> {
     let path = |key: &str| format!("classes.{index}.{key}");
-    let default = RequestClass::default();
-    let effect = effect(pairs, index)?;
-    let latency_objective = pairs.number(&path("on-time"))?;
-    let max_timeout =
-        pairs.number_or(&path("hard-limit"), latency_objective.unwrap_or(default.max_timeout))?;
-    Ok(RequestClass {
+    let effect = match pairs.get(&path("effect")) {
+        Some("free") => RawEffect::Free,
+        Some("guarded") => RawEffect::Guarded,
+        _ => RawEffect::SingleShot,
+    };
+    let group = match pairs.get(&path("group")) {
+        Some("all") => RawGroup::All,
+        Some("zone") => RawGroup::Zone,
+        _ => RawGroup::Cell,
+    };
+    let window = if effect == RawEffect::Guarded { pairs.number(&path("window"))? } else { None };
+    Ok(RawClass {
         name: pairs.required(&path("name"))?.to_string(),
-        latency_objective: latency_objective.unwrap_or(max_timeout),
-        max_timeout,
-        late_priority_weight: pairs.number_or(&path("late-worth"), default.late_priority_weight)?,
-        priority_weight: pairs.number_or(&path("worth"), default.priority_weight)?,
+        on_time: pairs.number(&path("on-time"))?,
+        hard_limit: pairs.number(&path("hard-limit"))?,
+        late_worth: pairs.number(&path("late-worth"))?,
+        worth: pairs.number(&path("worth"))?,
         effect,
-        ordered_by_key: pairs.flag(&path("fifo-by-key"))?,
+        group,
+        window,
+        fifo_by_key: pairs.flag(&path("fifo-by-key"))?,
     })
 }
 
-fn effect(pairs: &Pairs<'_>, class: usize) -> Result<Effect> {
-    let path = |key: &str| format!("classes.{class}.{key}");
-    match pairs.get(&path("effect")) {
-        Some("free") => Ok(Effect::Safe),
-        Some("guarded") => Ok(Effect::Idempotent {
-            group: match pairs.get(&path("group")) {
-                Some("all") => IdempotencyGroup::All,
-                Some("zone") => IdempotencyGroup::Zone,
-                _ => IdempotencyGroup::Cell,
-            },
-            window: pairs.number_or(&path("window"), 0.0)?,
-        }),
-        _ => Ok(Effect::Unsafe),
-    }
-}
-
-fn tenants(pairs: &Pairs<'_>) -> Result<Vec<Tenant>> {
+fn tenants(pairs: &Pairs<'_>) -> Result<Vec<RawTenant>> {
     let tenant = |index| {
         let name = pairs.required(&format!("projects.{index}.name"))?.to_string();
-        let quota_per_second = pairs.number_or(&format!("projects.{index}.quota-per-s"), f64::MAX)?;
-        Ok(Tenant { name, quota_per_second })
+        let quota_per_s = pairs.number(&format!("projects.{index}.quota-per-s"))?;
+        Ok(RawTenant { name, quota_per_s })
     };
-    (0..pairs.count_or("projects.count", 0)?).map(tenant).collect()
+    (0..pairs.count_or_zero("projects.count")?).map(tenant).collect()
 }
 
-/// The longest `Retry-After`, in seconds; 0 where clients do not heed it.
-fn max_retry_after(pairs: &Pairs<'_>) -> Result<f64> {
-    if pairs.flag("caps.retry-after")? { pairs.number_or("caps.max-retry-after", 0.0) } else { Ok(0.0) }
-}
-
-fn load_report_fields(pairs: &Pairs<'_>) -> Vec<String> {
-    let fields = pairs.get("stats.fields");
-    fields.map(|fields| fields.split(',').map(str::to_string).collect()).unwrap_or_default()
+/// Reads the capabilities. The limits of sockets are left out, as the simulator enforces them.
+fn capabilities(pairs: &Pairs<'_>, stats: &RawStats) -> Result<RawCapabilities> {
+    let retry_after = pairs.flag("caps.retry-after")?;
+    let max_retry_after = if retry_after { pairs.number_or_zero("caps.max-retry-after")? } else { 0.0 };
+    Ok(RawCapabilities {
+        cancel: pairs.flag("caps.cancel")?,
+        max_attempts: pairs.count("caps.max-attempts")?,
+        max_retry_after,
+        probing: stats.reports_on_health_checks_only() && pairs.flag("caps.probing")?,
+        retry_after,
+        second_copies: pairs.flag("caps.second-copies")?,
+        ..RawCapabilities::default()
+    })
 }
 
-fn connections_have_cost(pairs: &Pairs<'_>) -> Result<bool> {
-    let open = pairs.number_or("costs.connection", 0.0)?;
-    let handshake = pairs.number_or("costs.handshake", 0.0)?;
-    Ok(open + handshake > 0.0)
+fn costs(pairs: &Pairs<'_>) -> Result<RawCosts> {
+    Ok(RawCosts {
+        connection: pairs.number_or_zero("costs.connection")?,
+        cross_zone: pairs.number_or_zero("costs.cross-zone")?,
+        handshake: pairs.number_or_zero("costs.handshake")?,
+    })
 }
 
-fn health_checks_for_load_reports(pairs: &Pairs<'_>) -> Result<bool> {
-    Ok(pairs.get("stats.how") == Some("on_probe") && pairs.flag("caps.probing")?)
+/// Reads the rules. The grace period of draining backends is left out, as the simulator has no connections
+/// on which a request may be under way.
+fn rules(pairs: &Pairs<'_>) -> Result<RawRules> {
+    Ok(RawRules {
+        ask_within: pairs.number("rules.ask-within")?,
+        cold: pairs.number("rules.cold")?,
+        cold_share: pairs.number("rules.cold-share")?,
+        fall_multiple: pairs.number("rules.fall-multiple")?,
+        tip_after: pairs.number("rules.tip-after")?,
+        settle_after_doubt: pairs.number("rules.settle-after-doubt")?,
+        release_within: pairs.number("rules.release-within")?,
+        ..RawRules::default()
+    })
 }
 
-fn must_poll_endpoints(pairs: &Pairs<'_>) -> Result<bool> {
+fn registry_mode(pairs: &Pairs<'_>) -> Result<RawRegistryMode> {
     match pairs.get("registry-mode") {
-        Some("automatic") | None => Ok(false),
-        Some("subscribe") => Ok(true),
+        Some("automatic") | None => Ok(RawRegistryMode::Automatic),
+        Some("subscribe") => Ok(RawRegistryMode::Subscribe),
         Some(other) => Err(WireError::invalid_value("registry-mode", "automatic or subscribe", other)),
     }
 }
+
+fn load_report_fields(pairs: &Pairs<'_>) -> Vec<String> {
+    let fields = pairs.get("stats.fields");
+    fields.map(|fields| fields.split(',').map(str::to_string).collect()).unwrap_or_default()
+}
