--- a/crates/balancer-proxy/src/control/config/mod.rs
+++ b/crates/balancer-proxy/src/control/config/mod.rs
@@ -85,3 +85,6 @@
     text.hash(&mut hasher);
     hasher.finish()
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-proxy/src/control/config/tests.rs
@@ -0,0 +1,294 @@
+//! The page `docs/configuration.md` has each environment variable and each key of the configuration file,
+//! with its type and its default, and no other; and each key of the proxy is translated.
+
+use super::raw::{RawCachedEndpoints, RawConfig, RawLimits};
+use super::translation::{self, into_snapshot};
+use crate::control::endpoint_list::{RawEndpoint, RawEndpointList};
+use crate::settings::ProxySettings;
+use balancer_settings::defaults;
+use balancer_settings::keys::{keys_of, settings_keys};
+use serde_json::{Value, json};
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// Number of cells in a row of the page: name, type, range, default, in force, effect.
+const CELLS: usize = 6;
+/// The types of keys whose value is a string.
+const TEXT_TYPES: [&str; 2] = ["text", "address"];
+/// Marks a type of which null is a value.
+const OR_NULL: &str = " or null";
+
+/// A row of the page.
+#[derive(Debug)]
+struct Row {
+    name: String,
+    value_type: String,
+    default: String,
+    in_force: String,
+}
+
+impl Row {
+    fn is_variable(&self) -> bool {
+        self.name.starts_with("RELAY_")
+    }
+
+    fn accepts_null(&self) -> bool {
+        self.value_type.ends_with(OR_NULL)
+    }
+
+    /// Whether the file cannot be parsed without the key.
+    fn is_required(&self) -> bool {
+        self.default == "required" || self.default.starts_with("required in")
+    }
+}
+
+fn repository_path(path: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path)
+}
+
+fn page() -> String {
+    fs::read_to_string(repository_path("docs/configuration.md")).unwrap()
+}
+
+/// The rows of all tables whose first cell is a name in backquotes.
+fn rows(page: &str) -> Vec<Row> {
+    let rows = page.lines().filter(|line| line.starts_with("| `"));
+    rows.map(|line| {
+        let cells: Vec<_> = line.trim_matches('|').split('|').map(str::trim).collect();
+        assert_eq!(cells.len(), CELLS, "{line}");
+        assert!(cells.iter().all(|cell| !cell.is_empty()), "an empty cell: {line}");
+        Row {
+            name: cells[0].trim_matches('`').to_string(),
+            value_type: cells[1].to_string(),
+            default: cells[3].trim_matches('`').to_string(),
+            in_force: cells[4].to_string(),
+        }
+    })
+    .collect()
+}
+
+/// The paths of all keys that deserialization accepts.
+fn accepted_keys() -> BTreeSet<String> {
+    let below = |path: &str, keys: &[&str]| -> Vec<String> {
+        keys.iter().map(|key| format!("{path}{key}")).collect()
+    };
+    let groups = ["limits", "settings"];
+    let mut keys: BTreeSet<String> = below("", keys_of::<RawConfig>()).into_iter().collect();
+    for group in groups {
+        assert!(keys.remove(group), "{group}");
+    }
+    assert_eq!(keys_of::<RawCachedEndpoints>(), ["known"]);
+    let lists = keys_of::<RawEndpointList>().iter().filter(|key| **key != "instances");
+    keys.extend(lists.map(|key| format!("known.{key}")));
+    keys.extend(below("known.instances[].", keys_of::<RawEndpoint>()));
+    keys.extend(below("limits.", keys_of::<RawLimits>()));
+    keys.extend(settings_keys().iter().map(|key| format!("settings.{key}")));
+    keys
+}
+
+/// The environment variables of the proxy that the sources below a folder name in string literals.
+fn variables_in(folder: &Path) -> BTreeSet<String> {
+    let mut variables = BTreeSet::new();
+    for entry in fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            variables.append(&mut variables_in(&path));
+            continue;
+        }
+        if path.file_name().is_some_and(|name| name == "tests.rs") {
+            continue;
+        }
+        let text = fs::read_to_string(path).unwrap();
+        let literals = text.split('"').filter(|literal| literal.starts_with("RELAY_"));
+        variables.extend(literals.map(str::to_string));
+    }
+    variables
+}
+
+/// What the page lacks, and what the program does not have.
+#[derive(Debug, PartialEq, Eq)]
+struct Differences {
+    missing_on_the_page: Vec<String>,
+    unknown_to_the_program: Vec<String>,
+}
+
+fn differences(page: &str) -> Differences {
+    let mut accepted = accepted_keys();
+    accepted.append(&mut variables_in(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src")));
+    let rows = rows(page);
+    let documented: BTreeSet<String> = rows.iter().map(|row| row.name.clone()).collect();
+    assert_eq!(documented.len(), rows.len(), "a name has two rows");
+    Differences {
+        missing_on_the_page: accepted.difference(&documented).cloned().collect(),
+        unknown_to_the_program: documented.difference(&accepted).cloned().collect(),
+    }
+}
+
+/// A file with the required keys only.
+fn required_keys() -> Value {
+    let endpoint = json!({"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "SERVING"});
+    json!({"known": {"generation": 1, "reset": true, "instances": [endpoint]},
+           "limits": {},
+           "settings": {"classes": [{"name": "a"}], "projects": [{"name": "b"}],
+                        "caps": {}, "costs": {}, "rules": {}, "stats": {}}})
+}
+
+fn is_parsed(file: &Value) -> bool {
+    let config = serde_json::from_value::<RawConfig>(file.clone());
+    let cached_endpoints = serde_json::from_value::<RawCachedEndpoints>(file.clone());
+    config.is_ok() && cached_endpoints.is_ok()
+}
+
+/// The object of the file that has the last key of a path, and that key.
+fn parent_of<'a>(file: &'a mut Value, path: &str) -> (&'a mut Value, String) {
+    let pointer = format!("/{}", path.replace("[]", ".0").replace('.', "/"));
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
+    (file.pointer_mut(parent).unwrap(), key.to_string())
+}
+
+fn accepts(path: &str, value: Value) -> bool {
+    let mut file = required_keys();
+    let (parent, key) = parent_of(&mut file, path);
+    parent[key] = value;
+    is_parsed(&file)
+}
+
+fn is_parsed_without(path: &str) -> bool {
+    let mut file = required_keys();
+    let (parent, key) = parent_of(&mut file, path);
+    parent.as_object_mut().unwrap().remove(&key);
+    is_parsed(&file)
+}
+
+/// Whether deserialization accepts the values of the type that the page states, and no others.
+fn has_stated_type(row: &Row) -> bool {
+    let accepts = |value: Value| accepts(&row.name, value);
+    match row.value_type.strip_suffix(OR_NULL).unwrap_or(&row.value_type) {
+        "true or false" => accepts(json!(true)) && !accepts(json!(1)),
+        // A version of another type is read, and counts as none or is rejected later.
+        "whole number" if row.name == "settings.version" => accepts(json!(1)),
+        "whole number" => accepts(json!(1)) && !accepts(json!(1.5)) && !accepts(json!(-1)),
+        "number" => accepts(json!(1.5)) && accepts(json!(1)) && !accepts(json!("1")),
+        "list of text" => accepts(json!(["a", "b"])) && !accepts(json!("a")),
+        value_type if TEXT_TYPES.contains(&value_type) => {
+            let strings = ["a", "127.0.0.1:1", "SERVING", "automatic"];
+            strings.iter().any(|string| accepts(json!(string))) && !accepts(json!(1))
+        }
+        other => panic!("unknown type {other}"),
+    }
+}
+
+#[test]
+fn the_page_has_each_variable_and_key_and_no_other() {
+    let none = Differences { missing_on_the_page: Vec::new(), unknown_to_the_program: Vec::new() };
+
+    assert_eq!(differences(&page()), none);
+}
+
+#[test]
+fn a_missing_and_an_unknown_key_of_the_page_are_found() {
+    let planted = page()
+        .replace("| `settings.rules.cold` |", "| `settings.rules.warm` |")
+        .replace("| `RELAY_LISTEN` |", "| `RELAY_LISTENER` |");
+
+    let found = differences(&planted);
+
+    assert_eq!(found.missing_on_the_page, ["RELAY_LISTEN", "settings.rules.cold"]);
+    assert_eq!(found.unknown_to_the_program, ["RELAY_LISTENER", "settings.rules.warm"]);
+}
+
+#[test]
+fn each_key_has_the_type_that_the_page_states_and_is_required_where_the_page_states_so() {
+    assert!(is_parsed(&required_keys()));
+
+    for row in rows(&page()).iter().filter(|row| !row.is_variable()) {
+        assert!(has_stated_type(row), "{row:?}");
+        assert_eq!(accepts(&row.name, Value::Null), row.accepts_null(), "null: {row:?}");
+        assert_eq!(!is_parsed_without(&row.name), row.is_required(), "{row:?}");
+        assert!(["reload", "start"].contains(&row.in_force.as_str()), "{row:?}");
+    }
+}
+
+#[test]
+fn a_wrong_type_on_the_page_is_found() {
+    let row = |name: &str, value_type: &str| Row {
+        name: name.to_string(),
+        value_type: value_type.to_string(),
+        default: "0".to_string(),
+        in_force: "reload".to_string(),
+    };
+
+    assert!(!has_stated_type(&row("settings.rules.cold", "whole number")));
+    assert!(!has_stated_type(&row("settings.me", "number")));
+    assert!(!has_stated_type(&row("settings.caps.cancel", "text")));
+}
+
+#[test]
+fn the_page_has_the_defaults_of_the_code() {
+    let seconds = |duration: Duration| duration.as_secs_f64().to_string();
+    let defaults = [
+        ("seed", translation::DEFAULT_SEED.to_string()),
+        ("limits.sockets", translation::DEFAULT_DESCRIPTORS.to_string()),
+        ("limits.memory_mb", translation::DEFAULT_MEMORY_MB.to_string()),
+        ("settings.caps.connect-timeout", seconds(translation::DEFAULT_CONNECT_TIMEOUT)),
+        ("settings.caps.idle-close", seconds(translation::DEFAULT_IDLE_TIMEOUT)),
+        ("settings.rules.drain-grace", seconds(translation::DEFAULT_DRAIN_GRACE_PERIOD)),
+        ("settings.caps.max-attempts", defaults::MAX_ATTEMPTS.to_string()),
+        ("settings.n-instances", defaults::INSTANCE_COUNT.to_string()),
+        ("settings.over-share-worth", defaults::OVER_QUOTA_WEIGHT.to_string()),
+        ("settings.quantum", defaults::QUANTUM.to_string()),
+        ("settings.rules.ask-within", defaults::ENDPOINT_POLL_LIMIT.to_string()),
+        ("settings.rules.cold", defaults::SLOW_START_DURATION.to_string()),
+        ("settings.rules.cold-share", defaults::SLOW_START_INITIAL_CAPACITY.to_string()),
+        ("settings.rules.fall-multiple", defaults::SLOW_START_OVERLOAD_MULTIPLE.to_string()),
+        ("settings.rules.tip-after", defaults::SLOW_START_OVERLOAD_WINDOW.to_string()),
+        ("settings.rules.settle-after-doubt", defaults::KEY_REST_DURATION.to_string()),
+        ("settings.classes[].late-worth", defaults::LATE_PRIORITY_WEIGHT.to_string()),
+        ("settings.classes[].worth", defaults::PRIORITY_WEIGHT.to_string()),
+        ("settings.classes[].window", defaults::IDEMPOTENCY_WINDOW.to_string()),
+    ];
+    let rows = rows(&page());
+
+    for (name, default) in defaults {
+        let row = rows.iter().find(|row| row.name == name).unwrap();
+
+        assert_eq!(row.default, default, "{name}");
+    }
+}
+
+#[test]
+fn each_key_of_the_proxy_is_translated() {
+    let settings = json!({
+        "classes": [{"name": "look"}], "projects": [{"name": "acme"}],
+        "caps": {"connect-timeout": 0.5, "idle-close": 8, "max-open": 70}, "rules": {"drain-grace": 0.25},
+        "version": 12, "zone": "east", "zones": ["north", "east"]
+    });
+
+    let snapshot = into_snapshot(serde_json::from_value(settings).unwrap()).unwrap();
+
+    let expected = ProxySettings {
+        version: Some(12),
+        classes: vec!["look".to_string()],
+        tenants: vec!["acme".to_string()],
+        zones: vec!["north".to_string(), "east".to_string()],
+        zone: "east".to_string(),
+        connect_timeout: Duration::from_millis(500),
+        idle_timeout: Duration::from_secs(8),
+        drain_grace_period: Duration::from_millis(250),
+        max_open_requests: 70,
+    };
+    assert_eq!(snapshot.proxy, expected);
+    assert_eq!(snapshot.balancer.zone, 1);
+}
+
+#[test]
+fn a_zone_that_is_not_listed_is_numbered_after_the_listed_ones() {
+    let settings = json!({"classes": [], "zone": "west", "zones": ["north", "east"]});
+
+    let snapshot = into_snapshot(serde_json::from_value(settings).unwrap()).unwrap();
+
+    assert_eq!(snapshot.balancer.zone, 2);
+    assert_eq!(snapshot.proxy.zones, ["north", "east", "west"]);
+}
--- a/crates/balancer-proxy/src/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -10,19 +10,19 @@
 use std::time::Duration;
 
 /// Memory of the process in mebibytes, if the file states none.
-const DEFAULT_MEMORY_MB: f64 = 192.0;
+pub(super) const DEFAULT_MEMORY_MB: f64 = 192.0;
 /// Number of file descriptors of the process, if the file states none.
-const DEFAULT_DESCRIPTORS: usize = 1024;
+pub(super) const DEFAULT_DESCRIPTORS: usize = 1024;
 /// Longest time in which a connection to a backend is established. Backends are near: one that takes longer
 /// is down, and waiting for it would use up the deadline of the request.
-const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+pub(super) const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which a backend closes an idle connection. Most backends wait longer, so that the proxy gives a
 /// connection up first and sends no request on a connection that is being closed.
-const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+pub(super) const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Grace period after a notification that a backend is draining; the figure of the simulator's example.
-const DEFAULT_DRAIN_GRACE_PERIOD: Duration = Duration::from_secs(1);
+pub(super) const DEFAULT_DRAIN_GRACE_PERIOD: Duration = Duration::from_secs(1);
 /// Seed of the decision module in hexadecimal digits, if the file states none.
-const DEFAULT_SEED: &str = "0";
+pub(super) const DEFAULT_SEED: &str = "0";
 
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
