--- /dev/null
+++ b/crates/balancer-proxy/tests/example_configuration.rs
@@ -0,0 +1,74 @@
+//! The example configuration below `deploy/example/` works as it stands.
+
+mod common;
+
+use common::configuration::{endpoint_list, listed_endpoint};
+use common::http::response;
+use common::proxy_process::ProxyProcess;
+use common::scripted_discovery::ScriptedDiscovery;
+use common::stub_server::{StubServer, wait_for_end};
+use common::waiting::wait_for;
+use serde_json::{Value, json};
+use std::io::Write;
+use std::ops::ControlFlow;
+use std::path::Path;
+
+/// A request of a class of the example.
+const REQUEST: &str = "GET /hello HTTP/1.1\r\nHost: p\r\nX-Txn: 00000000000000a1\r\nX-Lane: browse\r\n\r\n";
+
+fn example() -> Value {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example/balancer-proxy.json");
+    serde_json::from_str(&std::fs::read_to_string(path).unwrap()).unwrap()
+}
+
+/// A discovery that lists this backend at its first call, and has no watch event.
+fn discovery_of(backend: &StubServer) -> ScriptedDiscovery {
+    let list = endpoint_list(1, true, &[listed_endpoint("s-0", backend.address, "SERVING")]).to_string();
+    ScriptedDiscovery::new(move |earlier_calls, stream| {
+        if earlier_calls > 0 {
+            wait_for_end(stream);
+            return ControlFlow::Break(());
+        }
+        stream.get_mut().write_all(response("200 OK", &list).as_bytes()).unwrap();
+        ControlFlow::Continue(())
+    })
+}
+
+/// Starts the proxy with the example; only the addresses are replaced.
+fn start_proxy(discovery: &ScriptedDiscovery) -> ProxyProcess {
+    let mut configuration = example();
+    configuration["management"] = json!("127.0.0.1:0");
+    configuration["discovery"] = json!(discovery.server.address.to_string());
+    ProxyProcess::with_configuration(&configuration, discovery.server.address)
+}
+
+#[test]
+fn the_example_serves_a_request_of_its_class() {
+    let backend = StubServer::responding_with("hello");
+    let discovery = discovery_of(&backend);
+    let proxy = start_proxy(&discovery);
+    proxy.wait_until_ready();
+
+    let response = proxy.exchange(REQUEST);
+
+    assert_eq!(response.status(), 200);
+    assert_eq!(response.body, b"hello");
+    wait_for("the count", || proxy.stats()["results"]["browse"]["succeeded"] == 1);
+}
+
+#[test]
+fn a_reload_accepts_the_example() {
+    let backend = StubServer::responding_with("hello");
+    let discovery = discovery_of(&backend);
+    let proxy = start_proxy(&discovery);
+    proxy.wait_until_ready();
+    let mut changed = example();
+    changed["discovery"] = json!(discovery.server.address.to_string());
+    changed["settings"]["version"] = json!(2);
+
+    proxy.replace_configuration(&changed);
+    proxy.signal("-HUP");
+
+    wait_for("the reload", || proxy.stats()["settings"]["version"] == 2);
+    assert_eq!(proxy.stats()["settings"]["refused"], 0);
+}
