--- a/crates/balancer-proxy/src/lib.rs
+++ b/crates/balancer-proxy/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod engine;
 pub mod limits;
 pub mod metrics;
+pub mod process;
 pub mod settings;
 pub mod stream_error;
 pub mod upstream;
--- /dev/null
+++ b/crates/balancer-proxy/src/process/mod.rs
@@ -0,0 +1,84 @@
+//! One process of the proxy, from its start to the end of its graceful shutdown.
+//!
+//! [`run`] starts the parts in the order that they depend on one another: signals, configuration,
+//! management address, engine and discovery, client listener, reloads. The modules:
+//!
+//! - `error`: why a start fails
+//! - `signals`: the signals that the process handles
+//! - `management_resources`: the management address and the files that two processes share
+//! - `proxy`: the engine, discovery and the server, as they are connected to one another
+//! - `other_process`: the checks for a second process on the listen address
+//!
+//! A proxy with a management address may be replaced by a second process on the same listen address.
+//! The two share the state files, and each uses half of the limits while both run.
+
+mod error;
+mod management_resources;
+mod other_process;
+mod proxy;
+mod signals;
+
+pub use self::error::StartError;
+
+use self::management_resources::{ManagementResources, announce_listening};
+use self::proxy::Proxy;
+use self::signals::Signals;
+use crate::control::config::{Config, FileStamp, LoadMode};
+use crate::control::management::MAX_MANAGEMENT_CONNECTIONS;
+use crate::control::reload::{ReloadTargets, Reloader};
+use crate::downstream::server;
+use crate::limits::Capacities;
+use crate::log;
+use std::rc::Rc;
+
+/// Descriptors reserved for the management address: its listener and its connections.
+const MANAGEMENT_DESCRIPTORS: usize = 1 + MAX_MANAGEMENT_CONNECTIONS;
+
+/// Runs the proxy as the environment and the configuration file describe it, until the graceful
+/// shutdown that SIGTERM begins is complete.
+///
+/// # Errors
+///
+/// [`StartError`] if the configuration is invalid, or if an address or a signal can't be used.
+///
+/// # Panics
+///
+/// Panics outside of a [`tokio::task::LocalSet`], on which the proxy spawns its tasks.
+pub async fn run() -> Result<(), StartError> {
+    // First of all, as an unhandled signal ends the process.
+    let signals = Signals::install()?;
+    // Before the file is read, so that a later change of the file is noticed.
+    let file_stamp = FileStamp::of_config_file();
+    let mut config = Config::load(LoadMode::Startup)?;
+    let management = match config.management {
+        Some(address) => Some(ManagementResources::open(address, config.listen).await?),
+        None => None,
+    };
+    let has_management = management.is_some();
+    let instance_lock = management.as_ref().and_then(|management| management.instance_lock.clone());
+    let replaces_other_process = instance_lock.as_ref().is_some_and(|lock| lock.is_shared());
+
+    let reserved_descriptors = if has_management { MANAGEMENT_DESCRIPTORS } else { 0 };
+    let capacities = Capacities::new(config.limits.share(replaces_other_process), reserved_descriptors);
+    let proxy = Proxy::start(&mut config, capacities, management);
+    if replaces_other_process {
+        proxy.wait_for_endpoint_list().await;
+    }
+    let listener = server::bind(config.listen, has_management)?;
+    log!("balancer-proxy: listening on {}", listener.local_addr()?);
+
+    let targets = ReloadTargets {
+        server: proxy.server.clone(),
+        engine: proxy.engine.clone(),
+        discovery: proxy.discovery.clone(),
+        instance_lock: instance_lock.clone(),
+    };
+    let reloader = Rc::new(Reloader::new(targets, &config, file_stamp, reserved_descriptors));
+    if let Some(instance_lock) = instance_lock {
+        announce_listening(&instance_lock, config.listen);
+        tokio::task::spawn_local(other_process::check_periodically(reloader.clone()));
+    }
+    proxy.serve(listener, signals, reloader).await;
+    log!("balancer-proxy: stopped");
+    Ok(())
+}
--- /dev/null
+++ b/crates/balancer-proxy/src/process/other_process.rs
@@ -0,0 +1,16 @@
+//! The periodic check for a second process on the listen address.
+
+use crate::control::reload::Reloader;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How often a process checks whether another one runs on its address, and with which settings.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Lets the reloader check for another process on the same address, for as long as this one runs.
+pub(super) async fn check_periodically(reloader: Rc<Reloader>) {
+    loop {
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        reloader.check_other_process();
+    }
+}
--- /dev/null
+++ b/crates/balancer-proxy/src/process/signals.rs
@@ -0,0 +1,25 @@
+//! The signals that the process handles.
+
+use std::io;
+use tokio::signal::unix::{Signal, SignalKind, signal};
+
+/// The signals that the process handles. All others have their default effect.
+pub(super) struct Signals {
+    /// SIGHUP, which requests a reload of the configuration.
+    pub(super) hangup: Signal,
+    /// SIGTERM, which requests a graceful shutdown.
+    pub(super) terminate: Signal,
+}
+
+impl Signals {
+    /// Installs the handlers. Signals that arrive from now on are kept until they are received.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the operating system refuses a handler.
+    pub(super) fn install() -> io::Result<Self> {
+        let hangup = signal(SignalKind::hangup())?;
+        let terminate = signal(SignalKind::terminate())?;
+        Ok(Self { hangup, terminate })
+    }
+}
