--- a/crates/balancer-proxy/src/control/discovery/client.rs
+++ b/crates/balancer-proxy/src/control/discovery/client.rs
@@ -1,4 +1,5 @@
-//! One HTTP call to discovery at a time, on a connection that is reused while it works.
+//! The HTTP client of discovery: makes one call at a time, on a connection that is reused until it
+//! fails.
 
 use crate::control::endpoint_list::RawEndpointList;
 use crate::upstream::connection::{Connection, connect};
@@ -12,40 +13,55 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Largest response body that is accepted.
+/// Largest response body that is accepted, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why a call has no usable response.
+/// Why a call has failed.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
+    /// The response was not complete before the timeout.
     #[error("no response in time")]
     Timeout,
+    /// Discovery closed the connection before the response was complete.
     #[error("the connection ended")]
     ConnectionClosed,
+    /// The connection could not be established.
     #[error("cannot connect: {0}")]
     Connect(#[source] io::Error),
+    /// The request could not be built.
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] hyper::http::Error),
+    /// The response violates HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
+    /// The response has this status, which does not mean success.
     #[error("status {0}")]
     Status(u16),
+    /// The response body broke off or exceeds [`MAX_LIST_BYTES`].
     #[error("body: {0}")]
     Body(#[source] Box<dyn StdError + Send + Sync>),
+    /// The response body is not an endpoint list.
     #[error("list: {0}")]
     InvalidList(#[from] serde_json::Error),
 }
 
-/// What is requested of discovery.
+/// A request for the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ListRequest {
-    /// The full list, at once.
+    /// Requests the full list, for which discovery does not wait.
     Full,
-    /// The changes since a generation; held back for up to `max_wait` while there are none.
-    ChangesSince { generation: u64, max_wait: Duration },
+    /// Requests the changes since a list. Discovery responds when there is a change, or without any
+    /// change after a wait.
+    ChangesSince {
+        /// Generation of the list that the changes apply to.
+        generation: u64,
+        /// Longest wait for a change.
+        max_wait: Duration,
+    },
 }
 
 impl ListRequest {
+    /// Returns the path and the query of the request.
     fn path(self) -> String {
         match self {
             Self::Full => "/api/targets".to_string(),
@@ -55,7 +71,7 @@
         }
     }
 
-    /// How long discovery may hold the response back.
+    /// Returns how long discovery may wait for a change before it responds.
     fn max_wait(self) -> Duration {
         match self {
             Self::Full => Duration::ZERO,
@@ -64,20 +80,26 @@
     }
 }
 
-/// Calls discovery at one address. Dropping it ends the call in progress and the connection.
+/// Calls discovery at one address. Dropping the client ends the call in progress and the connection.
 pub(super) struct DiscoveryClient {
+    /// The address of discovery.
     address: SocketAddr,
-    /// The connection of the last call, if that succeeded.
+    /// The connection of the last call, if that call succeeded.
     idle_connection: Option<Connection>,
 }
 
 impl DiscoveryClient {
+    /// Creates a client without a connection.
     pub(super) fn new(address: SocketAddr) -> Self {
         Self { address, idle_connection: None }
     }
 
-    /// Makes one call. It fails if it takes longer than the wait that it requests and
-    /// `response_timeout` together, with connecting.
+    /// Makes one call, for which a connection is established if none is idle.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError`] if there is no valid list after the wait that the request allows discovery and
+    /// `response_timeout` together, which include connecting.
     pub(super) async fn fetch(
         &mut self,
         request: ListRequest,
@@ -112,7 +134,7 @@
         Ok(serde_json::from_slice(&body.to_bytes())?)
     }
 
-    /// The idle connection if it can still be used, or else a new one.
+    /// Takes the idle connection if it can still be used, or else establishes a new connection.
     async fn take_connection(&mut self, connect_timeout: Duration) -> Result<Connection, CallError> {
         let idle = self.idle_connection.take().and_then(Connection::into_reusable);
         match idle {
--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -1,11 +1,11 @@
-//! Keeps the endpoint list of its listener up to date, by calls to discovery.
+//! The watch on the endpoint list: calls to discovery that keep the list of a listener up to date.
 //!
-//! Owns the watch, which is a chain of long-polling calls, the generation of the list and the ids that
-//! endpoint names have. It sends its listener a [`WatchEvent`] for each list that arrives and, if the
-//! decision module schedules the calls, one for each call that fails.
+//! [`Discovery`] owns the watch, which is a sequence of long-polling calls, the generation of the list
+//! and the ids of endpoint names. Its listener receives a [`WatchEvent`] for each list that arrives and,
+//! if the decision module schedules the calls, for each call that fails.
 //!
 //! - `client`: one HTTP call
-//! - `timing`: timeouts, backoff, and the bound on the age of the list that they keep
+//! - `timing`: timeouts and backoff, and the bound on the age of the list that follows from them
 
 mod client;
 mod timing;
@@ -27,38 +27,47 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Receives watch events, and answers what discovery has to know for its calls.
+/// The receiver of watch events, which also provides the state that the calls to discovery depend on.
 pub trait WatchListener {
-    /// A list has arrived, or a call has failed.
+    /// Handles a list that has arrived, or a call that has failed.
     fn on_watch_event(&self, event: WatchEvent);
-    /// The settings in force.
+    /// Returns the settings in force.
     fn settings(&self) -> Rc<SettingsSnapshot>;
-    /// The clock that the times in watch events refer to.
+    /// Returns the clock of the times in watch events.
     fn clock(&self) -> &Clock;
-    /// Whether the backend is still in use, so that its id must not be released.
+    /// Returns whether the backend is still in use, so that its id must not be released.
     fn is_backend_known(&self, backend: BackendId) -> bool;
 }
 
 /// Keeps the endpoint list of its listener up to date.
 pub struct Discovery {
+    /// The receiver of watch events.
     listener: Rc<dyn WatchListener>,
+    /// The address that calls go to.
     address: Cell<SocketAddr>,
-    /// Number of changes of the address. A response from before the last change is dropped.
+    /// Number of changes of the address. A response to a call that began before the last change is
+    /// dropped.
     address_epoch: Cell<u64>,
+    /// The ids of backends and the indices of zones.
     names: RefCell<EndpointNames>,
-    /// Generation that the next changes are requested from; `None` if the full list is needed.
+    /// Generation of the current list, from which changes are requested; `None` if the full list has to
+    /// be requested.
     list_generation: Cell<Option<u64>>,
+    /// The task of the watch, if it is running.
     watch_task: RefCell<Option<AbortHandle>>,
+    /// The outcome of the last call, which decides the timing of the next.
     last_call: Cell<LastCall>,
+    /// The jitter of timeouts and backoff.
     jitter: Jitter,
-    /// Records the names of all endpoints ever listed, if they are to be stored.
+    /// The store of the backends ever listed; `None` in a proxy without a management address.
     maintenance_store: Option<Rc<MaintenanceStore>>,
+    /// Whether discovery has responded since the start.
     has_responded: watch::Sender<bool>,
 }
 
 impl Discovery {
-    /// Prepares calls to `address`; [`Discovery::start`] makes the first. Zones are numbered as in
-    /// these settings. The `seed` separates the times of its calls from those of other proxies.
+    /// Prepares calls to `address`, the first of which [`Discovery::start`] makes. Zones have the indices
+    /// of `settings`. A `seed` of its own keeps a proxy from calling at the same times as others.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -81,8 +90,8 @@
         })
     }
 
-    /// Passes the cached list to the listener, and starts the watch unless the decision module is to
-    /// start it.
+    /// Passes the cached list to the listener, and starts the watch unless the decision module schedules
+    /// the calls.
     pub fn start(self: &Rc<Self>, cached: RawEndpointList) {
         self.list_generation.set(Some(cached.generation));
         let endpoints = self.translate(cached.instances);
@@ -92,36 +101,36 @@
         }
     }
 
-    /// Applies new settings: starts the watch if none is running, as the decision module may no longer
-    /// be the one to start it, or may have to do so earlier than it has planned.
+    /// Starts the watch, if none is running, after a change of the settings. With new settings the
+    /// decision module may no longer schedule the calls, or may schedule them for an earlier time.
     pub fn settings_changed(self: &Rc<Self>) {
         self.start_watch();
     }
 
-    /// The address of discovery.
+    /// Returns the address of discovery.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Index of a zone, which it keeps from then on.
+    /// Returns the index of a zone, which stays the same as long as the process runs.
     pub fn zone_index(&self, name: &str) -> u32 {
         self.names.borrow_mut().zone_index(name)
     }
 
-    /// Id of a backend, by its name.
+    /// Returns the id of the backend with this name.
     pub fn backend_id(&self, name: &str) -> BackendId {
         self.names.borrow_mut().id(name)
     }
 
-    /// Completes once discovery has responded for the first time.
+    /// Waits until discovery has responded for the first time.
     pub async fn first_response(&self) {
         // Cannot fail: the sender lives as long as `self`.
         let _ = self.has_responded.subscribe().wait_for(|responded| *responded).await;
     }
 
     /// Switches to the discovery at `address` and fetches the full list there, as generations of two
-    /// discoveries cannot be compared. The last list stays in force until then.
+    /// discoveries cannot be compared. The current list stays in force until the new list arrives.
     pub fn change_address(self: &Rc<Self>, address: SocketAddr) {
         log!("discovery: now at {address}");
         self.stop_watch();
@@ -146,7 +155,7 @@
         }
     }
 
-    /// Fetches the full list once, independently of the watch.
+    /// Starts a task that fetches the full list once, independently of the watch.
     pub fn fetch_full_list(self: &Rc<Self>) {
         let this = self.clone();
         tokio::task::spawn_local(async move {
@@ -164,9 +173,9 @@
         });
     }
 
-    /// Calls discovery again and again, without a gap while calls succeed, as a gap would end the watch
-    /// on the side of discovery. A failed call is repeated after a backoff; or, if the decision module
-    /// schedules the calls, it ends the watch and the module starts the next.
+    /// Calls discovery without a pause while calls succeed, as a pause would end the watch on the side of
+    /// discovery. After a failed call the next one follows after a backoff. If the decision module
+    /// schedules the calls, a failed call ends the watch instead, and the module starts the next watch.
     async fn watch(self: Rc<Self>) {
         let mut client = DiscoveryClient::new(self.address.get());
         let mut backoff = Backoff::new();
@@ -181,7 +190,8 @@
                     }
                 }
                 Err(error) if self.must_poll() => {
-                    // Over before the module is notified, as that may start the next watch at once.
+                    // The task is cleared before the module is notified, as the module may start the
+                    // next watch at once, which it could not while a task is set.
                     *self.watch_task.borrow_mut() = None;
                     self.report_failure(&error);
                     return;
@@ -192,15 +202,19 @@
         }
     }
 
-    /// Makes one call of the watch, for changes, or for the full list if that is needed. Its result
-    /// decides the timing of the next call.
+    /// Makes one call of the watch: for changes, or for the full list if there is no current list. The
+    /// outcome decides the timing of the next call.
+    ///
+    /// # Errors
+    ///
+    /// [`CallError`] if there is no valid list in time.
     async fn watch_call(&self, client: &mut DiscoveryClient) -> Result<RawEndpointList, CallError> {
         let timing = self.last_call.get().next_timing();
         let response_timeout = self.jitter.apply(timing.response_timeout);
         let request = match self.list_generation.get() {
             Some(generation) => ListRequest::ChangesSince {
                 generation,
-                max_wait: timing.max_change_wait.min(self.poll_limit()),
+                max_wait: timing.max_change_wait.min(self.max_poll_interval()),
             },
             None => ListRequest::Full,
         };
@@ -210,28 +224,28 @@
         response
     }
 
-    /// Whether the decision module schedules the calls after a failure.
+    /// Returns whether the decision module schedules the calls.
     fn must_poll(&self) -> bool {
         self.listener.settings().balancer.must_poll_endpoints
     }
 
-    /// Longest time that a call may wait for a change: without a poll for so long, the proxy is deemed
-    /// not to have been notified.
-    fn poll_limit(&self) -> Duration {
+    /// Returns the longest interval between two polls that the settings allow, which bounds the wait for
+    /// a change. After a longer interval the proxy counts as not notified.
+    fn max_poll_interval(&self) -> Duration {
         let limit_seconds = self.listener.settings().balancer.endpoint_poll_limit;
         Duration::try_from_secs_f64(limit_seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Whether the full list must be fetched, as there is none that changes would apply to.
+    /// Returns whether the full list must be fetched, as there is no list that changes would apply to.
     fn needs_full_list(&self) -> bool {
         self.list_generation.get().is_none()
     }
 
     /// Passes a list on to the listener.
     ///
-    /// Changes of a generation before that of the current list, or without a current list, show that
-    /// discovery has restarted its generation numbers. They are passed on all the same, and the full
-    /// list is requested next.
+    /// Changes whose generation precedes that of the current list, and changes without a current list,
+    /// show that discovery has restarted its generation numbers. Such changes are passed on too, and the
+    /// full list is requested next.
     fn apply_list(&self, list: RawEndpointList) {
         let current = self.list_generation.get();
         let is_consistent = list.reset || current.is_some_and(|current| list.generation >= current);
@@ -241,10 +255,11 @@
         let event = if list.reset { WatchEvent::Full(endpoints) } else { WatchEvent::Changes(endpoints) };
         self.listener.on_watch_event(event);
         self.has_responded.send_replace(true);
-        self.names.borrow_mut().release_unless(|id| self.listener.is_backend_known(id));
+        self.names.borrow_mut().retain_ids(|id| self.listener.is_backend_known(id));
     }
 
-    /// The last list stays in force; the decision module is notified if it is to schedule the next call.
+    /// Logs a failed call, and notifies the listener if the decision module schedules the next call. The
+    /// current list stays in force.
     fn report_failure(&self, error: &CallError) {
         log!("discovery: {error}");
         if self.must_poll() {
@@ -252,6 +267,7 @@
         }
     }
 
+    /// Translates endpoints for the listener, and records their names in the maintenance store.
     fn translate(&self, raw: Vec<RawEndpoint>) -> Vec<ListedEndpoint> {
         if let Some(store) = &self.maintenance_store {
             store.record_listed(raw.iter().map(|endpoint| endpoint.instance_id.as_str()));
--- a/crates/balancer-proxy/src/control/discovery/timing.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing.rs
@@ -1,6 +1,6 @@
 //! Timeouts and backoff of the calls to discovery.
 //!
-//! # The bound that they keep
+//! # The bound on the delay of a change
 //!
 //! The protocol deems a proxy notified of a change 6 s after discovery had it and could be reached,
 //! whatever failed before. The worst case up to then is this chain: a call that gets no response, made
@@ -16,7 +16,8 @@
 //! | after a failure            | 0.1 + 1.25 x 1.5 = 1.98 s   |
 //!
 //! "Pushed" means that this module decides when to call again, "polled" that the decision module does
-//! (by `POLL_BACKOFF_AFTER_FAILURE` and `POLL_BACKOFF_AFTER_START` in `src/decisions/endpoints.rs`).
+//! (by `POLL_BACKOFF_AFTER_FAILURE` and `POLL_BACKOFF_AFTER_START` in
+//! `crates/balancer/src/decisions/endpoints.rs`).
 //! "Generations restart" means that the successful response shows that discovery has restarted its
 //! generation numbers, so that one more call fetches the full list. A
 //! new address by SIGHUP is to be in effect within 4 s; the calls there fetch the full list, for which
@@ -45,37 +46,40 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long one call of the watch may take.
+/// The longest durations of one call of the watch.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CallTiming {
-    /// How long discovery may hold the call back until there is a change.
+    /// Longest wait of discovery for a change, before it responds without any.
     pub(super) max_change_wait: Duration,
-    /// How much longer the response may take, before jitter.
+    /// Longest time for the response beyond that wait, before jitter.
     pub(super) response_timeout: Duration,
 }
 
-/// Timing while calls succeed. Discovery's agent is on the same machine.
+/// Timing while calls succeed. The response timeout is short as the agent of discovery runs on the same
+/// machine.
 const TIMING_AFTER_SUCCESS: CallTiming =
     CallTiming { max_change_wait: Duration::from_secs(1), response_timeout: Duration::from_secs(1) };
 
-/// Timing after a failure. The call returns soon even without a change, as it is to show whether
-/// discovery is back, and a call that gets no response must fail soon. The agent may be slow then.
+/// Timing after a failure. The wait for a change is short, as the call shows whether discovery works
+/// again, and as a call without a response must fail soon. The response timeout is longer than while
+/// calls succeed, as the agent of discovery may be slow after a failure.
 const TIMING_AFTER_FAILURE: CallTiming =
     CallTiming { max_change_wait: Duration::from_millis(100), response_timeout: Duration::from_millis(1500) };
 
 /// Response timeout, before jitter, of a call outside the watch.
 pub(super) const SINGLE_CALL_TIMEOUT: Duration = TIMING_AFTER_FAILURE.response_timeout;
 
-/// How the last call of the watch ended.
+/// The outcome of the last call of the watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LastCall {
-    /// It succeeded, or there was none yet.
+    /// The last call succeeded, or there was no call yet.
     Succeeded,
+    /// The last call failed.
     Failed,
 }
 
 impl LastCall {
-    /// The timing of the next call.
+    /// Returns the timing of the next call.
     pub(super) fn next_timing(self) -> CallTiming {
         match self {
             Self::Succeeded => TIMING_AFTER_SUCCESS,
@@ -84,39 +88,46 @@
     }
 }
 
-/// Timeouts and backoff vary by this fraction in both directions, so that a fleet of proxies does not
-/// return at the same moment to a discovery that fell silent for all of them.
-const JITTER: f64 = 0.25;
+/// Largest fraction by which timeouts and backoff are lengthened or shortened. Without jitter, all
+/// proxies of a fleet would call at the same moment after discovery fell silent for all of them.
+const MAX_JITTER_FRACTION: f64 = 0.25;
 
-/// Source of jitter, different for each proxy by its seed.
-pub(super) struct Jitter(RefCell<SmallRng>);
+/// Source of jitter, which differs between proxies with different seeds.
+pub(super) struct Jitter {
+    random: RefCell<SmallRng>,
+}
 
 impl Jitter {
+    /// Creates a source whose factors depend on `seed` alone.
     pub(super) fn new(seed: u64) -> Self {
-        Self(RefCell::new(SmallRng::seed_from_u64(seed)))
+        Self { random: RefCell::new(SmallRng::seed_from_u64(seed)) }
     }
 
-    /// The duration, multiplied by an even random factor between `1 - JITTER` and `1 + JITTER`.
+    /// Returns the duration multiplied by a random factor, which is distributed evenly between
+    /// `1 - MAX_JITTER_FRACTION` and `1 + MAX_JITTER_FRACTION`.
     pub(super) fn apply(&self, duration: Duration) -> Duration {
-        let from_minus_one_to_one = 2.0 * self.0.borrow_mut().random::<f64>() - 1.0;
-        duration.mul_f64(1.0 + JITTER * from_minus_one_to_one)
+        let from_minus_one_to_one = 2.0 * self.random.borrow_mut().random::<f64>() - 1.0;
+        duration.mul_f64(1.0 + MAX_JITTER_FRACTION * from_minus_one_to_one)
     }
 }
 
-/// Shortest time from the end of a failed call to the start of the next.
+/// Shortest time from the end of a failed call to the start of the next call, before jitter.
 const MIN_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest time from the start of a failed call to the start of the next, if it did not take longer.
+/// Longest interval from the start of a failed call to the start of the next call, before jitter. A call
+/// that took longer than the interval is followed by the next one after [`MIN_BACKOFF`].
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Exponential backoff between failed calls, where the decision module does not schedule them.
 ///
-/// It counts from the start of the failed call, so that a call that took long to fail is not followed
-/// by a further delay; only [`MIN_BACKOFF`] passes after each failure.
+/// Intervals start at the start of the failed call, so that a call that took long to fail is followed
+/// by the next one without a further delay. [`MIN_BACKOFF`] passes after each failure in any case.
 pub(super) struct Backoff {
+    /// Interval after the next failure, before jitter, from [`MIN_BACKOFF`] to [`MAX_BACKOFF`].
     interval: Duration,
 }
 
 impl Backoff {
+    /// Creates a backoff with the shortest interval.
     pub(super) fn new() -> Self {
         Self { interval: MIN_BACKOFF }
     }
@@ -126,8 +137,8 @@
         self.interval = MIN_BACKOFF;
     }
 
-    /// When to make the call after one that started at `call_start` and has failed just now. Doubles
-    /// the interval for the next failure.
+    /// Returns the start time of the call after one that started at `call_start` and has failed just
+    /// now. Doubles the interval for the next failure.
     pub(super) fn next_call_at(&mut self, call_start: Instant, jitter: &Jitter) -> Instant {
         let earliest = Instant::now() + jitter.apply(MIN_BACKOFF);
         let scheduled = call_start + jitter.apply(self.interval);
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as discovery writes it, and its translation into the terms of the decision
-//! module: ids in place of names, indices in place of zones.
+//! The endpoint list in the JSON of discovery, and its translation for the decision module, which has
+//! ids in place of backend names and indices in place of zone names.
 
 use crate::clock::Clock;
 use crate::watch_event::ListedEndpoint;
@@ -14,32 +14,39 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Weight of an endpoint that has none, or one that is negative or not finite.
+/// Weight of an endpoint whose weight is absent, negative or not finite.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// A list as discovery writes it: all endpoints, or those that have changed.
+/// The JSON of a list: all endpoints, or the endpoints that have changed.
 #[derive(Debug, Default, Deserialize)]
 pub struct RawEndpointList {
-    /// Increases with each change of the list.
+    /// Number of the list, which increases with each change.
     pub(super) generation: u64,
-    /// The list is complete: endpoints that are not in it are gone.
+    /// Whether the list is complete, so that endpoints that it does not have are gone.
     pub(super) reset: bool,
+    /// All endpoints if the list is complete, or else the endpoints that have changed.
     pub(super) instances: Vec<RawEndpoint>,
 }
 
-/// An endpoint as discovery writes it.
+/// The JSON of an endpoint.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct RawEndpoint {
+    /// Name of the backend.
     pub(super) instance_id: String,
+    /// Address at which the backend accepts connections.
     host_port: SocketAddr,
+    /// Name of the zone of the backend.
     #[serde(default)]
     zone: String,
+    /// Number of the cell of the backend.
     #[serde(default)]
     cell: u32,
+    /// Whether the backend takes new requests.
     lifecycle: RawLifecycle,
+    /// Weight by which load is divided among the backends; not below 0.
     weight: Option<f64>,
-    /// Unix time in milliseconds; 0 if the endpoint has been running for long.
+    /// Unix time of the start of the backend, in milliseconds; 0 if the backend started long ago.
     #[serde(default)]
     started_at_ms: f64,
 }
@@ -62,38 +69,40 @@
     }
 }
 
-/// Index of a zone in `zones`, where it is appended if it is new.
+/// Returns the index of a zone in `zones`, after appending a zone that is new.
 pub(super) fn zone_index(zones: &mut Vec<String>, name: &str) -> u32 {
     let index = zones.iter().position(|zone| zone == name).unwrap_or_else(|| {
         zones.push(name.to_string());
         zones.len() - 1
     });
-    index as u32
+    // Memory ends long before the number of zones exceeds the range.
+    u32::try_from(index).unwrap_or(u32::MAX)
 }
 
-/// The ids and indices that discovery's names have in this process.
+/// The ids of backend names and the indices of zone names in this process.
 #[derive(Debug)]
 pub(super) struct EndpointNames {
-    /// A zone's index is its position here, and never changes.
+    /// Names of the zones. The index of a zone is its position here, and never changes.
     zones: Vec<String>,
+    /// The id of each backend, by its name.
     ids: HashMap<String, BackendId>,
-    /// All values of `ids`.
+    /// All values of `ids`, so that a free id is found without a search through the map.
     assigned_ids: HashSet<BackendId>,
 }
 
 impl EndpointNames {
-    /// Names with these zones and no backends.
+    /// Creates a table with these zones and no backends.
     pub(super) fn new(zones: Vec<String>) -> Self {
         Self { zones, ids: HashMap::new(), assigned_ids: HashSet::new() }
     }
 
-    /// Index of a zone, which it keeps from then on.
+    /// Returns the index of a zone. A new zone gets the next index, and keeps that index.
     pub(super) fn zone_index(&mut self, name: &str) -> u32 {
         zone_index(&mut self.zones, name)
     }
 
-    /// Id of a backend. It is the hash of its name, or the next free number after that. All proxies
-    /// thus have the same ids, by which they divide the backends among themselves.
+    /// Returns the id of a backend: the hash of its name, or the next free number if another backend has
+    /// that id. All proxies thus use the same ids, by which they divide the backends among themselves.
     pub(super) fn id(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.ids.get(name) {
             return id;
@@ -107,14 +116,14 @@
         id
     }
 
-    /// Releases the ids of all backends that are no longer in use. One that comes back gets the same
-    /// id, as that depends on its name.
-    pub(super) fn release_unless(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
+    /// Releases the ids of all backends that are not in use. A backend that returns gets the same id
+    /// again, as the id depends on the name.
+    pub(super) fn retain_ids(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
         self.ids.retain(|_, id| is_in_use(*id));
         self.assigned_ids.retain(|id| is_in_use(*id));
     }
 
-    /// Translates endpoints. Their start times are converted to those of `clock`.
+    /// Translates endpoints. Their start times become times of `clock`.
     pub(super) fn translate(&mut self, raw: Vec<RawEndpoint>, clock: &Clock) -> Vec<ListedEndpoint> {
         raw.into_iter().map(|raw| self.translate_endpoint(&raw, clock)).collect()
     }
@@ -134,6 +143,7 @@
     }
 }
 
+/// Returns the 32-bit FNV-1a hash of a text.
 fn fnv1a(text: &str) -> u32 {
     text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME))
 }
--- a/crates/balancer-proxy/src/control/instance_lock.rs
+++ b/crates/balancer-proxy/src/control/instance_lock.rs
@@ -2,37 +2,42 @@
 //!
 //! Each process holds an advisory lock on one of two files. The operating system releases it however
 //! the process ends, so that files left behind by a killed process have no effect. The settings that a
-//! process uses are published in a file beside its lock file and count only while the lock is held.
+//! process uses are published in a file next to its lock file and count only while the lock is held.
 //! The files are shared with other versions of the program: see [`state_files`].
 
 use super::state_files::{self, LISTENING_MARK};
+use crate::limits::OtherProcess;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Attempts to acquire a lock before a process runs without one. A single attempt is not enough, as a
-/// process that checks for others locks the file for a moment.
+/// Number of attempts to acquire a lock before a process runs without a lock. A single attempt is not
+/// enough: a process that checks for others locks the file for a moment, and the attempt then fails.
 const MAX_ACQUIRE_ATTEMPTS: usize = 20;
+/// Pause between two attempts to acquire a lock.
 const ACQUIRE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The lock of this process, held until it is dropped, and a view of the other process.
 pub struct InstanceLock {
-    /// None if two other processes hold both locks: a third process runs without one.
+    /// The lock of this process. `None` if two other processes hold both locks, as a third process runs
+    /// without a lock.
     held: Option<HeldLock>,
-    /// Lock files that other processes may hold.
+    /// The lock files that other processes may hold: one, or both if `held` is `None`.
     other_paths: Vec<PathBuf>,
 }
 
 /// A lock file that this process has locked.
 struct HeldLock {
+    /// The open lock file. The operating system releases the lock when the file is closed.
     file: File,
+    /// The file in which this process publishes the fingerprint of its settings.
     settings_path: PathBuf,
 }
 
 impl InstanceLock {
-    /// Acquires a free lock of the two whose files start with `base`. If both stay held, the returned
-    /// value holds none and sees two other processes.
+    /// Acquires a free lock of the two whose paths start with `base`. If other processes keep both, the
+    /// returned value holds no lock and detects both processes.
     ///
     /// # Errors
     ///
@@ -48,16 +53,18 @@
         Ok(Self { held: None, other_paths: paths.to_vec() })
     }
 
-    fn try_acquire([first, second]: &[PathBuf; 2]) -> io::Result<Option<Self>> {
-        for (own, other) in [(first, second), (second, first)] {
-            if let Some(held) = HeldLock::try_acquire(own)? {
-                return Ok(Some(Self { held: Some(held), other_paths: vec![other.clone()] }));
+    fn try_acquire(paths: &[PathBuf; 2]) -> io::Result<Option<Self>> {
+        for own_path in paths {
+            if let Some(held) = HeldLock::try_acquire(own_path)? {
+                let other_paths = paths.iter().filter(|path| *path != own_path).cloned().collect();
+                return Ok(Some(Self { held: Some(held), other_paths }));
             }
         }
         Ok(None)
     }
 
-    /// Announces to other processes that this one accepts connections. Without a lock it does nothing.
+    /// Announces to other processes that this one accepts connections. A process without a lock
+    /// announces nothing.
     ///
     /// # Errors
     ///
@@ -69,8 +76,8 @@
         }
     }
 
-    /// Publishes the fingerprint of the file in force to other processes. Without a lock it does
-    /// nothing.
+    /// Publishes the fingerprint of the file in force to other processes. A process without a lock
+    /// publishes nothing.
     ///
     /// # Errors
     ///
@@ -82,20 +89,24 @@
         }
     }
 
-    /// Whether another process runs and has published settings other than these. A partly written
-    /// fingerprint differs too.
+    /// Returns whether another process runs and has published another fingerprint than this one. A
+    /// partly written fingerprint counts as another one.
     #[must_use]
     pub fn other_settings_differ(&self, fingerprint: &str) -> bool {
         self.other_paths.iter().any(|path| publishes_other_settings(path, fingerprint) && is_locked(path))
     }
 
-    /// Whether another process runs. One that can't be detected counts as absent.
+    /// Returns whether another process runs. A process that can't be detected counts as absent.
     #[must_use]
-    pub fn is_shared(&self) -> bool {
-        self.other_paths.iter().any(|path| is_locked(path))
+    pub fn other_process(&self) -> OtherProcess {
+        if self.other_paths.iter().any(|path| is_locked(path)) {
+            OtherProcess::Running
+        } else {
+            OtherProcess::Absent
+        }
     }
 
-    /// Whether another process runs and accepts connections.
+    /// Returns whether another process runs and accepts connections.
     #[must_use]
     pub fn other_is_listening(&self) -> bool {
         self.other_paths.iter().any(|path| is_locked(path) && has_listening_mark(path))
@@ -103,7 +114,8 @@
 }
 
 impl HeldLock {
-    /// Locks this file and clears what its last holder left, unless another process holds it.
+    /// Locks the file at `path`, unless another process holds the lock, and clears the listening mark
+    /// and the fingerprint of the last holder.
     fn try_acquire(path: &Path) -> io::Result<Option<Self>> {
         let file = open_lock_file(path)?;
         match file.try_lock() {
@@ -122,14 +134,17 @@
     OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
 }
 
+/// Returns whether another process holds the lock of the file at `path`.
 fn is_locked(path: &Path) -> bool {
     open_lock_file(path).is_ok_and(|file| matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock)))
 }
 
+/// Returns whether the holder of the lock has announced that it accepts connections.
 fn has_listening_mark(path: &Path) -> bool {
     std::fs::read_to_string(path).is_ok_and(|text| text == LISTENING_MARK)
 }
 
+/// Returns whether the published fingerprint is neither empty nor `fingerprint`.
 fn publishes_other_settings(path: &Path, fingerprint: &str) -> bool {
     std::fs::read_to_string(state_files::published_settings_path(path))
         .is_ok_and(|published| !published.is_empty() && published != fingerprint)
--- a/crates/balancer-proxy/src/control/maintenance.rs
+++ b/crates/balancer-proxy/src/control/maintenance.rs
@@ -1,5 +1,5 @@
-//! Applies the maintenance record to the engine: at the start, at each maintenance call, and whenever
-//! the other process of the same address has changed the record.
+//! Applies the maintenance record to the engine: at the start, after each maintenance call, and after
+//! each change of the record by another process on the same listen address.
 
 use super::discovery::Discovery;
 use super::maintenance_record::MaintenanceState;
@@ -12,38 +12,43 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How often the store is checked for changes by the other process.
+/// Interval between two checks of the store for changes by another process.
 const STORE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A maintenance call names a backend that discovery has never listed.
+/// The error of a maintenance call for a backend that discovery has never listed. The field is the id
+/// in the call.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("never listed: {0}")]
 pub struct NeverListed(pub String);
 
-/// Keeps the engine at what the maintenance store says.
+/// Keeps the engine up to date with the maintenance store.
 pub struct Maintenance {
     store: Rc<MaintenanceStore>,
     discovery: Rc<Discovery>,
     engine: Rc<Engine>,
-    /// Ids of the backends that the engine has in maintenance.
-    notified: RefCell<BTreeSet<String>>,
+    /// Ids of the backends that the engine has in maintenance, as it was notified last.
+    applied: RefCell<BTreeSet<String>>,
 }
 
 impl Maintenance {
-    /// Notifies the engine at once, and of each change from then on.
+    /// Notifies the engine of the backends in maintenance now, and of each change from then on.
+    ///
+    /// # Panics
+    ///
+    /// Panics outside of a [`tokio::task::LocalSet`], on which the store is polled.
     pub fn start(store: Rc<MaintenanceStore>, discovery: Rc<Discovery>, engine: Rc<Engine>) -> Rc<Self> {
-        let maintenance = Rc::new(Self { store, discovery, engine, notified: RefCell::default() });
+        let maintenance = Rc::new(Self { store, discovery, engine, applied: RefCell::default() });
         maintenance.notify_engine();
         tokio::task::spawn_local(maintenance.clone().poll_store());
         maintenance
     }
 
-    /// Puts a backend into maintenance or back into service, and saves that. Setting the same state
-    /// again changes nothing.
+    /// Puts a backend into maintenance or back into service, and saves the change. Setting the same
+    /// state again changes nothing.
     ///
     /// # Errors
     ///
-    /// Fails if no process of this address has ever had the backend listed.
+    /// [`NeverListed`] if discovery has listed the backend to no process of this address.
     pub async fn set_state(&self, backend: &str, state: MaintenanceState) -> Result<(), NeverListed> {
         self.store.refresh();
         if !self.store.record().ever_listed.contains(backend) {
@@ -54,6 +59,7 @@
         Ok(())
     }
 
+    /// Reads changes by another process and saves changes by this one, for as long as the process runs.
     async fn poll_store(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STORE_POLL_INTERVAL).await;
@@ -63,13 +69,15 @@
         }
     }
 
+    /// Notifies the engine of the differences between the record and the state applied last.
     fn notify_engine(&self) {
         let in_maintenance = self.store.record().in_maintenance.clone();
-        let notified = self.notified.replace(in_maintenance.clone());
-        for backend in notified.symmetric_difference(&in_maintenance) {
-            let begins = in_maintenance.contains(backend);
-            let change = if begins { MaintenanceChange::Begins } else { MaintenanceChange::Ends };
-            self.engine.change_maintenance(self.discovery.backend_id(backend), change);
+        let previous = self.applied.replace(in_maintenance.clone());
+        for backend in previous.symmetric_difference(&in_maintenance) {
+            let is_in_maintenance = in_maintenance.contains(backend);
+            let change = if is_in_maintenance { MaintenanceChange::Begins } else { MaintenanceChange::Ends };
+            let id = self.discovery.backend_id(backend);
+            self.engine.change_maintenance(id, change);
         }
     }
 }
--- a/crates/balancer-proxy/src/control/maintenance_record.rs
+++ b/crates/balancer-proxy/src/control/maintenance_record.rs
@@ -1,4 +1,4 @@
-//! The maintenance record: which backends were ever listed and which of them are in maintenance.
+//! The maintenance record: the backends that were ever listed, and those in maintenance.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
     InService,
 }
 
-/// What the maintenance store saves, as JSON.
+/// The content of the maintenance store, saved as JSON.
 ///
 /// Processes of other versions read and write the same file, so the keys `listed` and `out` stay (see
 /// [`state_files`](super::state_files)).
@@ -27,7 +27,7 @@
 }
 
 impl MaintenanceRecord {
-    /// Sets the state of a backend. Setting the same state again changes nothing.
+    /// Sets the state of the backend with this id. Setting the same state again changes nothing.
     pub fn set_state(&mut self, backend: &str, state: MaintenanceState) {
         match state {
             MaintenanceState::InMaintenance => self.in_maintenance.insert(backend.to_string()),
--- a/crates/balancer-proxy/src/control/maintenance_store.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store.rs
@@ -1,10 +1,10 @@
 //! The maintenance store: the maintenance record in a file that outlasts a process and is shared by
 //! the processes of one listen address.
 //!
-//! It owns this process's copy of the record. Every change is made under the file's lock, on the
-//! record that the file has then, and replaces the file as a whole. A store that can't read or write
-//! its file works from its copy and saves it as soon as that succeeds. The file is shared with other
-//! versions of the program: see [`state_files`].
+//! The store owns this process's copy of the record. Every change is made under the lock of the file,
+//! on the record that the file has at that time, and replaces the file as a whole. A store that can't
+//! read or write its file works from the copy and saves the copy as soon as the file can be written.
+//! The file is shared with other versions of the program: see [`state_files`].
 
 use super::maintenance_record::{MaintenanceRecord, MaintenanceState};
 use super::state_files;
@@ -18,21 +18,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The store's lock is held for moments only. A process that can't get it for this long goes on without
-/// it: a holder that is stopped must not keep a maintenance call from the other process.
+/// Longest wait for the lock of the record, which is held for moments only. After that wait a process
+/// changes the record without the lock, as a holder that is stopped would otherwise keep operators from
+/// maintenance calls to the other process.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(300);
+/// Pause between two attempts to acquire the lock of the record.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
 /// This process's copy of the maintenance record, and its file.
 pub struct MaintenanceStore {
+    /// The file of the record.
     path: PathBuf,
+    /// The record as this process knows it.
     record: RefCell<MaintenanceRecord>,
-    /// The file that was read or written last.
+    /// The version of the file that was read or written last; `None` before that.
     last_seen: Cell<Option<FileVersion>>,
-    /// The record has content that the file lacks.
-    unsaved: Cell<bool>,
-    /// The last write failed. The failure is logged once, not at each poll.
-    failing: Cell<bool>,
+    /// Whether the record has content that the file lacks.
+    has_unsaved_changes: Cell<bool>,
+    /// Whether the last write failed. Of several failures in a row only the first is logged, as a poll
+    /// writes ten times a second.
+    last_write_failed: Cell<bool>,
 }
 
 /// Distinguishes a file from the one that it replaced.
@@ -54,67 +59,67 @@
 }
 
 impl MaintenanceStore {
-    /// Opens the store whose files start with `base`. A record that is missing or incomplete counts
-    /// as empty.
+    /// Opens the store whose paths start with `base`. A record that is missing or malformed counts as
+    /// empty.
     #[must_use]
     pub fn open(base: &Path) -> Rc<Self> {
         let store = Self {
             path: state_files::maintenance_record_path(base),
             record: RefCell::default(),
             last_seen: Cell::new(None),
-            unsaved: Cell::new(false),
-            failing: Cell::new(false),
+            has_unsaved_changes: Cell::new(false),
+            last_write_failed: Cell::new(false),
         };
         store.refresh();
         Rc::new(store)
     }
 
-    /// The record as this process knows it.
+    /// Returns the record as this process knows it.
     pub(super) fn record(&self) -> Ref<'_, MaintenanceRecord> {
         self.record.borrow()
     }
 
-    /// Records that discovery has listed these backends. They are saved at the next poll.
+    /// Records that discovery has listed these backends. The next poll saves the change.
     pub fn record_listed<'a>(&self, backends: impl Iterator<Item = &'a str>) {
         let ever_listed = &mut self.record.borrow_mut().ever_listed;
         for backend in backends {
             if !ever_listed.contains(backend) {
                 ever_listed.insert(backend.to_string());
-                self.unsaved.set(true);
+                self.has_unsaved_changes.set(true);
             }
         }
     }
 
-    /// Reads what the other process has written since the last call.
+    /// Reads the file, if another process has replaced it since it was last read or written.
     pub(super) fn refresh(&self) {
         let current = std::fs::metadata(&self.path).ok().as_ref().map(FileVersion::from);
         if current.is_some() && current == self.last_seen.get() {
             return;
         }
-        match self.load() {
-            Ok(saved) => {
-                self.last_seen.set(current);
-                self.merge(saved);
-            }
-            // The record in memory outlasts the file.
-            Err(_) => self.unsaved.set(*self.record.borrow() != MaintenanceRecord::default()),
+        if let Ok(saved) = self.load() {
+            self.last_seen.set(current);
+            self.merge(saved);
+        } else {
+            // The record in memory is still valid, and replaces a file that was removed or damaged.
+            let is_empty = *self.record.borrow() == MaintenanceRecord::default();
+            self.has_unsaved_changes.set(!is_empty);
         }
     }
 
-    /// Sets the state of a backend, and saves it.
+    /// Sets the state of the backend with this id, and saves the record.
     pub(super) async fn set_state(&self, backend: &str, state: MaintenanceState) {
         self.update(|record| record.set_state(backend, state)).await;
     }
 
-    /// Saves the record if the file lacks some of it.
+    /// Saves the record if it has content that the file lacks.
     pub(super) async fn save_pending(&self) {
-        if self.unsaved.get() {
+        if self.has_unsaved_changes.get() {
             self.update(|_| ()).await;
         }
     }
 
-    /// Changes the record in memory and in the file. If the file can't be written, that is logged and
-    /// the change holds for this process alone.
+    /// Changes the record in memory and in the file. If the file can't be written, the failure is logged
+    /// and the change holds for this process alone.
     async fn update(&self, change: impl FnOnce(&mut MaintenanceRecord)) {
         let lock = self.lock().await;
         if let Ok(saved) = self.load() {
@@ -122,15 +127,15 @@
         }
         change(&mut self.record.borrow_mut());
         let result = self.save();
-        self.unsaved.set(result.is_err());
+        self.has_unsaved_changes.set(result.is_err());
         self.log_first_failure(result);
         drop(lock);
     }
 
     fn log_first_failure(&self, result: io::Result<()>) {
-        let already_failing = self.failing.replace(result.is_err());
+        let previous_write_failed = self.last_write_failed.replace(result.is_err());
         if let Err(error) = result
-            && !already_failing
+            && !previous_write_failed
         {
             log!("maintenance: {}: {error}", self.path.display());
         }
@@ -141,16 +146,17 @@
         Ok(serde_json::from_slice(&text)?)
     }
 
-    /// Merges a record from the file: its maintenance states hold, and names listed to either process
-    /// are kept.
+    /// Merges the record that was read from the file into the one in memory: the maintenance states of
+    /// the file replace those in memory, and the listed backends of both are kept.
     fn merge(&self, saved: MaintenanceRecord) {
         let mut record = self.record.borrow_mut();
-        self.unsaved.set(!record.ever_listed.is_subset(&saved.ever_listed));
+        let file_lacks_backends = !record.ever_listed.is_subset(&saved.ever_listed);
+        self.has_unsaved_changes.set(file_lacks_backends);
         record.ever_listed.extend(saved.ever_listed);
         record.in_maintenance = saved.in_maintenance;
     }
 
-    /// Replaces the file in one step, so that no process ever reads a part of it.
+    /// Replaces the file in one step, so that no process ever reads an incomplete record.
     fn save(&self) -> io::Result<()> {
         let staging_path = state_files::maintenance_staging_path(&self.path, std::process::id());
         std::fs::write(&staging_path, serde_json::to_vec(&*self.record.borrow())?)?;
@@ -160,8 +166,8 @@
         Ok(())
     }
 
-    /// Waits for the lock of the record, which is held until the file is dropped. After
-    /// [`LOCK_TIMEOUT`] it returns the file without the lock.
+    /// Waits for the lock of the record and returns the lock file, which holds the lock until it is
+    /// dropped. After [`LOCK_TIMEOUT`] the returned file does not hold the lock.
     async fn lock(&self) -> io::Result<File> {
         let path = state_files::maintenance_lock_path(&self.path);
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -1,7 +1,7 @@
-//! The management address: answers the calls of operators, one a connection.
+//! The management address: responds to the calls of operators, one for each connection.
 //!
-//! Every caller gets a response or an end of its connection within two timeouts, and callers that send
-//! nothing can't keep others from being answered.
+//! Every caller gets a response or the end of its connection within twice the call timeout. Callers
+//! that send nothing can't keep others from a response, as the oldest connection is closed at the limit.
 
 use super::maintenance::Maintenance;
 use super::maintenance_record::MaintenanceState;
@@ -18,28 +18,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Connections open at once. Their descriptors are reserved.
+/// Largest number of management connections that are open at once. Their descriptors are reserved.
 pub const MAX_MANAGEMENT_CONNECTIONS: usize = 16;
-/// Bounds the time in which a call arrives, and again the time in which its response is read.
+/// Longest time until a call has arrived, and again until its response has been read.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed `accept`, which may fail again at once.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Serves the management address.
 pub struct Management {
+    /// The server whose readiness and metrics are reported.
     server: Rc<Server>,
+    /// The maintenance that calls change.
     maintenance: Rc<Maintenance>,
     /// Tasks of the open connections, the oldest first.
     connections: RefCell<VecDeque<AbortHandle>>,
 }
 
 impl Management {
-    /// Answers calls for this server, and changes this maintenance.
+    /// Creates a management service that reports on `server` and changes `maintenance`.
     pub fn new(server: Rc<Server>, maintenance: Rc<Maintenance>) -> Rc<Self> {
         Rc::new(Self { server, maintenance, connections: RefCell::default() })
     }
 
-    /// Answers calls for as long as the process runs.
+    /// Responds to the calls on `listener` for as long as the process runs.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -52,10 +54,11 @@
         }
     }
 
-    /// Serves a new connection; at the limit, the oldest one is closed for it. Connections whose call
-    /// has arrived are answered first, so that only callers that have sent nothing are closed. The
-    /// loop ends when the closed one has released its descriptor, as no more than the limit are
-    /// reserved.
+    /// Serves a new connection. At the limit the oldest connection is closed first.
+    ///
+    /// Yielding lets the connections whose call has arrived get their response before, so that only
+    /// callers that have sent nothing are closed. The loop waits until a closed connection has released
+    /// its descriptor, as no more descriptors than the limit are reserved.
     async fn admit(self: Rc<Self>, stream: TcpStream) {
         tokio::task::yield_now().await;
         while self.is_full() {
@@ -70,6 +73,7 @@
         self.connections.borrow_mut().push_back(connection.abort_handle());
     }
 
+    /// Forgets the connections that have ended, and returns whether the limit is reached.
     fn is_full(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
         connections.retain(|connection| !connection.is_finished());
@@ -82,21 +86,23 @@
         }
     }
 
+    /// Reads a call and writes its response, each within [`CALL_TIMEOUT`].
     async fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         let call = tokio::time::timeout(CALL_TIMEOUT, Call::read(&mut stream)).await;
-        let answer = match call.unwrap_or(Err(CallError::Timeout)) {
-            Ok(call) => self.answer(call).await,
+        let response = match call.unwrap_or(Err(CallError::Timeout)) {
+            Ok(call) => self.respond(call).await,
             Err(error) => Err(error),
         };
-        let line = match answer {
+        let line = match response {
             Ok(text) => format!("{text}\n"),
             Err(error) => format!("ERR {error}\n"),
         };
         tokio::time::timeout(CALL_TIMEOUT, write_and_close(stream, &line)).await?
     }
 
-    /// Metrics are sent without `OK`, as operators' programs expect; all other answers begin with it.
-    async fn answer(&self, call: Call) -> Result<String, CallError> {
+    /// Carries out a call and returns its response. A response begins with `OK`, except for metrics,
+    /// which are sent without as operators' programs expect.
+    async fn respond(&self, call: Call) -> Result<String, CallError> {
         match call {
             Call::Status if self.server.is_ready() => Ok("OK ready".to_string()),
             Call::Status => Err(CallError::NotReady),
@@ -113,6 +119,7 @@
     }
 }
 
+/// Writes a line, and closes the connection once the caller has received the line.
 async fn write_and_close(mut stream: TcpStream, line: &str) -> io::Result<()> {
     stream.write_all(line.as_bytes()).await?;
     stream.shutdown().await?;
--- a/crates/balancer-proxy/src/control/management_protocol.rs
+++ b/crates/balancer-proxy/src/control/management_protocol.rs
@@ -1,4 +1,4 @@
-//! The management protocol: one call a connection, a line of ASCII words each way.
+//! The management protocol: one call for each connection, as a line of ASCII words, and one response.
 
 use super::maintenance::NeverListed;
 use super::maintenance_record::MaintenanceState;
@@ -7,41 +7,41 @@
 use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, BufReader};
 
-/// Longest line of a call.
+/// Longest line of a call, in bytes, with its line feed.
 pub(super) const MAX_LINE_BYTES: u64 = 256;
 
-/// What operators can call for.
+/// A call of an operator.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Call {
-    /// `status`: whether the proxy is ready.
+    /// `status`: reports whether the proxy is ready.
     Status,
-    /// `stats`: the metrics.
+    /// `stats`: reports the metrics.
     Stats,
     /// `maint-on ID` and `maint-off ID`: puts a backend into maintenance or back into service.
     SetMaintenance {
         /// The id by which discovery lists the backend.
         backend: String,
-        /// Its state from now on.
+        /// The state that the backend gets.
         state: MaintenanceState,
     },
 }
 
-/// Why a call is answered with `ERR`, which these texts follow.
+/// Why a call fails. The response is `ERR` with the text of the error.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
-    /// The line is none of the calls.
+    /// The line is not one of the calls.
     #[error("no call: status, stats, maint-on ID, maint-off ID")]
     Unknown,
-    /// The line is too long, or the caller closed the connection before its end.
+    /// The line is longer than [`MAX_LINE_BYTES`], or the caller closed the connection before its end.
     #[error("the call did not come whole")]
     Incomplete,
-    /// The line took too long to arrive.
+    /// The line did not arrive before the timeout.
     #[error("the call did not come in time")]
     Timeout,
     /// The call names a backend that discovery has never listed.
     #[error("{0}")]
     NeverListed(#[from] NeverListed),
-    /// The proxy does not serve clients, or not any more.
+    /// The proxy does not accept requests, or no backend in service has been listed since its start.
     #[error("not ready")]
     NotReady,
     /// The metrics could not be serialized.
@@ -53,7 +53,11 @@
 }
 
 impl Call {
-    /// Reads a call, to the end of its line.
+    /// Reads a line and parses the call in it.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the connection fails, or the line is incomplete or not one of the calls.
     pub(super) async fn read(stream: impl AsyncRead + Unpin) -> Result<Self, CallError> {
         let mut line = Vec::new();
         BufReader::new(stream.take(MAX_LINE_BYTES)).read_until(b'\n', &mut line).await?;
--- a/crates/balancer-proxy/src/control/mod.rs
+++ b/crates/balancer-proxy/src/control/mod.rs
@@ -1,14 +1,20 @@
-//! What steers the proxy from outside: configuration, discovery, maintenance, the management address
-//! and the lock between two processes of one address.
+//! The control plane: configuration, discovery, maintenance, the management address, and the locks
+//! between two processes of one listen address.
+//!
+//! - `config`, `reload`: the configuration at startup and while the proxy runs
+//! - `discovery`, `endpoint_list`: the watch on the endpoint list
+//! - `management`, `management_protocol`: the calls of operators
+//! - `maintenance`, `maintenance_record`, `maintenance_store`: the backends in maintenance
+//! - `instance_lock`, `state_files`: the other process of an upgrade
 
 pub mod config;
 pub mod discovery;
-pub mod endpoint_list;
+mod endpoint_list;
 pub mod instance_lock;
-pub mod maintenance;
-pub mod maintenance_record;
+pub(crate) mod maintenance;
+mod maintenance_record;
 pub mod maintenance_store;
-pub mod management;
+pub(crate) mod management;
 mod management_protocol;
-pub mod reload;
+pub(crate) mod reload;
 pub mod state_files;
--- a/crates/balancer-proxy/src/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -1,28 +1,29 @@
 //! Reloads the configuration while the proxy runs.
 //!
-//! The file is read and validated completely. Then all of it is applied in one turn of the event loop,
-//! without an `await` in between, or none of it.
+//! The file is read and validated completely before any of it is applied. A valid file is applied in
+//! one turn of the event loop, without an `await` in between, so that no request meets settings of two
+//! files. An invalid file changes nothing.
 //!
-//! During an upgrade two processes share one address, and SIGHUP may reach only one of them. Each
-//! therefore publishes a fingerprint of the file that it has applied through its instance lock. A
-//! process that sees another fingerprint there reloads the file by itself.
+//! During an upgrade two processes share one listen address, and SIGHUP may reach only one of them.
+//! Each process therefore publishes the fingerprint of the file that it has applied, through its
+//! instance lock. A process that sees another fingerprint there reloads the file without a signal.
 
 use super::config::{Config, ConfigError, FileStamp, LoadMode};
 use super::discovery::Discovery;
 use super::instance_lock::InstanceLock;
 use crate::downstream::server::Server;
 use crate::engine::Engine;
-use crate::limits::{Capacities, ProcessLimits};
+use crate::limits::{Capacities, OtherProcess, ProcessLimits};
 use crate::log;
 use crate::settings::SettingsSnapshot;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Why the file is read.
+/// Why the configuration file is read again.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReloadTrigger {
-    /// SIGHUP.
+    /// SIGHUP has arrived.
     Signal,
     /// The other process has applied another file, or has ended, perhaps with a signal that was meant
     /// for both.
@@ -31,32 +32,35 @@
 
 /// The parts of the proxy that a reload changes.
 pub struct ReloadTargets {
-    /// Gets new capacities.
+    /// The server, which gets new capacities.
     pub server: Rc<Server>,
-    /// Gets new settings.
+    /// The engine, which gets new settings.
     pub engine: Rc<Engine>,
-    /// Gets a new address, and is notified of new settings.
+    /// Discovery, which gets a new address and is notified of new settings.
     pub discovery: Rc<Discovery>,
-    /// Shows whether a second process is running; absent in a proxy that cannot be upgraded.
+    /// The lock that shows another process on the address; `None` in a proxy without a management
+    /// address or usable lock files.
     pub instance_lock: Option<Rc<InstanceLock>>,
 }
 
 /// Applies the configuration file, and divides the limits between the two processes of an upgrade.
 pub struct Reloader {
     targets: ReloadTargets,
-    /// Descriptors reserved for other use than clients and backends.
+    /// Number of descriptors reserved for the management address.
     reserved_descriptors: usize,
-    /// The addresses that hold until the next start.
+    /// The addresses that stay as they are until the next start.
     startup_addresses: StartupAddresses,
+    /// The limits in force, of all processes on the address together.
     limits: Cell<ProcessLimits>,
-    second_process_running: Cell<bool>,
-    /// The file that was read last, whether it was applied or rejected.
+    /// Whether another process ran at the last check.
+    other_process: Cell<OtherProcess>,
+    /// The stamp of the file that was read last, whether the file was applied or rejected.
     last_read_file: Cell<Option<FileStamp>>,
-    /// Digest of the file that was applied last.
+    /// The digest of the file that was applied last.
     applied_digest: Cell<u64>,
 }
 
-/// Addresses that a reload does not change.
+/// The addresses that a reload does not change.
 #[derive(PartialEq)]
 struct StartupAddresses {
     listen: SocketAddr,
@@ -71,58 +75,62 @@
 
 impl Reloader {
     /// Creates the reloader of a proxy that was started with `config`, and publishes the fingerprint
-    /// of its file. `file` is the stamp that the file had just before it was read.
+    /// of its file. `file_stamp` is the stamp of the file just before it was read.
     #[must_use]
     pub fn new(
         targets: ReloadTargets,
         config: &Config,
-        file: Option<FileStamp>,
+        file_stamp: Option<FileStamp>,
         reserved_descriptors: usize,
     ) -> Self {
-        let second_process_running = targets.instance_lock.as_ref().is_some_and(|lock| lock.is_shared());
+        let instance_lock = targets.instance_lock.as_ref();
+        let other_process = instance_lock.map_or(OtherProcess::Absent, |lock| lock.other_process());
         let reloader = Self {
             targets,
             reserved_descriptors,
             startup_addresses: StartupAddresses::of(config),
             limits: Cell::new(config.limits),
-            second_process_running: Cell::new(second_process_running),
-            last_read_file: Cell::new(file),
+            other_process: Cell::new(other_process),
+            last_read_file: Cell::new(file_stamp),
             applied_digest: Cell::new(config.file_digest),
         };
         reloader.publish_fingerprint();
         reloader
     }
 
-    /// Reloads the file after SIGHUP.
-    pub fn on_signal(&self) {
+    /// Reloads the configuration file after SIGHUP.
+    pub fn reload_on_signal(&self) {
         self.reload(ReloadTrigger::Signal);
     }
 
-    /// Checks whether a second process is running, and reloads the file if that process has applied
-    /// another one or has ended. To be called regularly.
+    /// Checks whether another process is running, and reloads the configuration file if that process
+    /// has applied another version of the file or has ended. Must be called periodically.
     pub fn check_other_process(&self) {
         let Some(instance_lock) = &self.targets.instance_lock else {
             return;
         };
-        let is_running = instance_lock.is_shared();
-        self.set_capacities(is_running);
-        self.targets.engine.set_second_process_running(is_running);
-        let was_running = self.second_process_running.replace(is_running);
-        let has_ended = was_running && !is_running;
+        let other_process = instance_lock.other_process();
+        self.set_capacities(other_process);
+        self.targets.engine.set_second_process_running(other_process.is_running());
+        let previous = self.other_process.replace(other_process);
+        let has_ended = previous.is_running() && !other_process.is_running();
         if !has_ended && !instance_lock.other_settings_differ(&self.fingerprint()) {
             return;
         }
-        // Each version of the file is read once, also if it was rejected: it is still as bad.
+        // Each version of the file is read once: a version that was rejected would be rejected, logged
+        // and counted again at every check.
         if FileStamp::of_config_file() != self.last_read_file.get() {
             self.reload(ReloadTrigger::OtherProcess);
         }
     }
 
-    fn set_capacities(&self, second_process_running: bool) {
-        let limits = self.limits.get().share(second_process_running);
+    /// Derives the capacities of this process from the limits in force.
+    fn set_capacities(&self, other_process: OtherProcess) {
+        let limits = self.limits.get().for_this_process(other_process);
         self.targets.server.set_capacities(Capacities::new(limits, self.reserved_descriptors));
     }
 
+    /// Reads the configuration file and applies it. A rejected file is logged and counted.
     fn reload(&self, trigger: ReloadTrigger) {
         // The stamp is taken before the file is read, so that a change during the read shows later.
         self.last_read_file.set(FileStamp::of_config_file());
@@ -133,7 +141,11 @@
         }
     }
 
-    /// Applies the whole configuration, or nothing if its settings are older than those in force.
+    /// Applies the whole configuration.
+    ///
+    /// # Errors
+    ///
+    /// Fails without any change if the settings may not replace those in force.
     fn apply(&self, config: Config, trigger: ReloadTrigger) -> Result<(), ConfigError> {
         let addresses = StartupAddresses::of(&config);
         let settings_changed = self.apply_settings(config.snapshot)?;
@@ -151,10 +163,14 @@
         Ok(())
     }
 
-    /// Puts settings into force; returns whether they differ from those before.
+    /// Puts settings into force, and returns whether they differ from the previous ones.
+    ///
+    /// # Errors
+    ///
+    /// Fails without any change if the settings may not replace those in force.
     fn apply_settings(&self, mut snapshot: SettingsSnapshot) -> Result<bool, ConfigError> {
         let ReloadTargets { engine, discovery, .. } = &self.targets;
-        // A running proxy has numbered its zones already.
+        // A running proxy has its own zone numbers, in the order in which the zones appeared.
         snapshot.balancer.zone = discovery.zone_index(&snapshot.proxy.zone);
         let in_force = engine.settings();
         snapshot.check_supersedes(&in_force)?;
@@ -167,17 +183,18 @@
         Ok(true)
     }
 
-    /// Puts limits into force; returns whether they differ from those before.
+    /// Puts limits into force, and returns whether they differ from the previous ones.
     fn apply_limits(&self, limits: ProcessLimits) -> bool {
         let changed = self.limits.replace(limits) != limits;
         if changed {
-            self.set_capacities(self.second_process_running.get());
+            self.set_capacities(self.other_process.get());
         }
         changed
     }
 
-    /// Identifies the file that this process has applied. Both processes of an upgrade compare it
-    /// byte for byte, so that its form is the same in all versions of the program.
+    /// Returns the fingerprint of the file that this process has applied. The two processes of an
+    /// upgrade compare fingerprints byte for byte, so that the form must stay the same in all versions
+    /// of the program.
     fn fingerprint(&self) -> String {
         let version = version_suffix(&self.targets.engine.settings());
         format!("{:016x}{version}\n", self.applied_digest.get())
@@ -193,8 +210,8 @@
     }
 }
 
-/// The version of the settings as it stands at the end of a log line or fingerprint; empty if they
-/// have none.
+/// Returns the version of the settings as the end of a log line or fingerprint; empty if the settings
+/// have no version.
 fn version_suffix(snapshot: &SettingsSnapshot) -> String {
     snapshot.proxy.version.map_or_else(String::new, |version| format!(", version {version}"))
 }
--- a/crates/balancer-proxy/src/control/state_files.rs
+++ b/crates/balancer-proxy/src/control/state_files.rs
@@ -9,22 +9,21 @@
 //! |---|---|---|
 //! | `dewpier-LISTEN.seat-0`, `.seat-1` | [`InstanceLock`] | empty, or [`LISTENING_MARK`] |
 //! | `dewpier-LISTEN.seat-0.settings`, `.seat-1.settings` | [`InstanceLock`] | fingerprint of the settings |
-//! | `dewpier-LISTEN.book` | [`MaintenanceStore`] | [`MaintenanceRecord`] as JSON |
+//! | `dewpier-LISTEN.book` | [`MaintenanceStore`] | the maintenance record as JSON |
 //! | `dewpier-LISTEN.book.lock` | [`MaintenanceStore`] | empty |
 //! | `dewpier-LISTEN.book.new-PID` | [`MaintenanceStore`] | the next record, until it is renamed |
 //!
 //! [`InstanceLock`]: super::instance_lock::InstanceLock
 //! [`MaintenanceStore`]: super::maintenance_store::MaintenanceStore
-//! [`MaintenanceRecord`]: super::maintenance_record::MaintenanceRecord
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// Content of the lock file of a process that accepts connections. The other process compares the
-/// whole content with it.
+/// whole content with this mark.
 pub const LISTENING_MARK: &str = "listening";
 
-/// Start of all file names: the name that the program once had.
+/// Start of all file names, which is the former name of the program.
 const FILE_NAME_PREFIX: &str = "dewpier-";
 const INSTANCE_LOCK_EXTENSIONS: [&str; 2] = ["seat-0", "seat-1"];
 const PUBLISHED_SETTINGS_EXTENSION: &str = "settings";
@@ -32,38 +31,42 @@
 const MAINTENANCE_LOCK_EXTENSION: &str = "lock";
 const MAINTENANCE_STAGING_EXTENSION_PREFIX: &str = "new-";
 
-/// The path that all shared files of a listen address start with, in the system's temporary folder.
+/// Returns the path that all shared files of a listen address start with, in the temporary folder of
+/// the system.
 #[must_use]
 pub fn base_path(listen: SocketAddr) -> PathBuf {
     std::env::temp_dir().join(format!("{FILE_NAME_PREFIX}{listen}"))
 }
 
-/// The two lock files of an address. A process holds one of them for as long as it runs.
+/// Returns the paths of the two lock files of an address. A process locks one of the files for as long
+/// as it runs.
 #[must_use]
 pub fn instance_lock_paths(base: &Path) -> [PathBuf; 2] {
     INSTANCE_LOCK_EXTENSIONS.map(|extension| base.with_added_extension(extension))
 }
 
-/// The file in which the holder of a lock file publishes the settings that it uses. They have a file
-/// of their own, because older versions compare the lock file's content with [`LISTENING_MARK`].
+/// Returns the path of the file in which the holder of a lock file publishes the fingerprint of its
+/// settings. The fingerprint has a file of its own, as other versions compare the whole content of the
+/// lock file with [`LISTENING_MARK`].
 #[must_use]
 pub fn published_settings_path(instance_lock_path: &Path) -> PathBuf {
     instance_lock_path.with_added_extension(PUBLISHED_SETTINGS_EXTENSION)
 }
 
-/// The file that records which backends are in maintenance.
+/// Returns the path of the file with the maintenance record.
 #[must_use]
 pub fn maintenance_record_path(base: &Path) -> PathBuf {
     base.with_added_extension(MAINTENANCE_RECORD_EXTENSION)
 }
 
-/// The file whose lock serializes changes of the maintenance record.
+/// Returns the path of the file whose lock serializes changes of the maintenance record.
 #[must_use]
 pub fn maintenance_lock_path(record_path: &Path) -> PathBuf {
     record_path.with_added_extension(MAINTENANCE_LOCK_EXTENSION)
 }
 
-/// The file to which a process writes the next maintenance record before it replaces the current one.
+/// Returns the path of the file to which a process writes the next maintenance record, before it
+/// replaces the current record by renaming.
 #[must_use]
 pub fn maintenance_staging_path(record_path: &Path, process_id: u32) -> PathBuf {
     record_path.with_added_extension(format!("{MAINTENANCE_STAGING_EXTENSION_PREFIX}{process_id}"))
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -29,7 +29,7 @@
 
 use super::clock::Clock;
 use super::control::discovery::{Discovery, WatchListener};
-use super::metrics::Metrics;
+use super::metrics::{BackendCounts, Metrics};
 use super::settings::SettingsSnapshot;
 use super::upstream::forwarded_request::ForwardedRequest;
 use super::watch_event::WatchEvent;
@@ -162,7 +162,11 @@
     /// Returns an error if the metrics cannot be serialized.
     pub fn metrics_json(&self) -> serde_json::Result<String> {
         let state = self.dispatcher.state();
-        self.metrics().to_json(state.decisions.backends_listed(), state.decisions.backends_avoided())
+        let backends = BackendCounts {
+            listed: state.decisions.backends_listed(),
+            avoided: state.decisions.backends_avoided(),
+        };
+        self.metrics().to_json(backends)
     }
 
     /// Whether a request with this id of its client is open.
--- a/crates/balancer-proxy/src/limits/budget.rs
+++ b/crates/balancer-proxy/src/limits/budget.rs
@@ -1,17 +1,21 @@
-//! A budget of permits: an upper bound on how much of a resource is in use, such as connections or
-//! bytes. It is used from one thread; each permit is returned when it is dropped.
+//! A budget of permits: an upper bound on the units of a resource in use, such as connections or bytes.
+//!
+//! A [`Permit`] returns its units when it is dropped, so that no path out of a task can leak them. A
+//! budget is used from one thread.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// An upper bound on the units of a resource that are in use at the same time.
 pub struct Budget {
+    /// Units that permits hold. More than `limit` only after the limit was lowered.
     used: Cell<usize>,
+    /// Largest number of units that may be in use.
     limit: Cell<usize>,
 }
 
 impl Budget {
-    /// A budget of `limit` units, none of which is in use.
+    /// Creates a budget of `limit` units, none of which is in use.
     #[must_use]
     pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self { used: Cell::new(0), limit: Cell::new(limit) })
@@ -22,13 +26,13 @@
         self.limit.set(limit);
     }
 
-    /// Whether more units are in use than the limit allows, as can be after it was lowered.
+    /// Returns whether more units are in use than the limit allows, as can be after it was lowered.
     #[must_use]
     pub fn is_exceeded(&self) -> bool {
         self.used.get() > self.limit.get()
     }
 
-    /// Whether no unit is available.
+    /// Returns whether no unit is available.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.used.get() >= self.limit.get()
@@ -49,7 +53,7 @@
     }
 }
 
-/// Units acquired from a [`Budget`], which are returned when this is dropped.
+/// Units acquired from a [`Budget`], which are returned when the permit is dropped.
 pub struct Permit {
     budget: Rc<Budget>,
     units: usize,
--- a/crates/balancer-proxy/src/limits/mod.rs
+++ b/crates/balancer-proxy/src/limits/mod.rs
@@ -1,10 +1,13 @@
-//! Bounds on what the process uses: the largest messages it accepts, the capacities that follow from
-//! the limits of the process, and the budgets that count what is in use against them.
+//! Bounds on the resources that the process uses.
+//!
+//! - `message_size`: the largest messages that the proxy accepts
+//! - `capacities`: numbers of connections and of bytes, derived from the limits of the process
+//! - `budget`: counts the units of a resource in use against an upper bound
 
 mod budget;
 mod capacities;
 mod message_size;
 
 pub use budget::{Budget, Permit};
-pub use capacities::{Capacities, ProcessLimits};
+pub use capacities::{Capacities, OtherProcess, ProcessLimits};
 pub use message_size::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
--- a/crates/balancer-proxy/src/metrics.rs
+++ b/crates/balancer-proxy/src/metrics.rs
@@ -10,18 +10,19 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// Retired classes in the metrics, those that were removed last. The counts of earlier ones are
-/// dropped: the metrics must stay bounded where each change of the settings brings new names.
+/// Largest number of retired classes in the metrics. The counts of classes that were removed earlier
+/// are dropped, as the metrics would grow without a bound where each change of the settings has new
+/// names.
 const MAX_RETIRED_CLASSES: usize = 64;
 
-/// How the requests of a class ended.
+/// The numbers of requests of a class, by the outcome.
 #[derive(Default, Serialize)]
 struct OutcomeCounts {
-    /// Final status 200.
+    /// Requests with the final status 200.
     succeeded: Cell<u64>,
-    /// Final status 429 or 503: not executed, and safe to send again.
+    /// Requests with the final status 429 or 503: not executed, and safe to send again.
     declined: Cell<u64>,
-    /// Any other final status.
+    /// Requests with any other final status.
     aborted: Cell<u64>,
 }
 
@@ -31,14 +32,14 @@
     }
 }
 
-/// The counts of one class name.
+/// The name of a class and its counts.
 struct ClassCounts {
     name: String,
     outcomes: Rc<OutcomeCounts>,
 }
 
 impl ClassCounts {
-    /// It has counts, or requests that are yet to be counted.
+    /// Returns whether the class has counts, or open requests that will be counted later.
     fn is_used(&self) -> bool {
         !self.outcomes.is_empty() || Rc::strong_count(&self.outcomes) > 1
     }
@@ -49,7 +50,8 @@
 struct ClassTable {
     /// Classes of the settings in force, in the order of the settings.
     in_force: Vec<ClassCounts>,
-    /// Classes that the settings no longer have, the one removed last at the end.
+    /// Classes that the settings no longer have, in the order of their removal, at most
+    /// [`MAX_RETIRED_CLASSES`].
     retired: Vec<ClassCounts>,
 }
 
@@ -58,7 +60,7 @@
         self.in_force.iter().chain(&self.retired)
     }
 
-    /// Replaces the classes in force. Counts stay with their names.
+    /// Replaces the classes in force. A class that had counts under the same name keeps them.
     fn set_in_force(&mut self, names: &[String]) {
         let mut previous = std::mem::take(&mut self.retired);
         previous.append(&mut self.in_force);
@@ -72,6 +74,7 @@
     }
 }
 
+/// Returns classes with these names, with the counts that `previous` has for them.
 fn with_previous_counts(names: &[String], previous: &[ClassCounts]) -> Vec<ClassCounts> {
     let mut counts_by_name = HashMap::new();
     for class in previous {
@@ -90,15 +93,15 @@
     }
 }
 
-/// Changes of the settings since the process started.
+/// The numbers of settings changes since the process started.
 #[derive(Clone, Copy, Default, Serialize)]
 struct SettingsChanges {
-    /// Version of the settings in force, if they have one.
+    /// Version of the settings in force, if they have a version.
     version: Option<u64>,
-    /// Changes that came into force.
+    /// Number of changes that came into force.
     #[serde(rename = "changed")]
     applied: u64,
-    /// Files that were rejected.
+    /// Number of configuration files that were rejected.
     #[serde(rename = "refused")]
     rejected: u64,
 }
@@ -106,28 +109,40 @@
 /// The metrics of this process, from 0 at its start.
 #[derive(Serialize)]
 pub struct Metrics {
+    /// The counts of each class.
     #[serde(rename = "results")]
     classes: RefCell<ClassTable>,
-    /// Requests without a final response.
+    /// Number of requests that wait for their final response.
     outstanding: Cell<u64>,
-    /// Attempts that were written completely to a backend.
+    /// Number of attempts that were written completely to a backend.
     forwards: Cell<u64>,
     #[serde(skip)]
     settings_changes: Cell<SettingsChanges>,
 }
 
+/// The numbers of backends at one moment.
+#[derive(Clone, Copy, Debug, Default, Serialize)]
+pub struct BackendCounts {
+    /// Number of backends that the endpoint list has.
+    #[serde(rename = "discovered")]
+    pub listed: usize,
+    /// Number of backends that receive few requests or none, as they are outliers or in maintenance.
+    #[serde(rename = "ejected")]
+    pub avoided: usize,
+}
+
 /// The metrics at one moment, in the form of `stats`.
 #[derive(Serialize)]
 struct Snapshot<'a> {
     #[serde(flatten)]
     metrics: &'a Metrics,
-    discovered: usize,
-    ejected: usize,
+    #[serde(flatten)]
+    backends: BackendCounts,
     settings: SettingsChanges,
 }
 
 impl Metrics {
-    /// Metrics at 0 for the classes of these settings.
+    /// Creates metrics at 0 for the classes of these settings.
     #[must_use]
     pub fn new(settings: &ProxySettings) -> Rc<Self> {
         let metrics = Self {
@@ -146,14 +161,14 @@
         self.settings_changes.set(SettingsChanges { version: settings.version, ..changes });
     }
 
-    /// Counts a change of the settings, and counts requests under its classes from now on.
+    /// Counts a change of the settings. From now on, requests count under the classes of `settings`.
     pub fn settings_applied(&self, settings: &ProxySettings) {
         self.set_settings(settings);
         let changes = self.settings_changes.get();
         self.settings_changes.set(SettingsChanges { applied: changes.applied + 1, ..changes });
     }
 
-    /// Counts a file of settings that was rejected.
+    /// Counts a configuration file that was rejected.
     pub fn settings_rejected(&self) {
         let changes = self.settings_changes.get();
         self.settings_changes.set(SettingsChanges { rejected: changes.rejected + 1, ..changes });
@@ -164,7 +179,7 @@
         self.forwards.set(self.forwards.get() + 1);
     }
 
-    /// Where the requests of a class are counted. It stays valid when the class is retired.
+    /// Returns the counter of the requests of a class, which stays valid when the class is retired.
     #[must_use]
     pub fn for_class(self: &Rc<Self>, name: &str) -> ClassMetrics {
         let classes = self.classes.borrow();
@@ -173,15 +188,14 @@
         ClassMetrics { metrics: self.clone(), outcomes }
     }
 
-    /// One line of JSON. `discovered` and `ejected` are the numbers of backends that are listed, and of
-    /// those in maintenance or outliers, which receive few requests or none.
+    /// Returns the metrics as one line of JSON, with the numbers of backends, which the engine knows.
     ///
     /// # Errors
     ///
-    /// Fails if the serializer does.
-    pub fn to_json(&self, discovered: usize, ejected: usize) -> serde_json::Result<String> {
+    /// Fails if the metrics can't be serialized.
+    pub fn to_json(&self, backends: BackendCounts) -> serde_json::Result<String> {
         let settings = self.settings_changes.get();
-        serde_json::to_string(&Snapshot { metrics: self, discovered, ejected, settings })
+        serde_json::to_string(&Snapshot { metrics: self, backends, settings })
     }
 }
 
@@ -193,7 +207,7 @@
 }
 
 impl ClassMetrics {
-    /// Counts a request that was received completely, and is outstanding from now on.
+    /// Counts a request that was received completely, and that is outstanding from now on.
     #[must_use]
     pub fn request_started(&self) -> OutstandingRequest {
         let outstanding = &self.metrics.outstanding;
@@ -202,7 +216,7 @@
     }
 }
 
-/// A request that counts as outstanding until this is dropped.
+/// A request that counts as outstanding until the value is dropped.
 pub struct OutstandingRequest {
     class: ClassMetrics,
 }
--- a/crates/balancer-proxy/src/process/mod.rs
+++ b/crates/balancer-proxy/src/process/mod.rs
@@ -27,7 +27,7 @@
 use crate::control::management::MAX_MANAGEMENT_CONNECTIONS;
 use crate::control::reload::{ReloadTargets, Reloader};
 use crate::downstream::server;
-use crate::limits::Capacities;
+use crate::limits::{Capacities, OtherProcess};
 use crate::log;
 use std::rc::Rc;
 
@@ -56,12 +56,13 @@
     };
     let has_management = management.is_some();
     let instance_lock = management.as_ref().and_then(|management| management.instance_lock.clone());
-    let replaces_other_process = instance_lock.as_ref().is_some_and(|lock| lock.is_shared());
+    let other_process = instance_lock.as_ref().map_or(OtherProcess::Absent, |lock| lock.other_process());
 
     let reserved_descriptors = if has_management { MANAGEMENT_DESCRIPTORS } else { 0 };
-    let capacities = Capacities::new(config.limits.share(replaces_other_process), reserved_descriptors);
+    let limits = config.limits.for_this_process(other_process);
+    let capacities = Capacities::new(limits, reserved_descriptors);
     let proxy = Proxy::start(&mut config, capacities, management);
-    if replaces_other_process {
+    if other_process.is_running() {
         proxy.wait_for_endpoint_list().await;
     }
     let listener = server::bind(config.listen, has_management)?;
--- a/crates/balancer-proxy/src/process/proxy.rs
+++ b/crates/balancer-proxy/src/process/proxy.rs
@@ -84,7 +84,7 @@
 /// Reloads the configuration on each SIGHUP. Never returns.
 async fn reload_on_hangup(mut hangup: Signal, reloader: Rc<Reloader>) {
     while hangup.recv().await.is_some() {
-        reloader.on_signal();
+        reloader.reload_on_signal();
     }
     std::future::pending::<()>().await;
 }
--- a/crates/balancer-proxy/src/stream_error.rs
+++ b/crates/balancer-proxy/src/stream_error.rs
@@ -1,4 +1,4 @@
-//! How a body that is being streamed can fail.
+//! The errors of a body that is being streamed.
 
 use thiserror::Error;
 
@@ -8,7 +8,7 @@
     /// The peer disconnected or violated its framing.
     #[error("the peer disconnected or sent an invalid body")]
     Disconnected,
-    /// Nothing arrived for too long, or too little in the time.
+    /// No data arrived for too long, or less data than the minimum pace requires.
     #[error("the body stalled")]
     Stalled,
     /// The body is longer than the limit.
--- a/crates/balancer-proxy/tests/instance_lock.rs
+++ b/crates/balancer-proxy/tests/instance_lock.rs
@@ -12,23 +12,23 @@
     runtime.block_on(async {
         let path = shared_address.state_file("any");
         let first = InstanceLock::acquire(&path).await.unwrap();
-        assert!(!first.is_shared() && !first.other_is_listening());
+        assert!(!first.other_process().is_running() && !first.other_is_listening());
 
         let second = InstanceLock::acquire(&path).await.unwrap();
-        assert!(first.is_shared() && second.is_shared());
+        assert!(first.other_process().is_running() && second.other_process().is_running());
         assert!(!first.other_is_listening(), "it does not accept connections yet");
         second.announce_listening().unwrap();
         assert!(first.other_is_listening() && !second.other_is_listening());
 
         // A third process goes without a lock, and disturbs neither of the others.
         let third = InstanceLock::acquire(&path).await.unwrap();
-        assert!(third.is_shared() && third.other_is_listening());
+        assert!(third.other_process().is_running() && third.other_is_listening());
 
         drop((second, third));
-        assert!(!first.is_shared() && !first.other_is_listening());
+        assert!(!first.other_process().is_running() && !first.other_is_listening());
         let again = InstanceLock::acquire(&path).await.unwrap();
         assert!(
-            first.is_shared() && !first.other_is_listening(),
+            first.other_process().is_running() && !first.other_is_listening(),
             "what the process before has written does not count"
         );
         drop(again);
@@ -49,7 +49,7 @@
         ];
         let other = InstanceLock::acquire(&paths[1]).await.unwrap();
 
-        assert!(locks[0].is_shared() && !other.is_shared());
+        assert!(locks[0].other_process().is_running() && !other.other_process().is_running());
         drop(locks);
     });
 }
--- a/crates/balancer-proxy/tests/instance_lock_format.rs
+++ b/crates/balancer-proxy/tests/instance_lock_format.rs
@@ -31,7 +31,7 @@
 
     let lock = acquire(&folder.base());
 
-    assert!(lock.is_shared() && lock.other_is_listening());
+    assert!(lock.other_process().is_running() && lock.other_is_listening());
     assert!(!lock.other_settings_differ("00c0ffee00c0ffee, version 7\n"));
     assert!(lock.other_settings_differ("00c0ffee00c0ffee, version 8\n"));
     // It holds the second lock, as the old version sees.
@@ -47,7 +47,7 @@
 
     // Explicitly, as a child process that another test starts may have the file open for a moment.
     old.unlock().unwrap();
-    assert!(!lock.is_shared() && !lock.other_is_listening());
+    assert!(!lock.other_process().is_running() && !lock.other_is_listening());
     assert!(!lock.other_settings_differ("00c0ffee00c0ffee, version 8\n"), "its holder is gone");
 }
 
@@ -58,7 +58,7 @@
 
     let lock = acquire(&folder.base());
 
-    assert!(lock.is_shared() && !lock.other_is_listening());
+    assert!(lock.other_process().is_running() && !lock.other_is_listening());
     assert!(!lock.other_settings_differ("00c0ffee00c0ffee\n"), "it has published none");
 }
 
@@ -75,7 +75,9 @@
     lock.announce_listening().unwrap();
     lock.publish_fingerprint("3\n").unwrap();
 
-    assert!(lock.is_shared() && lock.other_is_listening() && lock.other_settings_differ("3\n"));
+    assert!(
+        lock.other_process().is_running() && lock.other_is_listening() && lock.other_settings_differ("3\n")
+    );
     assert_eq!(folder.contents(), before);
 }
 
@@ -89,7 +91,11 @@
 
     let lock = acquire(&folder.base());
 
-    assert!(!lock.is_shared() && !lock.other_is_listening() && !lock.other_settings_differ("3\n"));
+    assert!(
+        !lock.other_process().is_running()
+            && !lock.other_is_listening()
+            && !lock.other_settings_differ("3\n")
+    );
     let expected = contents([
         ("dewpier-127.0.0.1:7070.seat-0", ""),
         ("dewpier-127.0.0.1:7070.seat-0.settings", ""),
--- a/crates/balancer-proxy/tests/metrics.rs
+++ b/crates/balancer-proxy/tests/metrics.rs
@@ -1,7 +1,7 @@
 //! The metrics as the management call `stats` returns them: their JSON, byte for byte as operators'
 //! programs read it, and which classes they keep.
 
-use balancer_proxy::metrics::Metrics;
+use balancer_proxy::metrics::{BackendCounts, Metrics};
 use balancer_proxy::settings::ProxySettings;
 use hyper::StatusCode;
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
         r#""outstanding":0,"forwards":0,"discovered":0,"ejected":0,"#,
         r#""settings":{"version":null,"changed":0,"refused":0}}"#,
     );
-    assert_eq!(metrics.to_json(0, 0).unwrap(), expected);
+    assert_eq!(metrics.to_json(BackendCounts::default()).unwrap(), expected);
 }
 
 #[test]
@@ -44,7 +44,7 @@
         r#""outstanding":1,"forwards":1,"discovered":5,"ejected":2,"#,
         r#""settings":{"version":4,"changed":1,"refused":1}}"#,
     );
-    assert_eq!(metrics.to_json(5, 2).unwrap(), expected);
+    assert_eq!(metrics.to_json(BackendCounts { listed: 5, avoided: 2 }).unwrap(), expected);
 }
 
 #[test]
@@ -60,7 +60,7 @@
     }
     open_request.finish(StatusCode::OK); // of a class that has been forgotten
 
-    let stats: Value = serde_json::from_str(&metrics.to_json(0, 0).unwrap()).unwrap();
+    let stats: Value = serde_json::from_str(&metrics.to_json(BackendCounts::default()).unwrap()).unwrap();
     let names: Vec<_> = stats["results"].as_object().unwrap().keys().cloned().collect();
     assert_eq!(names.len(), 65);
     assert!((35..100).all(|index| names.contains(&format!("c-{index}"))));
