--- a/crates/balancer-proxy/src/control/discovery/timing.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing.rs
@@ -146,3 +146,6 @@
         earliest.max(scheduled)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-proxy/src/control/discovery/timing/tests.rs
@@ -0,0 +1,95 @@
+//! Tests of jitter, backoff and the bounds in the module's documentation.
+
+use super::{Backoff, Jitter, LastCall, MAX_JITTER_FRACTION, MIN_BACKOFF};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// A deviation that rounding of durations may cause.
+const TOLERANCE: Duration = Duration::from_micros(1);
+
+/// The longest duration that jitter may make of this one.
+fn longest(duration: Duration) -> Duration {
+    duration.mul_f64(1.0 + MAX_JITTER_FRACTION)
+}
+
+/// The shortest duration that jitter may make of this one.
+fn shortest(duration: Duration) -> Duration {
+    duration.mul_f64(1.0 - MAX_JITTER_FRACTION)
+}
+
+#[test]
+fn jitter_stays_within_its_bounds_and_reaches_near_both() {
+    let jitter = Jitter::new(1);
+    let second = Duration::from_secs(1);
+
+    let durations: Vec<_> = (0..1000).map(|_| jitter.apply(second)).collect();
+
+    let (least, most) = (*durations.iter().min().unwrap(), *durations.iter().max().unwrap());
+    assert!(least >= shortest(second) && least < shortest(second).mul_f64(1.02), "{least:?}");
+    assert!(most <= longest(second) && most > longest(second).mul_f64(0.98), "{most:?}");
+}
+
+#[test]
+fn jitter_depends_on_the_seed_alone() {
+    let first_of_seed = |seed| Jitter::new(seed).apply(Duration::from_secs(1));
+
+    assert_eq!(first_of_seed(7), first_of_seed(7));
+    assert_ne!(first_of_seed(7), first_of_seed(8));
+}
+
+#[test]
+fn a_call_after_a_failure_waits_shorter_for_a_change_and_longer_for_its_response() {
+    let after_success = LastCall::Succeeded.next_timing();
+    let after_failure = LastCall::Failed.next_timing();
+
+    assert!(after_failure.max_change_wait < after_success.max_change_wait);
+    assert!(after_failure.response_timeout > after_success.response_timeout);
+}
+
+#[test]
+fn backoff_doubles_up_to_its_maximum_and_starts_again_after_a_reset() {
+    let jitter = Jitter::new(1);
+    let mut backoff = Backoff::new();
+    let call_start = Instant::now() + Duration::from_secs(3600);
+    let mut next_interval = || backoff.next_call_at(call_start, &jitter) - call_start;
+
+    for expected_ms in [50, 100, 200, 400, 800, 1000, 1000] {
+        let interval = next_interval();
+
+        let expected = Duration::from_millis(expected_ms);
+        assert!(interval + TOLERANCE >= shortest(expected), "{expected_ms} ms: {interval:?}");
+        assert!(interval <= longest(expected) + TOLERANCE, "{expected_ms} ms: {interval:?}");
+    }
+    backoff.reset();
+    let interval = backoff.next_call_at(call_start, &jitter) - call_start;
+    assert!(interval <= longest(MIN_BACKOFF) + TOLERANCE, "{interval:?}");
+}
+
+#[test]
+fn the_shortest_backoff_passes_after_a_call_that_took_long() {
+    let jitter = Jitter::new(1);
+    let mut backoff = Backoff::new();
+    let failed_at = Instant::now();
+    let call_start = failed_at.checked_sub(Duration::from_secs(5)).unwrap_or(failed_at);
+
+    let next_call = backoff.next_call_at(call_start, &jitter);
+
+    assert!(next_call + TOLERANCE >= failed_at + shortest(MIN_BACKOFF));
+}
+
+#[test]
+fn two_failed_calls_in_a_row_end_within_the_bound_of_the_protocol() {
+    let longest_call = |last_call: LastCall| {
+        let timing = last_call.next_timing();
+        timing.max_change_wait + longest(timing.response_timeout)
+    };
+    let full_list_call = longest(LastCall::Succeeded.next_timing().response_timeout);
+    let pushed_backoffs = 2 * longest(MIN_BACKOFF);
+
+    let after_a_success = longest_call(LastCall::Succeeded) + longest_call(LastCall::Failed);
+    let after_failures = 2 * longest_call(LastCall::Failed) + full_list_call;
+
+    let bound = Duration::from_secs(6);
+    assert!(after_a_success + pushed_backoffs < bound);
+    assert!(after_failures + pushed_backoffs < bound);
+}
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -147,3 +147,6 @@
 fn fnv1a(text: &str) -> u32 {
     text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-proxy/src/control/endpoint_list/tests.rs
@@ -0,0 +1,116 @@
+//! Tests of the names of endpoints, and of the translation of lists.
+
+use super::{DEFAULT_WEIGHT, EndpointNames, RawEndpointList, RawLifecycle, fnv1a};
+use crate::clock::Clock;
+use balancer::{BackendId, Endpoint, Status};
+
+/// Two names with the same 32-bit FNV-1a hash.
+const COLLIDING_NAMES: [&str; 2] = ["costarring", "liquid"];
+
+fn parse(list: &str) -> RawEndpointList {
+    serde_json::from_str(list).unwrap()
+}
+
+fn empty_names() -> EndpointNames {
+    EndpointNames::new(Vec::new())
+}
+
+#[test]
+fn an_id_is_the_hash_of_the_name() {
+    // The test vector of the authors of the hash.
+    assert_eq!(empty_names().id("foobar"), BackendId(0xbf9c_f968));
+}
+
+#[test]
+fn names_with_the_same_hash_get_consecutive_ids() {
+    let mut names = empty_names();
+
+    let ids = COLLIDING_NAMES.map(|name| names.id(name));
+
+    assert_eq!(ids[1].0, ids[0].0 + 1);
+    assert_eq!(COLLIDING_NAMES.map(|name| names.id(name)), ids);
+}
+
+#[test]
+fn a_released_id_is_free_for_another_name() {
+    let mut names = empty_names();
+    let id = names.id(COLLIDING_NAMES[0]);
+
+    names.retain_ids(|_| false);
+
+    assert_eq!(names.id(COLLIDING_NAMES[1]), id);
+}
+
+#[test]
+fn an_id_in_use_is_retained() {
+    let mut names = empty_names();
+    let ids = COLLIDING_NAMES.map(|name| names.id(name));
+
+    names.retain_ids(|id| id == ids[1]);
+
+    assert_eq!(names.id(COLLIDING_NAMES[1]), ids[1]);
+}
+
+#[test]
+fn zones_keep_the_indices_of_the_settings_and_new_zones_follow() {
+    let mut names = EndpointNames::new(vec!["east".to_string(), "west".to_string()]);
+
+    assert_eq!(names.zone_index("north"), 2);
+    assert_eq!(names.zone_index("west"), 1);
+    assert_eq!(names.zone_index("north"), 2);
+}
+
+#[test]
+fn an_endpoint_is_translated_with_defaults_for_absent_fields() {
+    let list = parse(
+        r#"{"generation": 3, "reset": true, "instances":
+            [{"instanceId": "s-0", "hostPort": "127.0.0.1:80", "lifecycle": "SERVING"}]}"#,
+    );
+
+    let listed = empty_names().translate(list.instances, &Clock::start());
+
+    let expected = Endpoint {
+        id: BackendId(fnv1a("s-0")),
+        cell: 0,
+        zone: 0,
+        weight: DEFAULT_WEIGHT,
+        status: Status::InService,
+        started_at: None,
+    };
+    assert_eq!(listed[0].endpoint, expected);
+    assert_eq!(listed[0].address, "127.0.0.1:80".parse().unwrap());
+}
+
+#[test]
+fn each_lifecycle_has_its_status() {
+    let statuses = [RawLifecycle::Serving, RawLifecycle::Draining, RawLifecycle::Deleted].map(Status::from);
+
+    assert_eq!(statuses, [Status::InService, Status::Draining, Status::Removed]);
+}
+
+#[test]
+fn a_negative_weight_is_replaced_and_a_weight_of_zero_is_kept() {
+    let list = parse(
+        r#"{"generation": 3, "reset": true, "instances": [
+            {"instanceId": "a", "hostPort": "127.0.0.1:80", "lifecycle": "SERVING", "weight": -1},
+            {"instanceId": "b", "hostPort": "127.0.0.1:80", "lifecycle": "SERVING", "weight": 0}]}"#,
+    );
+
+    let listed = empty_names().translate(list.instances, &Clock::start());
+
+    let weights: Vec<f64> = listed.iter().map(|listed| listed.endpoint.weight).collect();
+    assert_eq!(weights, [DEFAULT_WEIGHT, 0.0]);
+}
+
+#[test]
+fn a_start_time_becomes_a_time_of_the_clock() {
+    let clock = Clock::start();
+    let list = parse(
+        r#"{"generation": 3, "reset": true, "instances": [{"instanceId": "a", "hostPort": "127.0.0.1:80",
+            "lifecycle": "DRAINING", "startedAtMs": 1000}]}"#,
+    );
+
+    let listed = empty_names().translate(list.instances, &clock);
+
+    assert_eq!(listed[0].endpoint.started_at, Some(clock.from_unix_time(1.0)));
+}
--- a/crates/balancer-proxy/src/control/maintenance_store.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store.rs
@@ -178,3 +178,6 @@
         Ok(file)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/control/management_protocol.rs
+++ b/crates/balancer-proxy/src/control/management_protocol.rs
@@ -85,3 +85,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
