--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -1,133 +1,92 @@
-//! One caller: a proxy's balancer that calls a service on virtual time.
+//! One caller: the balancer of one proxy, which calls a service on virtual time.
 //!
-//! The caller owns its balancer, its virtual clock and its open calls. It takes one event after the
-//! other, passes it to the balancer, and carries out the balancer's actions against the simulated
-//! network. It owes each call one final response before the deadline, which is checked throughout.
+//! A [`Caller`] takes one event after the other from its [`Environment`], passes the event to the
+//! balancer, and carries out the balancer's actions in the environment. Each call must get one final
+//! response before its deadline, which the environment checks throughout.
 
 mod accounting;
+mod calls;
 mod deliveries;
 mod discovery_client;
 mod endpoint_list;
+mod environment;
 mod event_queue;
+mod message;
 mod network;
 mod requests;
+mod run_state;
 mod workload;
 
-use super::checker::{OpenCall, Rule, Violation};
-use super::observations::{CallerObservations, SAMPLE_INTERVAL};
-use super::plan::Plan;
+use super::observations::CallerObservations;
 use super::random;
 use super::scenario::Scenario;
-use super::settings::{CLASS_EFFECTS, caller_settings};
 use crate::error::Error;
-use accounting::{Accounting, Failure};
-use balancer::{
-    Action, BackendId, Balancer, EndedAttempt, EndpointUpdate, Event, Outcome, Request, RequestId, Time,
-};
-use discovery_client::{DiscoveryClient, Message};
-use event_queue::{AttemptId, CallerEvent, EventQueue};
-use network::{AttemptTimes, Network};
-use rand::rngs::SmallRng;
-use rand::{Rng, SeedableRng};
-use requests::{InFlight, Requests};
+use accounting::FailureKind;
+use balancer::{Action, Balancer, EndpointUpdate, Event, Outcome};
+use calls::AttemptOrder;
+use environment::Environment;
+use event_queue::{AttemptId, CallerEvent};
+use message::Message;
 use std::time::Instant;
-use workload::Workload;
 
 /// Number of events between two checks of the real time.
 const EVENTS_PER_ABORT_CHECK: u32 = 4096;
+/// The use of random numbers for callers in the derivation of seeds.
+const SEED_PURPOSE: u64 = 2;
 
-struct Caller<'a> {
-    scenario: &'a Scenario<'a>,
-    /// The plan of the scenario.
-    plan: &'a Plan,
-    /// Its index among the callers of the service.
-    index: usize,
-    machine: usize,
-    zone: usize,
-    /// The first machine of the service; backends are counted from it.
-    first_backend: usize,
-    rng: SmallRng,
-    queue: EventQueue,
-    balancer: Balancer,
-    /// Reused between events.
-    actions: Vec<Action>,
-    requests: Requests,
-    network: Network<'a>,
-    discovery: DiscoveryClient<'a>,
-    workload: Workload<'a>,
-    accounting: Accounting<'a>,
+/// Simulates the caller with this index among the callers of the scenario's service.
+///
+/// # Errors
+///
+/// Returns [`Error::Rule`] if a call violated a rule, and [`Error::Failed`] once the real time limit of
+/// the run is reached.
+pub fn simulate(scenario: &Scenario<'_>, index: usize) -> Result<CallerObservations, Error> {
+    Caller::new(scenario, index).simulate()
 }
 
-/// Simulates a caller of a scenario's service, by its index among the callers.
+/// Simulates a caller as [`simulate`] does, and also records all events of its balancer.
 ///
 /// # Errors
-/// A violated rule with the seed and the time of the violation, or the real time limit of the run.
-pub fn simulate(
-    scenario: &Scenario<'_>,
-    caller_index: usize,
-    record: bool,
-) -> Result<CallerObservations, Error> {
-    let mut caller = Caller::new(scenario, caller_index, record);
-    caller.begin()?;
-    caller.run()?;
-    Ok(caller.accounting.into_observations())
+///
+/// Returns the errors of [`simulate`].
+pub fn simulate_recorded(scenario: &Scenario<'_>, index: usize) -> Result<CallerObservations, Error> {
+    let mut caller = Caller::new(scenario, index);
+    caller.environment.start_recording(caller.seed);
+    caller.simulate()
+}
+
+/// A balancer and the environment in which its proxy runs.
+struct Caller<'a> {
+    /// The seed of the first balancer and of the environment.
+    seed: u64,
+    environment: Environment<'a>,
+    balancer: Balancer,
+    /// The actions of the current event; the allocation is reused between events.
+    actions: Vec<Action>,
 }
 
 impl<'a> Caller<'a> {
-    fn new(scenario: &'a Scenario<'a>, index: usize, record: bool) -> Self {
+    fn new(scenario: &'a Scenario<'a>, index: usize) -> Self {
         let context = &scenario.context;
-        let service = scenario.service();
-        let machine = service.callers[index];
-        let zone = context.topology.machines[machine].zone;
-        let seed = random::seed(&[context.plan.seed, 2, context.phase as u64, machine as u64]);
-        let settings = caller_settings(context.plan, context.topology, scenario.service_index, index);
-        let mut accounting = Accounting::new(scenario);
-        if record {
-            accounting.start_recording(seed, settings.clone());
-        }
-        Self {
-            scenario,
-            plan: context.plan,
-            index,
-            machine,
-            zone,
-            first_backend: service.machines.start,
-            rng: SmallRng::seed_from_u64(seed),
-            queue: EventQueue::default(),
-            balancer: Balancer::new(0.0, seed, settings),
-            actions: Vec::new(),
-            requests: Requests::default(),
-            network: Network::new(scenario, zone),
-            discovery: DiscoveryClient::new(scenario, machine),
-            workload: Workload::new(scenario, machine),
-            accounting,
-        }
+        let machine = scenario.service().callers[index];
+        let seed = random::seed(&[context.plan.seed, SEED_PURPOSE, context.phase as u64, machine as u64]);
+        let environment = Environment::new(scenario, index, seed);
+        let balancer = Balancer::new(0.0, seed, environment.settings());
+        Self { seed, environment, balancer, actions: Vec::new() }
     }
 
-    /// Schedules what is known from the beginning, and passes the first endpoint list to the balancer.
-    fn begin(&mut self) -> Result<(), Error> {
-        let deliveries = deliveries::draw_deliveries(self.scenario, &self.network, self.zone, &mut self.rng);
-        let mut sample = 0;
-        while f64::from(sample) * SAMPLE_INTERVAL <= self.plan.end() {
-            self.queue.schedule(f64::from(sample) * SAMPLE_INTERVAL, CallerEvent::Sample(sample));
-            sample += 1;
-        }
-        if let Some(outage) = self.scenario.context.faults.outages[self.machine] {
-            self.queue.schedule(outage.down, CallerEvent::Stop);
-            self.queue.schedule(outage.up, CallerEvent::Start);
-        }
-        for delivery in deliveries {
-            self.queue.schedule(delivery.at, CallerEvent::EndpointChanges(delivery.changes_end));
-        }
-        self.handle_message(&Message::Full(self.discovery.endpoints().listed()))?;
-        self.schedule_next_call();
-        Ok(())
+    fn simulate(mut self) -> Result<CallerObservations, Error> {
+        let first_list = self.environment.begin();
+        self.handle_message(&first_list)?;
+        self.environment.schedule_next_call();
+        self.handle_all_events()?;
+        self.environment.finish()
     }
 
     /// Handles one event after the other until none is pending.
-    fn run(&mut self) -> Result<(), Error> {
+    fn handle_all_events(&mut self) -> Result<(), Error> {
         let mut events = 0_u32;
-        while let Some(event) = self.queue.next() {
+        while let Some(event) = self.environment.next_event() {
             events = events.wrapping_add(1);
             if events.is_multiple_of(EVENTS_PER_ABORT_CHECK) {
                 self.check_real_time()?;
@@ -137,138 +96,83 @@
                 CallerEvent::Timer(token) => self.handle_recorded(Event::Timer(token))?,
                 CallerEvent::AttemptEnded(attempt, outcome) => self.end_attempt(attempt, outcome)?,
                 CallerEvent::EndpointChanges(end) => self.receive_changes(end)?,
-                CallerEvent::Sample(sample) => self.sample_state(sample),
-                CallerEvent::Stop => self.stop(),
+                CallerEvent::Sample(sample) => self.environment.sample_state(sample, &self.balancer),
+                CallerEvent::Stop => self.environment.stop(),
                 CallerEvent::Start => self.start()?,
                 CallerEvent::FirstEndpointList => self.receive_first_list()?,
             }
         }
-        self.requests.verify_none_open().map_err(|violation| self.rule_error(violation))
+        Ok(())
     }
 
     fn check_real_time(&self) -> Result<(), Error> {
-        if Instant::now() < self.scenario.context.abort_at {
+        let context = &self.environment.scenario().context;
+        if Instant::now() < context.abort_at {
             return Ok(());
         }
-        Err(Error::Failed(format!("given up after {} s", self.plan.real_time_limit)))
-    }
-
-    fn rule_error(&self, violation: Violation) -> Error {
-        Error::Rule {
-            rule: violation.rule,
-            call: violation.call.0,
-            seed: self.plan.seed,
-            phase: self.scenario.context.phase.name(),
-            machine: self.machine,
-            at: self.queue.now(),
-        }
-    }
-}
-
-/// Calls and their attempts.
-impl Caller<'_> {
-    fn schedule_next_call(&mut self) {
-        if let Some(at) = self.workload.draw_next(self.queue.now(), &mut self.rng) {
-            self.queue.schedule(at, CallerEvent::Call);
-        }
+        Err(Error::Failed(format!("given up after {} s", context.plan.real_time_limit)))
     }
 
     fn make_call(&mut self) -> Result<(), Error> {
-        let now = self.queue.now();
-        if self.workload.draw_is_made(now, &mut self.rng) {
-            let class = self.workload.draw_class(&mut self.rng);
-            let timeout = self.plan.call_timeout;
-            let counted = self.accounting.in_window(now);
-            let id = self.requests.open(CLASS_EFFECTS[class], now + timeout, counted);
-            self.accounting.count_call(counted);
-            self.handle_recorded(Event::Request(Request { id, class, timeout, ..Request::default() }))?;
+        if let Some(request) = self.environment.draw_call() {
+            self.handle_recorded(Event::Request(request))?;
         }
-        self.schedule_next_call();
+        self.environment.schedule_next_call();
         Ok(())
     }
 
-    fn send_attempt(&mut self, request: RequestId, to: BackendId, timeout: Time) -> Result<(), Error> {
-        let backend = (to.0 as usize).wrapping_sub(self.first_backend);
-        if backend >= self.discovery.endpoints().len() {
-            return Err(self.rule_error(Violation { rule: Rule::Unlisted, call: request }));
+    fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) -> Result<(), Error> {
+        match self.environment.end_attempt(attempt, outcome)? {
+            Some(ended) => self.handle_recorded(Event::AttemptEnded(ended)),
+            None => Ok(()),
         }
-        let sent = self.queue.now();
-        let sending = self.requests.send(request, InFlight { backend, sent });
-        let attempt = sending.map_err(|violation| self.rule_error(violation))?;
-        let times = AttemptTimes { sent, timeout_at: sent + timeout };
-        let end = self.network.attempt(backend, times, &mut self.rng);
-        self.queue.schedule(end.at, CallerEvent::AttemptEnded(attempt, end.outcome));
-        self.accounting.count_attempt(backend, sent, end.unavailable, self.discovery.endpoints());
-        Ok(())
     }
 
-    /// Ends an attempt, unless it has been cancelled before, and its call with it if it succeeded.
-    fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) -> Result<(), Error> {
-        let Some(InFlight { backend, sent }) = self.requests.end_attempt(attempt) else {
-            return Ok(());
-        };
-        let now = self.queue.now();
-        let request = attempt.request;
-        match outcome {
-            Outcome::Success => {
-                self.network.responded(backend, now);
-                if self.requests.is_open(request) {
-                    let call = self.close(request)?;
-                    self.accounting.count_success(call);
-                }
-            }
-            Outcome::NoConnection => self.requests.attempt_never_ran(request),
-            _ => {}
+    /// Receives the endpoint changes before the index `end`.
+    fn receive_changes(&mut self, end: usize) -> Result<(), Error> {
+        match self.environment.receive_changes(end) {
+            Some(message) => self.handle_message(&message),
+            None => Ok(()),
         }
-        self.handle_recorded(Event::AttemptEnded(EndedAttempt {
-            id: request,
-            backend: BackendId((self.first_backend + backend) as u32),
-            attempt: attempt.index,
-            outcome,
-            duration: now - sent,
-            request_finished: !self.requests.is_open(request),
-            report: None,
-        }))
     }
 
-    fn end_without_success(&mut self, request: RequestId, failure: Failure) -> Result<(), Error> {
-        let call = self.close(request)?;
-        let reachable = self.network.any_backend_reachable(self.queue.now());
-        self.accounting.count_failure(call, failure, reachable);
+    /// Starts a new process with the endpoint list that the previous process had cached.
+    fn start(&mut self) -> Result<(), Error> {
+        let seed = self.environment.draw_process_seed();
+        self.balancer = Balancer::new(self.environment.now(), seed, self.environment.settings());
+        let cached = self.environment.start();
+        self.handle_update(EndpointUpdate::Cached(&cached))?;
+        self.environment.schedule_first_response();
+        self.environment.schedule_next_call();
         Ok(())
     }
 
-    fn close(&mut self, request: RequestId) -> Result<OpenCall, Error> {
-        let closing = self.requests.close(request, self.queue.now());
-        closing.map_err(|violation| self.rule_error(violation))
-    }
-}
-
-/// The balancer: its events and its actions.
-impl Caller<'_> {
-    /// Passes an event to the balancer and carries out its actions.
-    fn handle_recorded(&mut self, event: Event<'static>) -> Result<(), Error> {
-        self.accounting.record_event(self.queue.now(), event);
-        self.handle(event)
+    fn receive_first_list(&mut self) -> Result<(), Error> {
+        let message = self.environment.receive_first_list();
+        self.handle_message(&message)
     }
 
     fn handle_message(&mut self, message: &Message) -> Result<(), Error> {
-        self.accounting.count_message(self.queue.now(), message);
-        self.handle_update(match message {
-            Message::Changes(endpoints) => EndpointUpdate::Changes(endpoints),
-            Message::Full(endpoints) => EndpointUpdate::Full(endpoints),
-        })
+        self.environment.count_message(message);
+        self.handle_update(message.as_update())
     }
 
     fn handle_update(&mut self, update: EndpointUpdate<'_>) -> Result<(), Error> {
-        self.accounting.record_update(self.queue.now(), update);
+        self.environment.record_update(update);
         self.handle(Event::Endpoints(update))
     }
 
+    /// Records an event without endpoints, if the caller is recorded, and handles the event.
+    fn handle_recorded(&mut self, event: Event<'static>) -> Result<(), Error> {
+        self.environment.record_event(event);
+        self.handle(event)
+    }
+
+    /// Passes an event to the balancer and carries out its actions.
     fn handle(&mut self, event: Event<'_>) -> Result<(), Error> {
         // Taken, as carrying out an action may pass further events to the balancer.
         let mut actions = std::mem::take(&mut self.actions);
-        self.balancer.handle(self.queue.now(), event, &mut actions);
+        self.balancer.handle(self.environment.now(), event, &mut actions);
         let result = actions.drain(..).try_for_each(|action| self.perform(&action));
         self.actions = actions;
         result
@@ -276,14 +180,16 @@
 
     fn perform(&mut self, action: &Action) -> Result<(), Error> {
         match *action {
-            Action::Send { id, backend, timeout, .. } => self.send_attempt(id, backend, timeout),
+            Action::Send { id, backend, timeout, .. } => {
+                self.environment.send_attempt(AttemptOrder { request: id, backend, timeout })
+            }
             Action::Cancel { id, attempt } => {
                 self.end_attempt(AttemptId { request: id, index: attempt }, Outcome::Cancelled)
             }
-            Action::Reject { id, .. } => self.end_without_success(id, Failure::Rejected),
-            Action::Fail { id } => self.end_without_success(id, Failure::Failed),
+            Action::Reject { id, .. } => self.environment.end_without_success(id, FailureKind::Rejected),
+            Action::Fail { id } => self.environment.end_without_success(id, FailureKind::Failed),
             Action::SetTimer { at, token } => {
-                self.queue.schedule(at, CallerEvent::Timer(token));
+                self.environment.schedule_timer(at, token);
                 Ok(())
             }
             // Requests are written at once, lists are pushed, and idle connections time out.
@@ -293,55 +199,4 @@
             | Action::WatchEndpoints => Ok(()),
         }
     }
-
-    fn sample_state(&mut self, sample: u32) {
-        if self.discovery.is_up() {
-            self.accounting.sample_state(sample, &self.balancer);
-        }
-    }
-}
-
-/// Endpoint updates, and the process's stop and start.
-impl Caller<'_> {
-    /// Receives the endpoint changes before the index `end`.
-    fn receive_changes(&mut self, end: usize) -> Result<(), Error> {
-        let now = self.queue.now();
-        let Some(update) = self.discovery.deliver(end, now) else {
-            return Ok(());
-        };
-        for change in update.changes {
-            self.accounting.record_notification(change, now);
-        }
-        self.handle_message(&update.message)
-    }
-
-    /// Stops the process; its open calls are lost.
-    fn stop(&mut self) {
-        self.accounting.count_lost(self.requests.drop_all());
-        self.network.close_connections();
-        self.discovery.stop();
-        self.queue.end_incarnation();
-    }
-
-    /// Starts a new process with the endpoint list that the last one cached.
-    fn start(&mut self) -> Result<(), Error> {
-        let topology = self.scenario.context.topology;
-        let now = self.queue.now();
-        let seed = self.rng.random();
-        let settings = caller_settings(self.plan, topology, self.scenario.service_index, self.index);
-        self.accounting.record_start(now, seed);
-        self.balancer = Balancer::new(now, seed, settings);
-        self.discovery.start();
-        let cached = self.discovery.endpoints().listed();
-        self.handle_update(EndpointUpdate::Cached(&cached))?;
-        let at = self.discovery.draw_first_response(now, &self.network, self.zone, &mut self.rng);
-        self.queue.schedule(at, CallerEvent::FirstEndpointList);
-        self.schedule_next_call();
-        Ok(())
-    }
-
-    fn receive_first_list(&mut self) -> Result<(), Error> {
-        let message = self.discovery.deliver_first_response(self.queue.now());
-        self.handle_message(&message)
-    }
 }
--- a/crates/fleet-bench/src/fleet/caller/accounting.rs
+++ b/crates/fleet-bench/src/fleet/caller/accounting.rs
@@ -1,22 +1,44 @@
 //! Counts and records what a caller does.
 
-use super::discovery_client::Message;
-use super::endpoint_list::{EndpointList, message_bytes};
+use super::endpoint_list::EndpointList;
+use super::message::Message;
 use crate::fleet::checker::OpenCall;
 use crate::fleet::observations::{CallerObservations, SlowStartAttempt, StateSize, SubsetMember};
 use crate::fleet::recording::{Record, Recording};
 use crate::fleet::scenario::Scenario;
 use balancer::{Balancer, EndpointUpdate, Event, Settings, Time};
 
-/// A call that ended without success.
+/// How a call ended without success.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// It was rejected: not run, harmless to retry.
+pub enum FailureKind {
+    /// The balancer rejected the call: the call has not run, and a retry is harmless.
     Rejected,
-    /// It failed.
+    /// The call failed.
     Failed,
 }
 
+/// A call that ended without success.
+#[derive(Clone, Copy, Debug)]
+pub struct FailedCall {
+    /// The call.
+    pub call: OpenCall,
+    /// How the call ended.
+    pub kind: FailureKind,
+    /// Whether some backend in service was reachable when the call ended.
+    pub backend_reachable: bool,
+}
+
+/// An attempt that was sent.
+#[derive(Clone, Copy, Debug)]
+pub struct SentAttempt {
+    /// The index of the backend in the service.
+    pub backend: usize,
+    /// The virtual time of the send, in seconds.
+    pub sent: Time,
+    /// Whether the backend was down or partitioned at that time.
+    pub unavailable: bool,
+}
+
 /// The observations of a caller while it is simulated.
 #[derive(Debug)]
 pub struct Accounting<'a> {
@@ -71,9 +93,9 @@
         }
     }
 
-    /// Counts a call that is made.
-    pub fn count_call(&mut self, counted: bool) {
-        self.observations.counts.calls.total += u64::from(counted);
+    /// Counts a call that is made in the window.
+    pub fn count_call(&mut self) {
+        self.observations.counts.calls.total += 1;
     }
 
     /// Counts a call that succeeded.
@@ -81,18 +103,18 @@
         self.observations.counts.calls.succeeded += u64::from(call.counted);
     }
 
-    /// Counts a call that was rejected or failed, and whether some backend was reachable then.
-    pub fn count_failure(&mut self, call: OpenCall, failure: Failure, backend_reachable: bool) {
-        if !call.counted {
+    /// Counts a call that was rejected or failed.
+    pub fn count_failure(&mut self, failed: FailedCall) {
+        if !failed.call.counted {
             return;
         }
         let counts = &mut self.observations.counts.calls;
-        match failure {
-            Failure::Rejected => counts.rejected += 1,
-            Failure::Failed => counts.failed += 1,
+        match failed.kind {
+            FailureKind::Rejected => counts.rejected += 1,
+            FailureKind::Failed => counts.failed += 1,
         }
-        counts.without_attempt += u64::from(call.attempts == 0);
-        counts.unreachable += u64::from(!backend_reachable);
+        counts.without_attempt += u64::from(failed.call.attempts == 0);
+        counts.unreachable += u64::from(!failed.backend_reachable);
     }
 
     /// Counts calls that were open when the machine of the caller went down.
@@ -100,8 +122,9 @@
         self.observations.counts.calls.lost += calls;
     }
 
-    /// Counts an attempt to a backend, which may be unavailable.
-    pub fn count_attempt(&mut self, backend: usize, now: Time, unavailable: bool, list: &EndpointList) {
+    /// Counts an attempt of a caller that has this endpoint list.
+    pub fn count_attempt(&mut self, attempt: SentAttempt, list: &EndpointList) {
+        let SentAttempt { backend, sent: now, unavailable } = attempt;
         self.record_load(backend, now);
         if !self.in_window(now) {
             return;
@@ -151,7 +174,7 @@
         let counts = &mut self.observations.counts.updates;
         counts.messages += 1;
         counts.endpoints += endpoints.len() as u64;
-        counts.bytes += message_bytes(endpoints, message.is_complete()) as u64;
+        counts.bytes += message.bytes() as u64;
     }
 
     /// Records that the caller is notified of the endpoint change with this index.
--- /dev/null
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -0,0 +1,175 @@
+//! The calls that a caller makes, from the draw of a call to its final response.
+
+use super::accounting::{FailedCall, FailureKind, SentAttempt};
+use super::endpoint_list::EndpointList;
+use super::event_queue::{AttemptId, CallerEvent};
+use super::network::{AttemptTimes, Network};
+use super::requests::{InFlight, Requests};
+use super::run_state::RunState;
+use super::workload::Workload;
+use crate::fleet::checker::{NewCall, Rule, Violation};
+use crate::fleet::plan::Plan;
+use crate::fleet::scenario::Scenario;
+use crate::fleet::settings::CLASS_EFFECTS;
+use balancer::{BackendId, EndedAttempt, Outcome, Request, RequestId, Time};
+
+/// An attempt that the balancer asks for.
+#[derive(Clone, Copy, Debug)]
+pub struct AttemptOrder {
+    /// The call.
+    pub request: RequestId,
+    /// The backend to which the attempt is sent.
+    pub backend: BackendId,
+    /// The time after which the attempt times out, in seconds.
+    pub timeout: Time,
+}
+
+/// The calls of one caller, with the network on which the attempts are sent.
+pub struct Calls<'a> {
+    plan: &'a Plan,
+    /// The index of the first machine of the service; backends are counted from this machine.
+    first_backend: usize,
+    workload: Workload<'a>,
+    requests: Requests,
+    network: Network<'a>,
+}
+
+impl<'a> Calls<'a> {
+    /// Creates the state of a machine's proxy that has made no calls.
+    pub fn new(scenario: &'a Scenario<'a>, machine: usize) -> Self {
+        let context = &scenario.context;
+        Self {
+            plan: context.plan,
+            first_backend: scenario.service().machines.start,
+            workload: Workload::new(scenario, machine),
+            requests: Requests::default(),
+            network: Network::new(scenario, context.topology.machines[machine].zone),
+        }
+    }
+
+    /// Returns the network as seen from the machine of the caller.
+    pub fn network(&self) -> &Network<'a> {
+        &self.network
+    }
+
+    /// Schedules the next call, unless the process stops or the phase ends before.
+    pub fn schedule_next(&self, run: &mut RunState<'_>) {
+        if let Some(at) = self.workload.draw_next(run.queue.now(), &mut run.rng) {
+            run.queue.schedule(at, CallerEvent::Call);
+        }
+    }
+
+    /// Draws whether the proxy makes the call that is due, and opens the call.
+    pub fn draw(&mut self, run: &mut RunState<'_>) -> Option<Request> {
+        let now = run.queue.now();
+        if !self.workload.draw_is_made(now, &mut run.rng) {
+            return None;
+        }
+        let class = self.workload.draw_class(&mut run.rng);
+        let timeout = self.plan.call_timeout;
+        let counted = run.accounting.in_window(now);
+        let call = NewCall { effect: CLASS_EFFECTS[class], deadline: now + timeout, counted };
+        let id = self.requests.open(call);
+        if counted {
+            run.accounting.count_call();
+        }
+        Some(Request { id, class, timeout, ..Request::default() })
+    }
+
+    /// Sends an attempt of a caller that has this endpoint list, and schedules the end of the attempt.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation of a rule.
+    pub fn send(
+        &mut self,
+        order: AttemptOrder,
+        list: &EndpointList,
+        run: &mut RunState<'_>,
+    ) -> Result<(), Violation> {
+        let backend = (order.backend.0 as usize).wrapping_sub(self.first_backend);
+        if backend >= list.len() {
+            return Err(Violation { rule: Rule::Unlisted, call: order.request });
+        }
+        let sent = run.queue.now();
+        let attempt = self.requests.send(order.request, InFlight { backend, sent })?;
+        let times = AttemptTimes { sent, timeout_at: sent + order.timeout };
+        let end = self.network.attempt(backend, times, &mut run.rng);
+        run.queue.schedule(end.at, CallerEvent::AttemptEnded(attempt, end.outcome));
+        let sent_attempt = SentAttempt { backend, sent, unavailable: end.unavailable };
+        run.accounting.count_attempt(sent_attempt, list);
+        Ok(())
+    }
+
+    /// Ends an attempt, and its call with it if the attempt succeeded. Returns `None` if the attempt
+    /// had been cancelled before.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation of a rule.
+    pub fn end_attempt(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+        run: &mut RunState<'_>,
+    ) -> Result<Option<EndedAttempt>, Violation> {
+        let Some(InFlight { backend, sent }) = self.requests.end_attempt(attempt) else {
+            return Ok(None);
+        };
+        let now = run.queue.now();
+        let request = attempt.request;
+        match outcome {
+            Outcome::Success => {
+                self.network.record_response(backend, now);
+                if self.requests.is_open(request) {
+                    let call = self.requests.close(request, now)?;
+                    run.accounting.count_success(call);
+                }
+            }
+            Outcome::NoConnection => self.requests.attempt_never_ran(request),
+            _ => {}
+        }
+        Ok(Some(EndedAttempt {
+            id: request,
+            backend: BackendId((self.first_backend + backend) as u32),
+            attempt: attempt.index,
+            outcome,
+            duration: now - sent,
+            request_finished: !self.requests.is_open(request),
+            report: None,
+        }))
+    }
+
+    /// Ends a call that the balancer rejected or failed.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation of a rule.
+    pub fn end_without_success(
+        &mut self,
+        request: RequestId,
+        kind: FailureKind,
+        run: &mut RunState<'_>,
+    ) -> Result<(), Violation> {
+        let now = run.queue.now();
+        let call = self.requests.close(request, now)?;
+        let backend_reachable = self.network.any_backend_reachable(now);
+        run.accounting.count_failure(FailedCall { call, kind, backend_reachable });
+        Ok(())
+    }
+
+    /// Drops all open calls, attempts and connections, as their process has stopped.
+    pub fn drop_all(&mut self, run: &mut RunState<'_>) {
+        run.accounting.count_lost(self.requests.drop_all());
+        self.network.close_connections();
+    }
+
+    /// Checks at the end of the run that no call is open.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violation by a call that got no final response.
+    pub fn verify_none_open(&self) -> Result<(), Violation> {
+        self.requests.verify_none_open()
+    }
+}
--- a/crates/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -2,10 +2,11 @@
 //! on its machine keeps while the process is down.
 
 use super::endpoint_list::EndpointList;
+use super::message::Message;
 use super::network::Network;
 use crate::fleet::faults::OutageKind;
 use crate::fleet::scenario::Scenario;
-use balancer::{Endpoint, Time};
+use balancer::Time;
 use rand::rngs::SmallRng;
 use std::ops::Range;
 
@@ -23,29 +24,6 @@
     Running,
 }
 
-/// A message of discovery.
-#[derive(Clone, Debug)]
-pub enum Message {
-    /// Changed endpoints.
-    Changes(Vec<Endpoint>),
-    /// The complete endpoint list.
-    Full(Vec<Endpoint>),
-}
-
-impl Message {
-    /// The endpoints in it.
-    pub fn endpoints(&self) -> &[Endpoint] {
-        match self {
-            Self::Changes(endpoints) | Self::Full(endpoints) => endpoints,
-        }
-    }
-
-    /// Whether it has the complete list.
-    pub fn is_complete(&self) -> bool {
-        matches!(self, Self::Full(_))
-    }
-}
-
 /// Endpoint changes that a running process receives.
 #[derive(Clone, Debug)]
 pub struct Update {
--- a/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
+++ b/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of a service as one caller has it, and the size of its messages.
+//! The endpoint list of a service as one caller has it.
 
 use crate::fleet::faults::EndpointChange;
 use balancer::{Endpoint, Status, Time};
@@ -55,28 +55,3 @@
         self.applied = self.applied.max(end);
     }
 }
-
-/// The size in bytes of a message of the endpoint list, as discovery writes it.
-pub fn message_bytes(endpoints: &[Endpoint], reset: bool) -> usize {
-    let head = format!(
-        "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 1234\r\n\r\n\
-         {{\"generation\":123456,\"reset\":{reset},\"instances\":[]}}"
-    );
-    head.len() + endpoints.iter().map(endpoint_bytes).sum::<usize>()
-}
-
-fn endpoint_bytes(endpoint: &Endpoint) -> usize {
-    let lifecycle = match endpoint.status {
-        Status::InService => "SERVING",
-        Status::Draining => "DRAINING",
-        Status::Removed => "DELETED",
-    };
-    let started = if endpoint.started_at.is_some() { "1790000000000" } else { "0" };
-    format!(
-        "{{\"instanceId\":\"s-{:08x}\",\"hostPort\":\"10.100.100.100:7070\",\"zone\":\"{}\",\
-         \"machineType\":\"m2\",\"cell\":{},\"lifecycle\":\"{lifecycle}\",\"weight\":1.0,\
-         \"startedAtMs\":{started}}},",
-        endpoint.id.0, endpoint.zone, endpoint.cell
-    )
-    .len()
-}
--- /dev/null
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -0,0 +1,251 @@
+//! The environment of one caller's balancer: the virtual clock, the calls that the proxy makes, the
+//! network, discovery, and the observations of all of these.
+//!
+//! A method that leads to an event of the balancer returns that event; the caller passes it on.
+
+use super::accounting::{Accounting, FailureKind};
+use super::calls::{AttemptOrder, Calls};
+use super::deliveries;
+use super::discovery_client::DiscoveryClient;
+use super::event_queue::{AttemptId, CallerEvent, EventQueue};
+use super::message::Message;
+use super::run_state::RunState;
+use crate::error::Error;
+use crate::fleet::checker::Violation;
+use crate::fleet::observations::{CallerObservations, SAMPLE_INTERVAL};
+use crate::fleet::plan::Plan;
+use crate::fleet::scenario::Scenario;
+use crate::fleet::settings::caller_settings;
+use balancer::{
+    Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId, Settings, Time,
+    TimerToken,
+};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+
+/// Everything that surrounds the balancer of one caller.
+pub struct Environment<'a> {
+    scenario: &'a Scenario<'a>,
+    /// The plan of the scenario.
+    plan: &'a Plan,
+    /// The index of the caller among the callers of the service.
+    index: usize,
+    /// The index of the caller's machine in the fleet.
+    machine: usize,
+    /// The zone of the caller's machine.
+    zone: usize,
+    calls: Calls<'a>,
+    discovery: DiscoveryClient<'a>,
+    run: RunState<'a>,
+}
+
+impl<'a> Environment<'a> {
+    /// Creates the environment of a caller, whose random draws depend on the seed alone.
+    pub fn new(scenario: &'a Scenario<'a>, index: usize, seed: u64) -> Self {
+        let context = &scenario.context;
+        let machine = scenario.service().callers[index];
+        Self {
+            scenario,
+            plan: context.plan,
+            index,
+            machine,
+            zone: context.topology.machines[machine].zone,
+            calls: Calls::new(scenario, machine),
+            discovery: DiscoveryClient::new(scenario, machine),
+            run: RunState {
+                queue: EventQueue::default(),
+                rng: SmallRng::seed_from_u64(seed),
+                accounting: Accounting::new(scenario),
+            },
+        }
+    }
+
+    /// Returns the scenario that the caller is part of.
+    pub fn scenario(&self) -> &'a Scenario<'a> {
+        self.scenario
+    }
+
+    /// Returns the virtual time, in seconds.
+    pub fn now(&self) -> Time {
+        self.run.queue.now()
+    }
+
+    /// Returns the settings of the caller's balancer.
+    pub fn settings(&self) -> Settings {
+        caller_settings(self.plan, self.scenario.context.topology, self.scenario.service_index, self.index)
+    }
+
+    /// Begins to record the events of a balancer with this seed.
+    pub fn start_recording(&mut self, balancer_seed: u64) {
+        self.run.accounting.start_recording(balancer_seed, self.settings());
+    }
+
+    /// Schedules the events that are known from the beginning, and returns the first endpoint list.
+    pub fn begin(&mut self) -> Message {
+        let deliveries =
+            deliveries::draw_deliveries(self.scenario, self.calls.network(), self.zone, &mut self.run.rng);
+        let mut sample = 0;
+        while f64::from(sample) * SAMPLE_INTERVAL <= self.plan.end() {
+            self.run.queue.schedule(f64::from(sample) * SAMPLE_INTERVAL, CallerEvent::Sample(sample));
+            sample += 1;
+        }
+        if let Some(outage) = self.scenario.context.faults.outages[self.machine] {
+            self.run.queue.schedule(outage.down, CallerEvent::Stop);
+            self.run.queue.schedule(outage.up, CallerEvent::Start);
+        }
+        for delivery in deliveries {
+            self.run.queue.schedule(delivery.at, CallerEvent::EndpointChanges(delivery.changes_end));
+        }
+        Message::Full(self.discovery.endpoints().listed())
+    }
+
+    /// Advances the virtual time to the next event and returns the event.
+    pub fn next_event(&mut self) -> Option<CallerEvent> {
+        self.run.queue.next()
+    }
+
+    /// Schedules a timer of the balancer.
+    pub fn schedule_timer(&mut self, at: Time, token: TimerToken) {
+        self.run.queue.schedule(at, CallerEvent::Timer(token));
+    }
+
+    /// Returns the observations, after a check that no call is open.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Rule`] if a call got no final response.
+    pub fn finish(self) -> Result<CallerObservations, Error> {
+        self.calls.verify_none_open().map_err(|violation| self.rule_error(violation))?;
+        Ok(self.run.accounting.into_observations())
+    }
+
+    fn rule_error(&self, violation: Violation) -> Error {
+        Error::Rule {
+            rule: violation.rule,
+            call: violation.call.0,
+            seed: self.plan.seed,
+            phase: self.scenario.context.phase.name(),
+            machine: self.machine,
+            at: self.run.queue.now(),
+        }
+    }
+}
+
+/// Calls and their attempts.
+impl Environment<'_> {
+    /// Schedules the next call, unless the process stops or the phase ends before.
+    pub fn schedule_next_call(&mut self) {
+        self.calls.schedule_next(&mut self.run);
+    }
+
+    /// Draws whether the proxy makes the call that is due, and opens the call.
+    pub fn draw_call(&mut self) -> Option<Request> {
+        self.calls.draw(&mut self.run)
+    }
+
+    /// Sends an attempt of a call, and schedules the end of the attempt.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Rule`] if the attempt violates a rule.
+    pub fn send_attempt(&mut self, order: AttemptOrder) -> Result<(), Error> {
+        let sending = self.calls.send(order, self.discovery.endpoints(), &mut self.run);
+        sending.map_err(|violation| self.rule_error(violation))
+    }
+
+    /// Ends an attempt, and its call with it if the attempt succeeded. Returns `None` if the attempt
+    /// had been cancelled before.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Rule`] if the final response of the call violates a rule.
+    pub fn end_attempt(
+        &mut self,
+        attempt: AttemptId,
+        outcome: Outcome,
+    ) -> Result<Option<EndedAttempt>, Error> {
+        let ending = self.calls.end_attempt(attempt, outcome, &mut self.run);
+        ending.map_err(|violation| self.rule_error(violation))
+    }
+
+    /// Ends a call that the balancer rejected or failed.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Error::Rule`] if the final response of the call violates a rule.
+    pub fn end_without_success(&mut self, request: RequestId, kind: FailureKind) -> Result<(), Error> {
+        let ending = self.calls.end_without_success(request, kind, &mut self.run);
+        ending.map_err(|violation| self.rule_error(violation))
+    }
+}
+
+/// Endpoint updates, and the stop and start of the process.
+impl Environment<'_> {
+    /// Receives the endpoint changes before the index `end`. Returns `None` if the process does not
+    /// receive the changes, or has them already.
+    pub fn receive_changes(&mut self, end: usize) -> Option<Message> {
+        let now = self.run.queue.now();
+        let update = self.discovery.deliver(end, now)?;
+        for change in update.changes {
+            self.run.accounting.record_notification(change, now);
+        }
+        Some(update.message)
+    }
+
+    /// Stops the process; its open calls are lost.
+    pub fn stop(&mut self) {
+        self.calls.drop_all(&mut self.run);
+        self.discovery.stop();
+        self.run.queue.end_incarnation();
+    }
+
+    /// Draws the seed of the balancer of a new process.
+    pub fn draw_process_seed(&mut self) -> u64 {
+        let seed = self.run.rng.random();
+        self.run.accounting.record_start(self.run.queue.now(), seed);
+        seed
+    }
+
+    /// Starts a new process, and returns the endpoint list that the previous process had cached.
+    pub fn start(&mut self) -> Vec<Endpoint> {
+        self.discovery.start();
+        self.discovery.endpoints().listed()
+    }
+
+    /// Schedules the first response of discovery to a new process.
+    pub fn schedule_first_response(&mut self) {
+        let now = self.run.queue.now();
+        let at = self.discovery.draw_first_response(now, self.calls.network(), self.zone, &mut self.run.rng);
+        self.run.queue.schedule(at, CallerEvent::FirstEndpointList);
+    }
+
+    /// Receives the first response of discovery to a new process.
+    pub fn receive_first_list(&mut self) -> Message {
+        self.discovery.deliver_first_response(self.run.queue.now())
+    }
+}
+
+/// Observations.
+impl Environment<'_> {
+    /// Counts a message of discovery.
+    pub fn count_message(&mut self, message: &Message) {
+        self.run.accounting.count_message(self.run.queue.now(), message);
+    }
+
+    /// Records an event without endpoints, if the caller is recorded.
+    pub fn record_event(&mut self, event: Event<'static>) {
+        self.run.accounting.record_event(self.run.queue.now(), event);
+    }
+
+    /// Records an endpoint update, if the caller is recorded.
+    pub fn record_update(&mut self, update: EndpointUpdate<'_>) {
+        self.run.accounting.record_update(self.run.queue.now(), update);
+    }
+
+    /// Samples the state of the balancer, unless the process is down.
+    pub fn sample_state(&mut self, sample: u32, balancer: &Balancer) {
+        if self.discovery.is_up() {
+            self.run.accounting.sample_state(sample, balancer);
+        }
+    }
+}
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -47,7 +47,7 @@
     }
 
     /// Records a response of a backend.
-    pub fn responded(&mut self, backend: usize, now: Time) {
+    pub fn record_response(&mut self, backend: usize, now: Time) {
         self.last_response[backend] = now;
     }
 
--- a/crates/fleet-bench/src/fleet/caller/requests.rs
+++ b/crates/fleet-bench/src/fleet/caller/requests.rs
@@ -1,8 +1,8 @@
 //! The open calls of a caller and their attempts in flight.
 
 use super::event_queue::AttemptId;
-use crate::fleet::checker::{Checker, OpenCall, Violation};
-use balancer::{Effect, RequestId, Time};
+use crate::fleet::checker::{Checker, NewCall, OpenCall, Violation};
+use balancer::{RequestId, Time};
 use std::collections::HashMap;
 
 /// An attempt in flight.
@@ -23,11 +23,11 @@
 }
 
 impl Requests {
-    /// Opens a call.
-    pub fn open(&mut self, effect: Effect, deadline: Time, counted: bool) -> RequestId {
+    /// Opens a call and returns its id.
+    pub fn open(&mut self, call: NewCall) -> RequestId {
         self.last_id += 1;
         let request = RequestId(self.last_id);
-        self.checker.open(request, effect, deadline, counted);
+        self.checker.open(request, call);
         request
     }
 
--- a/crates/fleet-bench/src/fleet/checker.rs
+++ b/crates/fleet-bench/src/fleet/checker.rs
@@ -40,15 +40,26 @@
     pub call: RequestId,
 }
 
-/// A call that is owed its final response.
+/// A call that is made.
+#[derive(Clone, Copy, Debug)]
+pub struct NewCall {
+    /// The effect of a repetition of the call.
+    pub effect: Effect,
+    /// The virtual time until which the call must get its final response, in seconds.
+    pub deadline: Time,
+    /// Whether the report counts the call.
+    pub counted: bool,
+}
+
+/// A call without a final response.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenCall {
     deadline: Time,
     effect: Effect,
     may_have_run: bool,
-    /// Attempts sent so far.
+    /// Number of attempts sent so far.
     pub attempts: usize,
-    /// Whether it is counted in the report.
+    /// Whether the report counts the call.
     pub counted: bool,
 }
 
@@ -59,10 +70,10 @@
 }
 
 impl Checker {
-    /// Opens a call with the deadline of its final response.
-    pub fn open(&mut self, call: RequestId, effect: Effect, deadline: Time, counted: bool) {
-        let opened = OpenCall { deadline, effect, may_have_run: false, attempts: 0, counted };
-        self.open.insert(call, opened);
+    /// Opens a call.
+    pub fn open(&mut self, id: RequestId, call: NewCall) {
+        let NewCall { effect, deadline, counted } = call;
+        self.open.insert(id, OpenCall { deadline, effect, may_have_run: false, attempts: 0, counted });
     }
 
     /// Records an attempt and returns its index, from 0.
--- a/crates/fleet-bench/src/fleet/phase.rs
+++ b/crates/fleet-bench/src/fleet/phase.rs
@@ -34,7 +34,13 @@
 fn simulate_service(scenario: &Scenario<'_>, roles: &Roles) -> Result<ServiceResult, Error> {
     let callers = scenario.service().callers.len();
     let recorded = recorded_callers(scenario, roles);
-    let simulate = |index| caller::simulate(scenario, index, recorded.contains(&index));
+    let simulate = |index| {
+        if recorded.contains(&index) {
+            caller::simulate_recorded(scenario, index)
+        } else {
+            caller::simulate(scenario, index)
+        }
+    };
     let mut observations: Vec<CallerObservations> =
         (0..callers).into_par_iter().with_max_len(1).map(simulate).collect::<Result<_, _>>()?;
     let mut counts = Counts::default();
--- a/crates/fleet-bench/src/slopes.rs
+++ b/crates/fleet-bench/src/slopes.rs
@@ -5,8 +5,10 @@
 //! through the medians over the rounds.
 
 mod case;
+mod event_queue;
 mod event_times;
 mod measurement;
+mod open_requests;
 mod plan;
 mod simulation;
 mod tables;
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -3,7 +3,9 @@
 //! is measured by itself.
 
 use super::case::{Case, REQUEST_TIMEOUT, RESPONSE_TIME, SLOW_REQUEST_INTERVAL, SLOW_RESPONSE_TIME};
+use super::event_queue::{EventQueue, PendingEvent};
 use super::event_times::{EventKind, EventTimes, clock_cost};
+use super::open_requests::{Attempt, OpenRequests};
 use crate::thread_clock::thread_time;
 use balancer::{
     Action, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId,
@@ -11,37 +13,10 @@
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use std::cmp::Reverse;
-use std::collections::{BinaryHeap, HashMap};
 
 /// Requests simulated after each endpoint change, so that the next one meets a balancer at work.
 const REQUESTS_AFTER_CHANGE: usize = 2;
 
-/// An event that is due at some time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum PendingEvent {
-    Timer { id: RequestId, token: TimerToken },
-    Response { id: RequestId, attempt: usize },
-}
-
-/// An event and its time in nanoseconds, which unlike [`Time`] has a total order.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Scheduled {
-    at_nanoseconds: u64,
-    event: PendingEvent,
-}
-
-fn nanoseconds(at: Time) -> u64 {
-    (at * 1e9) as u64
-}
-
-/// An attempt that was sent.
-#[derive(Clone, Copy, Debug)]
-struct Attempt {
-    backend: BackendId,
-    sent: Time,
-}
-
 /// An attempt that the balancer cancelled.
 #[derive(Clone, Copy, Debug)]
 struct CancelledAttempt {
@@ -60,9 +35,8 @@
     rng: SmallRng,
     now: Time,
     next_id: u64,
-    /// The attempts of each request without a final response, by their index.
-    open: HashMap<RequestId, Vec<Attempt>>,
-    pending: BinaryHeap<Reverse<Scheduled>>,
+    open: OpenRequests,
+    queue: EventQueue,
     times: EventTimes,
     /// For each backend: whether it got an attempt in the current stretch.
     used: Vec<bool>,
@@ -83,8 +57,8 @@
             rng: SmallRng::seed_from_u64(seed),
             now: 0.0,
             next_id: 0,
-            open: HashMap::new(),
-            pending: BinaryHeap::new(),
+            open: OpenRequests::default(),
+            queue: EventQueue::default(),
             times: EventTimes::default(),
             used: vec![false; case.backends],
             extra_instance: false,
@@ -171,12 +145,9 @@
     fn advance(&mut self, requests: usize) {
         for _ in 0..requests {
             let arrival = self.now + 1.0 / self.case.request_rate();
-            while let Some(Reverse(next)) = self.pending.peek().copied()
-                && next.at_nanoseconds <= nanoseconds(arrival)
-            {
-                self.pending.pop();
-                self.now = self.now.max(next.at_nanoseconds as f64 * 1e-9);
-                self.handle_pending(next.event);
+            while let Some(due) = self.queue.take_due(arrival) {
+                self.now = self.now.max(due.at);
+                self.handle_pending(due.event);
             }
             self.now = arrival;
             self.arrive();
@@ -194,7 +165,7 @@
             timeout: REQUEST_TIMEOUT,
             ..Request::default()
         };
-        self.open.insert(id, Vec::new());
+        self.open.open(id);
         let seconds = self.handle(Event::Request(request));
         self.times.add(EventKind::Request, seconds);
         self.times.add_open_requests(self.balancer.open_requests());
@@ -211,7 +182,7 @@
     fn fire_timer(&mut self, id: RequestId, token: TimerToken) {
         let seconds = self.handle(Event::Timer(token));
         let retries = self.actions.iter().any(|action| matches!(action, Action::Send { .. }));
-        let kind = if !self.open.contains_key(&id) {
+        let kind = if !self.open.is_open(id) {
             EventKind::LateTimer
         } else if retries {
             EventKind::TimerWithRetry
@@ -224,17 +195,13 @@
 
     /// A backend responds to an attempt, unless its request has ended with the other attempt.
     fn respond(&mut self, id: RequestId, index: usize) {
-        let Some(attempt) = self.attempt(id, index) else {
+        let Some(attempt) = self.open.attempt(id, index) else {
             return;
         };
         let seconds = self.end_attempt(id, index, attempt, Outcome::Success);
         self.times.add(EventKind::Response, seconds);
         self.perform_actions(Some(id));
-        self.open.remove(&id);
-    }
-
-    fn attempt(&self, id: RequestId, index: usize) -> Option<Attempt> {
-        self.open.get(&id)?.get(index).copied()
+        self.open.close(id);
     }
 
     fn end_attempt(&mut self, id: RequestId, index: usize, attempt: Attempt, outcome: Outcome) -> f64 {
@@ -268,10 +235,10 @@
                 Action::Send { id, backend, .. } => self.send(id, backend),
                 Action::SetTimer { at, token } => {
                     let id = request.unwrap_or_default();
-                    self.schedule(at, PendingEvent::Timer { id, token });
+                    self.queue.schedule(at, PendingEvent::Timer { id, token });
                 }
                 Action::Cancel { id, attempt: index } => {
-                    let attempt = self.attempt(id, index);
+                    let attempt = self.open.attempt(id, index);
                     cancelled.extend(attempt.map(|attempt| CancelledAttempt { id, index, attempt }));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
@@ -284,7 +251,7 @@
         }
         self.actions = actions;
         for id in ended {
-            self.open.remove(&id);
+            self.open.close(id);
         }
         for CancelledAttempt { id, index, attempt } in cancelled {
             let seconds = self.end_attempt(id, index, attempt, Outcome::Cancelled);
@@ -297,18 +264,12 @@
 
     /// Sends an attempt. The first attempt of a slow request is slow, a retry is not.
     fn send(&mut self, id: RequestId, backend: BackendId) {
-        let attempts = self.open.entry(id).or_default();
-        attempts.push(Attempt { backend, sent: self.now });
-        let attempt = attempts.len() - 1;
+        let attempt = self.open.add_attempt(id, Attempt { backend, sent: self.now });
         let slow = attempt == 0 && id.0.is_multiple_of(SLOW_REQUEST_INTERVAL);
         let response_time = if slow { SLOW_RESPONSE_TIME } else { RESPONSE_TIME };
-        self.schedule(self.now + response_time, PendingEvent::Response { id, attempt });
+        self.queue.schedule(self.now + response_time, PendingEvent::Response { id, attempt });
         if let Some(used) = self.used.get_mut(backend.0 as usize) {
             *used = true;
         }
     }
-
-    fn schedule(&mut self, at: Time, event: PendingEvent) {
-        self.pending.push(Reverse(Scheduled { at_nanoseconds: nanoseconds(at), event }));
-    }
 }
--- a/crates/fleet-bench/tests/fleet.rs
+++ b/crates/fleet-bench/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The simulated fleet at a small size: its report shows what was simulated, with any number of threads.
 
 use balancer::{Effect, RequestId};
-use fleet_bench::fleet::checker::{Checker, Rule, Violation};
+use fleet_bench::fleet::checker::{Checker, NewCall, Rule, Violation};
 use fleet_bench::fleet::{Args, Phase, Plan, run};
 use fleet_bench::plan::Source;
 use fleet_bench::report::{Report, Value};
@@ -104,7 +104,7 @@
     let violation = |rule| Err(Violation { rule, call });
     let checker_with_open_call = |effect| {
         let mut checker = Checker::default();
-        checker.open(call, effect, 1.0, true);
+        checker.open(call, NewCall { effect, deadline: 1.0, counted: true });
         checker
     };
     let mut safe_call = checker_with_open_call(Effect::Safe);
