--- a/crates/balancer-proxy/src/control/config/environment.rs
+++ b/crates/balancer-proxy/src/control/config/environment.rs
@@ -1,61 +1,71 @@
-//! The environment variables of the proxy, and the addresses that they share with the file.
+//! The environment variables of the proxy, and the precedence of their addresses over those of the
+//! configuration file.
 
 use super::error::ConfigError;
 use super::load_mode::LoadMode;
 use super::raw::RawConfig;
 use std::net::SocketAddr;
 
-/// Path of the configuration file.
+/// Names the path of the configuration file.
 const CONFIG_PATH: &str = "RELAY_CONFIG";
-/// Overrides `listen` of the file.
+/// Overrides the key `listen` of the file.
 const LISTEN_ADDRESS: &str = "RELAY_LISTEN";
-/// Overrides `discovery` of the file at startup.
+/// Overrides the key `discovery` of the file at startup.
 const DISCOVERY_ADDRESS: &str = "RELAY_DISCOVERY";
-/// Overrides `management` of the file.
+/// Overrides the key `management` of the file.
 const MANAGEMENT_ADDRESS: &str = "RELAY_MANAGEMENT";
 
-/// Path of the configuration file.
+/// Returns the path of the configuration file.
 pub(super) fn config_path() -> Result<String, ConfigError> {
-    variable(CONFIG_PATH)
+    read_variable(CONFIG_PATH)
 }
 
-fn variable(name: &'static str) -> Result<String, ConfigError> {
+fn read_variable(name: &'static str) -> Result<String, ConfigError> {
     std::env::var(name).map_err(|_| ConfigError::VariableNotSet(name))
 }
 
-/// The addresses of the proxy, from the environment and the file.
+/// The addresses of the proxy, resolved from the environment and the file.
 pub(super) struct Addresses {
+    /// Address for clients.
     pub(super) listen: SocketAddr,
+    /// Address of discovery.
     pub(super) discovery: SocketAddr,
+    /// Address for management calls, if there is one.
     pub(super) management: Option<SocketAddr>,
 }
 
 impl Addresses {
+    /// Resolves the addresses by the precedence of this load.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError`] if the address for clients or of discovery is neither in the environment nor in the
+    /// file, or a text is no address.
     pub(super) fn resolve(file: &RawConfig, mode: LoadMode) -> Result<Self, ConfigError> {
         Ok(Self {
-            listen: variable_or_file(LISTEN_ADDRESS, file.listen.as_deref())?,
+            listen: resolve_address(LISTEN_ADDRESS, file.listen.as_deref())?,
             discovery: discovery_address(file.discovery.as_deref(), mode)?,
             management: management_address(file.management.as_deref())?,
         })
     }
 }
 
-/// The address in an environment variable, or that of the file if the variable is not set.
-fn variable_or_file(name: &'static str, in_file: Option<&str>) -> Result<SocketAddr, ConfigError> {
-    let text = variable(name).or_else(|not_set| in_file.map(str::to_string).ok_or(not_set))?;
+/// Returns the address in an environment variable, or the address of the file if the variable is not set.
+fn resolve_address(name: &'static str, in_file: Option<&str>) -> Result<SocketAddr, ConfigError> {
+    let text = read_variable(name).or_else(|not_set| in_file.map(str::to_string).ok_or(not_set))?;
     parse_address(name, &text)
 }
 
-/// At startup the environment has precedence. On a reload the file has, as it may have been replaced
-/// since, which the environment cannot.
+/// Returns the address of discovery. At startup the environment has precedence. On a reload the file has
+/// precedence: the file may have been replaced since startup, and the environment of a process cannot be.
 fn discovery_address(in_file: Option<&str>, mode: LoadMode) -> Result<SocketAddr, ConfigError> {
     match (mode, in_file) {
         (LoadMode::Reload, Some(text)) => parse_address("discovery", text),
-        _ => variable_or_file(DISCOVERY_ADDRESS, in_file),
+        _ => resolve_address(DISCOVERY_ADDRESS, in_file),
     }
 }
 
-/// The management address is optional; an empty one counts as absent.
+/// Returns the address for management calls, if there is one. An empty text counts as absent.
 fn management_address(in_file: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
     let in_environment = std::env::var(MANAGEMENT_ADDRESS).ok().filter(|text| !text.is_empty());
     let in_file = in_file.filter(|text| !text.is_empty());
--- a/crates/balancer-proxy/src/control/config/error.rs
+++ b/crates/balancer-proxy/src/control/config/error.rs
@@ -1,12 +1,12 @@
-//! Why a configuration cannot be used.
+//! The faults for which a configuration is rejected.
 
 use crate::settings::VersionError;
 use std::fmt::Display;
 use std::io;
 use thiserror::Error;
 
-/// Why a configuration cannot be used. Each message names the variable, file or field in question
-/// and fits on one line.
+/// The fault for which a configuration is rejected. Each message is one line, and names the environment
+/// variable, the file or the key that has the fault.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A required environment variable is absent or not valid Unicode.
@@ -27,13 +27,13 @@
         path: String,
         /// Path of the field within the file.
         field: String,
-        /// What is wrong, with line and column.
+        /// The error of the JSON parser, with line and column.
         source: serde_json::Error,
     },
-    /// A value is of the right type, but out of its range.
+    /// A value has the right type, but is out of its range.
     #[error("{field}: expected {expected}, got '{got}'")]
     InvalidValue {
-        /// The environment variable, the file, or the path of the field within the file.
+        /// The environment variable, the path of the file, or the path of the key within the file.
         field: String,
         /// The range of valid values.
         expected: String,
@@ -46,7 +46,7 @@
 }
 
 impl ConfigError {
-    /// An [`ConfigError::InvalidValue`] from anything that can be displayed.
+    /// Creates a [`ConfigError::InvalidValue`].
     pub(super) fn invalid_value(field: impl Display, expected: impl Display, got: impl Display) -> Self {
         Self::InvalidValue { field: field.to_string(), expected: expected.to_string(), got: got.to_string() }
     }
--- a/crates/balancer-proxy/src/control/config/file.rs
+++ b/crates/balancer-proxy/src/control/config/file.rs
@@ -1,5 +1,4 @@
-//! Access to the configuration file: its identity on disk, its text, and JSON errors that name the
-//! field.
+//! Reads the configuration file: its identity on disk, its text, and its JSON, with errors that name the key.
 
 use super::environment;
 use super::error::ConfigError;
@@ -9,15 +8,17 @@
 use std::io::{self, Read};
 use std::os::unix::fs::MetadataExt;
 
-/// Largest configuration file that a reload reads, as it does so while requests wait.
+/// Size in bytes of the largest configuration file that a reload reads. Requests wait during a reload, so that
+/// a file of any size would delay them for any time.
 const MAX_RELOADED_FILE_BYTES: u64 = 16 << 20;
 
-/// What serde reports, as a path, for an error outside any field, and how it is shown instead.
+/// The path that serde reports for an error outside any key.
 const SERDE_ROOT_PATH: &str = ".";
+/// The name of the document in error texts, in place of [`SERDE_ROOT_PATH`].
 const WHOLE_DOCUMENT: &str = "the whole";
 
-/// Identity of a file at a path. It changes if another file is moved there, or if this one is
-/// written to.
+/// Identity and state of the file at a path. Two stamps differ if another file was moved there in between, or
+/// the file was written to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileStamp {
     inode: u64,
@@ -27,7 +28,7 @@
 }
 
 impl FileStamp {
-    /// The stamp of the configuration file that is there now; `None` if there is none.
+    /// Returns the stamp of the configuration file at present; `None` if there is no file.
     #[must_use]
     pub fn of_config_file() -> Option<Self> {
         let path = environment::config_path().ok()?;
@@ -42,6 +43,11 @@
 }
 
 /// Reads the text of the file.
+///
+/// # Errors
+///
+/// [`ConfigError::UnreadableFile`] if the file cannot be read or is not UTF-8; on a reload also
+/// [`ConfigError::InvalidValue`] if the path has no plain file, or the file is too large.
 pub(super) fn read_text(path: &str, mode: LoadMode) -> Result<String, ConfigError> {
     match mode {
         LoadMode::Startup => fs::read_to_string(path).map_err(|error| unreadable(path, error)),
@@ -49,8 +55,8 @@
     }
 }
 
-/// Reads a file while requests wait: only a regular one, as others may block their reader for any
-/// time, and of a bounded size.
+/// Reads a file while requests wait: a plain file only, as a pipe or a device may block its reader for any
+/// time, and no more than [`MAX_RELOADED_FILE_BYTES`].
 fn read_without_blocking(path: &str) -> Result<String, ConfigError> {
     let metadata = fs::metadata(path).map_err(|error| unreadable(path, error))?;
     if !metadata.is_file() {
@@ -75,12 +81,16 @@
 }
 
 /// Parses the text of the file at `path`.
+///
+/// # Errors
+///
+/// [`ConfigError::InvalidJson`] with the path of the key at fault.
 pub(super) fn parse_json<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, ConfigError> {
-    // Keeping track of the field is slower, so that it is done only once the text is known to be bad.
-    serde_json::from_str(text).or_else(|_| parse_json_tracking_fields(path, text))
+    // Tracking the path of the key slows parsing down, so that only a text with a fault is parsed that way.
+    serde_json::from_str(text).or_else(|_| parse_json_tracking_keys(path, text))
 }
 
-fn parse_json_tracking_fields<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, ConfigError> {
+fn parse_json_tracking_keys<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, ConfigError> {
     let invalid = |field: &str, source| ConfigError::InvalidJson {
         path: path.to_string(),
         field: if field == SERDE_ROOT_PATH { WHOLE_DOCUMENT } else { field }.to_string(),
--- a/crates/balancer-proxy/src/control/config/load_mode.rs
+++ b/crates/balancer-proxy/src/control/config/load_mode.rs
@@ -1,11 +1,11 @@
-//! When the configuration is loaded, which decides how.
+//! The occasions on which the configuration is loaded.
 
-/// When the configuration is loaded.
+/// The occasion on which the configuration is loaded. Precedence and checks depend on the occasion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMode {
     /// At startup. The environment has precedence over the file.
     Startup,
-    /// While requests are served. The file has precedence for the address of discovery, its size is
-    /// bounded, and it is validated more strictly.
+    /// While requests are served. The file has precedence for the address of discovery, the size of the file
+    /// is bounded, and values are checked that startup accepts.
     Reload,
 }
--- a/crates/balancer-proxy/src/control/config/mod.rs
+++ b/crates/balancer-proxy/src/control/config/mod.rs
@@ -1,11 +1,12 @@
-//! The configuration of the proxy: environment variables and a JSON file, read at startup and on
-//! each reload, and translated into the terms of the proxy and the decision module.
+//! The configuration of the proxy: environment variables and a JSON file, read at startup and on each reload,
+//! and translated into the types of the proxy and the decision module. Operators read about each key in
+//! `docs/configuration.md`.
 //!
-//! - `environment`: the `RELAY_*` variables, and which of file and environment has precedence
+//! - `environment`: the `RELAY_*` variables, and the precedence between environment and file
 //! - `file`: the text of the file and its identity on disk
-//! - `raw`: the format of the file
+//! - `raw`: the format of the file, except for the settings, which the crate `balancer-settings` defines
 //! - `validation`: the checks that a reload makes beyond those of startup
-//! - `translation`: defaults, and the way from the file's terms to the program's
+//! - `translation`: defaults, and the conversion to the types of the proxy
 
 mod environment;
 mod error;
@@ -32,28 +33,28 @@
 pub struct Config {
     /// Address for clients.
     pub listen: SocketAddr,
-    /// Address for management calls, if any.
+    /// Address for management calls, if there is one.
     pub management: Option<SocketAddr>,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of the decision module's random numbers.
+    /// Seed of the random draws of the decision module.
     pub seed: u64,
-    /// Descriptors and memory that the process may use.
+    /// File descriptors and memory that the process may use.
     pub limits: ProcessLimits,
-    /// The endpoint list as cached before startup; empty on a reload.
+    /// The endpoint list of the last run; empty on a reload.
     pub cached_endpoints: RawEndpointList,
-    /// The settings.
+    /// The settings, of the decision module and of the proxy.
     pub snapshot: SettingsSnapshot,
-    /// Hash of the file's text, equal in all processes that have read the same text.
+    /// Hash of the text of the file, equal in all processes that have read the same text.
     pub file_digest: u64,
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the environment, and the configuration file that the environment names.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if a variable is not set, the file cannot be read or parsed, or a value is out
+    /// [`ConfigError`] if a required variable is not set, the file cannot be read or parsed, or a value is out
     /// of its range.
     pub fn load(mode: LoadMode) -> Result<Self, ConfigError> {
         let path = environment::config_path()?;
--- a/crates/balancer-proxy/src/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -26,14 +26,22 @@
 
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// Parses the seed of the decision module's random numbers.
+/// Parses the seed of the random draws.
+///
+/// # Errors
+///
+/// [`ConfigError::InvalidValue`] if the text is no hexadecimal number of 64 bits.
 pub(super) fn parse_seed(text: Option<&str>) -> Result<u64, ConfigError> {
     let text = text.unwrap_or(DEFAULT_SEED);
     u64::from_str_radix(text, 16).map_err(|_| ConfigError::invalid_value("seed", "hex digits", text))
 }
 
-/// Converts a number of seconds to a duration, or returns the default if the number is absent.
-fn duration(field: &str, seconds: Option<f64>, default: Duration) -> Result<Duration, ConfigError> {
+/// Converts seconds to a duration, or returns the default if the seconds are absent.
+fn duration_or_default(
+    field: &str,
+    seconds: Option<f64>,
+    default: Duration,
+) -> Result<Duration, ConfigError> {
     let Some(seconds) = seconds else {
         return Ok(default);
     };
@@ -42,6 +50,7 @@
 }
 
 impl RawLimits {
+    /// Converts the limits to descriptors and bytes, with defaults for absent limits.
     pub(super) fn into_process_limits(self) -> ProcessLimits {
         let memory_bytes = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * BYTES_PER_MEBIBYTE;
         ProcessLimits {
@@ -74,13 +83,13 @@
         tenants: settings.projects.iter().map(|tenant| tenant.name.clone()).collect(),
         zones: settings.zones.clone(),
         zone: settings.zone.clone(),
-        connect_timeout: duration(
+        connect_timeout: duration_or_default(
             "settings.caps.connect-timeout",
             caps.connect_timeout,
             DEFAULT_CONNECT_TIMEOUT,
         )?,
-        idle_timeout: duration("settings.caps.idle-close", caps.idle_close, DEFAULT_IDLE_TIMEOUT)?,
-        drain_grace_period: duration(
+        idle_timeout: duration_or_default("settings.caps.idle-close", caps.idle_close, DEFAULT_IDLE_TIMEOUT)?,
+        drain_grace_period: duration_or_default(
             "settings.rules.drain-grace",
             rules.drain_grace,
             DEFAULT_DRAIN_GRACE_PERIOD,
--- a/crates/balancer-proxy/src/control/config/validation.rs
+++ b/crates/balancer-proxy/src/control/config/validation.rs
@@ -1,5 +1,5 @@
-//! The checks that only a reload makes. Startup accepts more, as there are no earlier settings to
-//! fall back to.
+//! The checks that only a reload makes. Startup accepts more values, as a proxy that starts has no earlier
+//! settings to go on with.
 
 use super::error::ConfigError;
 use super::raw::RawConfig;
@@ -19,7 +19,7 @@
     }
 }
 
-/// Checks that no two of the names in `settings.{list}` are equal, as they identify their entries.
+/// Checks that the names in `settings.{list}` are distinct, as requests refer to an entry by its name.
 fn check_distinct<'a>(list: &str, names: impl Iterator<Item = &'a String>) -> Result<(), ConfigError> {
     let mut seen = HashSet::new();
     for (index, name) in names.enumerate() {
@@ -32,7 +32,11 @@
 }
 
 impl RawConfig {
-    /// Checks a file that is read while requests are served. The first fault found is returned.
+    /// Checks a file that is read while requests are served.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::InvalidValue`] with the first fault found.
     pub(super) fn validate_for_reload(&self) -> Result<(), ConfigError> {
         check_identity(&self.settings)?;
         check_not_negative("limits.memory_mb", self.limits.memory_mb)?;
@@ -72,12 +76,14 @@
     Ok(())
 }
 
+/// Checks the quantities of `settings.costs`.
 fn check_costs(costs: &RawCosts) -> Result<(), ConfigError> {
     check_not_negative("settings.costs.connection", Some(costs.connection))?;
     check_not_negative("settings.costs.cross-zone", Some(costs.cross_zone))?;
     check_not_negative("settings.costs.handshake", Some(costs.handshake))
 }
 
+/// Checks the quantities of `settings.rules`, except for the grace period.
 fn check_rules(rules: &RawRules) -> Result<(), ConfigError> {
     check_not_negative("settings.rules.ask-within", rules.ask_within)?;
     check_not_negative("settings.rules.cold", rules.cold)?;
@@ -88,6 +94,7 @@
     check_not_negative("settings.rules.release-within", rules.release_within)
 }
 
+/// Checks the quantities of the class at an index.
 fn check_class(index: usize, class: &RawClass) -> Result<(), ConfigError> {
     let check = |key: &str, value: Option<f64>| {
         check_not_negative(format_args!("settings.classes[{index}].{key}"), value)
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -1,5 +1,5 @@
-//! A batch of events. Owns the instance selected and the list being filled, both of which end with the
-//! batch, and produces one reply for the simulator.
+//! The batch that is being read. Owns the selected instance, the endpoint list that is being filled and the
+//! reply, all of which end with the batch.
 
 use super::endpoint_lists::EndpointLists;
 use super::instances::{Instance, InstanceIndex, Instances, RunningInstance};
@@ -9,7 +9,7 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// What lasts from batch to batch.
+/// The state that lasts from batch to batch: instances, the numbers of zones, and endpoint lists.
 #[derive(Default)]
 pub(super) struct Host {
     instances: Instances,
@@ -17,31 +17,35 @@
     lists: EndpointLists,
 }
 
-/// A list that is being filled.
+/// An endpoint list of which entries are still to come.
 #[derive(Clone, Copy)]
 struct ListFill {
     list: ListId,
-    /// Number of endpoints still to come, at least 1.
+    /// Number of entries still to come, at least 1.
     missing: usize,
 }
 
 impl ListFill {
+    /// Returns `None` if no entry is missing.
     fn new(list: ListId, missing: usize) -> Option<Self> {
         (missing > 0).then_some(Self { list, missing })
     }
 }
 
-/// Whether a batch goes on after a line.
+/// State of a batch after a line.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum BatchState {
+    /// Lines of the batch are still to come.
     Incomplete,
+    /// The line was the last one of the batch.
     Complete,
 }
 
-/// The batch that is being read.
+/// A batch that is being read.
 pub(super) struct Batch {
+    /// Number of the batch, which its reply repeats.
     sequence: u64,
-    /// The time of all its events.
+    /// Time of all events of the batch, in seconds.
     now: Time,
     selected: Option<InstanceIndex>,
     filling: Option<ListFill>,
@@ -50,8 +54,12 @@
 
 impl Batch {
     /// Starts a batch with its first line.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] if the line is invalid, or starts no batch.
     pub(super) fn start(host: &mut Host, text: &str) -> Result<Self, WireError> {
-        match wire::parse(text, &mut host.zones, None)? {
+        match wire::parse_line(text, &mut host.zones, None)? {
             Line::BatchStart { now, sequence } => {
                 Ok(Self { sequence, now, selected: None, filling: None, reply: Reply::default() })
             }
@@ -59,19 +67,24 @@
         }
     }
 
+    /// Returns the number of the batch.
     pub(super) fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Ends the batch, and returns its reply.
+    /// Ends the batch, and returns the text of its reply.
     pub(super) fn into_reply(self) -> String {
         self.reply.finish(self.sequence)
     }
 
-    /// Handles a line of the batch.
+    /// Handles a line of the batch, and returns whether the batch goes on after that line.
+    ///
+    /// # Errors
+    ///
+    /// [`WireError`] if the line is invalid, or may not follow the lines before.
     pub(super) fn handle_line(&mut self, host: &mut Host, text: &str) -> Result<BatchState, WireError> {
         let running = self.selected.and_then(|index| host.instances.get(index).running.as_ref());
-        let line = wire::parse(text, &mut host.zones, running.map(|running| &running.names))?;
+        let line = wire::parse_line(text, &mut host.zones, running.map(|running| &running.names))?;
         if let Some(fill) = self.filling.take() {
             let Line::ListedEndpoint(endpoint) = line else {
                 return Err(unexpected_line("an ITEM line", text));
@@ -103,6 +116,7 @@
         Ok(BatchState::Incomplete)
     }
 
+    /// Returns the selected instance, or an error that quotes the line which needs one.
     fn selected_index(&self, text: &str) -> Result<InstanceIndex, WireError> {
         self.selected.ok_or_else(|| unexpected_line("SELECT first", text))
     }
@@ -118,8 +132,9 @@
         Ok(())
     }
 
-    /// Lets the selected instance decide on an event, and adds its actions to the reply. If it panics,
-    /// the reply has the failure in their place: actions from before the panic are not to be trusted.
+    /// Passes an event to the selected instance, and adds the actions of the instance to the reply. If the
+    /// instance panics, the reply has the failure in place of the actions: actions from before the panic are
+    /// not to be trusted.
     fn handle_event(
         &mut self,
         instances: &mut Instances,
@@ -129,19 +144,18 @@
         let index = self.selected_index(text)?;
         let Instance { name, running } = instances.get_mut(index);
         let running = running.as_mut().ok_or_else(|| unexpected_line("HELLO first", text))?;
+
         let mut actions: Vec<Action> = Vec::new();
         let handle = AssertUnwindSafe(|| running.balancer.handle(self.now, event, &mut actions));
         let handled = catch_unwind(handle);
+
         if handled.is_ok() && actions.is_empty() {
             return Ok(());
         }
         self.reply.set_instance(index, name);
-        if let Err(panic) = handled {
-            self.reply.push_failure(&failure_message(panic.as_ref()));
-            return Ok(());
-        }
-        for action in &actions {
-            self.reply.push_action(action);
+        match handled {
+            Ok(()) => actions.iter().for_each(|action| self.reply.push_action(action)),
+            Err(panic) => self.reply.push_failure(&failure_message(panic.as_ref())),
         }
         Ok(())
     }
@@ -151,7 +165,7 @@
     WireError::UnexpectedLine { expected, got: got.to_string() }
 }
 
-/// The message of a panic, on one line.
+/// Returns the message of a panic, on one line.
 fn failure_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("no message");
@@ -159,14 +173,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn reports_a_panic_on_one_line() {
-        let panic = catch_unwind(|| panic!("index {}\nout of range", 3)).unwrap_err();
-        assert_eq!(failure_message(panic.as_ref()), "panic: index 3 out of range");
-        let panic = catch_unwind(|| panic!("plain")).unwrap_err();
-        assert_eq!(failure_message(panic.as_ref()), "panic: plain");
-    }
-}
+mod tests;
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,23 +1,27 @@
-//! The endpoint lists that updates refer to. Owns their endpoints, which last from batch to batch.
+//! The numbered endpoint lists that updates of all instances refer to. Owns the entries, which last from
+//! batch to batch.
 
 use crate::wire::{LIST_COUNT, ListId, ListUpdate};
 use balancer::{Endpoint, EndpointUpdate};
 
-/// The endpoint lists, which are filled by one line for each endpoint.
+/// The endpoint lists, by their numbers. Each line of an endpoint adds one entry to a list.
 #[derive(Default)]
 pub(super) struct EndpointLists {
     lists: [Vec<Endpoint>; LIST_COUNT],
 }
 
 impl EndpointLists {
+    /// Removes all entries of a list.
     pub(super) fn clear(&mut self, list: ListId) {
         self.lists[list.index()].clear();
     }
 
+    /// Adds an entry to a list.
     pub(super) fn push(&mut self, list: ListId, endpoint: Endpoint) {
         self.lists[list.index()].push(endpoint);
     }
 
+    /// Returns the update with the entries of its list, as the decision module takes updates.
     pub(super) fn endpoint_update(&self, update: ListUpdate) -> EndpointUpdate<'_> {
         match update {
             ListUpdate::Changes(list) => EndpointUpdate::Changes(&self.lists[list.index()]),
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,29 +1,31 @@
-//! The instances of the decision module. Owns all that were ever named, as the simulator may start an
-//! instance again under its name.
+//! The instances of the decision module. Owns every instance that was ever named, as the simulator may start
+//! an instance again under its name.
 
 use crate::wire::InstanceNames;
 use balancer::Balancer;
 use std::collections::HashMap;
 
-/// An instance that has been named.
+/// An instance that the simulator has named.
 pub(super) struct Instance {
+    /// Name of the instance, as replies repeat it.
     pub(super) name: String,
-    /// `None` before it starts and after it stops.
+    /// The running instance; `None` before a start and after a stop.
     pub(super) running: Option<RunningInstance>,
 }
 
-/// An instance that has started.
+/// An instance that has started and not stopped.
 pub(super) struct RunningInstance {
+    /// The decision module of the instance.
     pub(super) balancer: Balancer,
-    /// The names that its events use.
+    /// The names that events of the instance use.
     pub(super) names: InstanceNames,
 }
 
-/// The place of an instance in [`Instances`].
+/// Index of an instance in [`Instances`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InstanceIndex(usize);
 
-/// All instances that have ever been named.
+/// All instances that were ever named.
 #[derive(Default)]
 pub(super) struct Instances {
     instances: Vec<Instance>,
@@ -31,7 +33,7 @@
 }
 
 impl Instances {
-    /// The instance of a name, which is added if it is new.
+    /// Returns the index of the instance of this name, which is added if the name is new.
     pub(super) fn select(&mut self, name: &str) -> InstanceIndex {
         if let Some(&index) = self.by_name.get(name) {
             return index;
@@ -42,10 +44,12 @@
         index
     }
 
+    /// Returns the instance at an index.
     pub(super) fn get(&self, index: InstanceIndex) -> &Instance {
         &self.instances[index.0]
     }
 
+    /// Returns the instance at an index, to be changed.
     pub(super) fn get_mut(&mut self, index: InstanceIndex) -> &mut Instance {
         &mut self.instances[index.0]
     }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! | lines | meaning | handled by |
 //! | --- | --- | --- |
-//! | `BATCH`, `GO` | start and end of a batch | `batch` |
+//! | `BATCH`, `GO` | a batch starts, with its time and number, and is complete | `batch` |
 //! | `SELECT` | the instance of the next events | `batch`, `instances` |
 //! | `HELLO`, `TEARDOWN` | an instance starts with its settings, or stops | `instances`, `wire` |
 //! | `ROSTER`, `ITEM` | an endpoint list and its entries, for all instances | `endpoint_lists` |
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,19 +1,19 @@
-//! The reply to a batch: the actions of each instance below its name.
+//! The reply to a batch: the actions of each instance, below a line with the name of the instance.
 
 use super::instances::InstanceIndex;
 use crate::wire;
 use balancer::Action;
 
-/// The reply to a batch.
+/// The text of a reply, as far as it has been written.
 #[derive(Default)]
 pub(super) struct Reply {
     text: String,
-    /// The instance that the last lines are from.
+    /// The instance whose actions are at the end of the text.
     instance: Option<InstanceIndex>,
 }
 
 impl Reply {
-    /// Names the instance that the next lines are from, unless the last ones are from it too.
+    /// Names the instance of the next lines, unless the last lines are of the same instance.
     pub(super) fn set_instance(&mut self, index: InstanceIndex, name: &str) {
         if self.instance != Some(index) {
             self.push_line(&format!("BY {name}"));
@@ -21,16 +21,17 @@
         }
     }
 
+    /// Adds an action of the instance that was named last.
     pub(super) fn push_action(&mut self, action: &Action) {
         wire::write_action(&mut self.text, action);
     }
 
-    /// Adds the failure of an instance that panicked, with a message on one line.
+    /// Adds the failure of the instance that was named last. The message is one line.
     pub(super) fn push_failure(&mut self, message: &str) {
         self.push_line(&format!("DIE {message}"));
     }
 
-    /// Ends the reply to the batch with this number, and returns its text.
+    /// Ends the reply to the batch with this number, and returns the text.
     pub(super) fn finish(mut self, sequence: u64) -> String {
         self.push_line(&format!("END {sequence}"));
         self.text
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -1,10 +1,10 @@
-//! Actions as lines of a reply.
+//! Writes actions as lines of a reply.
 
 use balancer::Action;
 use std::fmt::{self, Write};
 
-/// Appends an action to a reply, as one line. An action without meaning on this wire adds nothing.
-pub fn write_action(reply: &mut String, action: &Action) {
+/// Appends an action to a reply, as one line. An action without a meaning on this wire adds nothing.
+pub(crate) fn write_action(reply: &mut String, action: &Action) {
     // Writing to a string cannot fail.
     let _ = try_write_action(reply, action);
 }
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,29 +1,29 @@
-//! What can be wrong with a line.
+//! The faults of a line.
 
 use thiserror::Error;
 
-/// What is wrong with a line.
+/// The fault of a line that the protocol does not allow.
 #[derive(Debug, Error, PartialEq)]
 pub enum WireError {
     /// The first word of the line names no event.
     #[error("unknown event '{0}'")]
     UnknownEvent(String),
-    /// Too few or too many values.
+    /// The line has too few or too many values.
     #[error("{event} takes {expected} values, got {got}")]
     ValueCount {
-        /// The event.
+        /// The first word of the line.
         event: &'static str,
-        /// Number of values that it has.
+        /// Number of values that such a line has.
         expected: usize,
         /// Number of values found.
         got: usize,
     },
-    /// A value that cannot be read.
+    /// A value is malformed or out of its range.
     #[error("expected {expected} for {field}, got '{got}'")]
     InvalidValue {
-        /// The field.
+        /// Name of the value, or path of the setting.
         field: String,
-        /// What the value should have been.
+        /// Range of valid values.
         expected: &'static str,
         /// The value found.
         got: String,
@@ -31,20 +31,22 @@
     /// A required setting is absent.
     #[error("missing setting {0}")]
     MissingSetting(String),
-    /// A valid line where another one must come.
+    /// The line is valid, but another line must come first.
     #[error("expected {expected}, got '{got}'")]
     UnexpectedLine {
-        /// What must come.
+        /// The line that must come.
         expected: &'static str,
-        /// What came.
+        /// The line found.
         got: String,
     },
 }
 
 impl WireError {
+    /// Creates a [`WireError::InvalidValue`].
     pub(super) fn invalid_value(field: &str, expected: &'static str, got: &str) -> Self {
         Self::InvalidValue { field: field.to_string(), expected, got: got.to_string() }
     }
 }
 
+/// The result of reading a line or a part of a line.
 pub(super) type Result<T> = std::result::Result<T, WireError>;
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,20 @@
-//! The text protocol of the simulator, converted to and from the types of the interface.
+//! The text protocol of the simulator, converted to and from the types of the decision module.
 //!
-//! Lines are read by [`parse`] and actions written by [`write_action`]; nothing here has state but
-//! the tables of names that the caller owns. Names of classes, tenants and zones become indices here,
-//! so that the decisions never see them. Words in capitals are the protocol's own.
+//! [`parse_line`] reads a line, and `write_action` writes an action. The module has no state except for the
+//! tables of names, which the caller owns: names of classes, tenants and zones become indices here, so that
+//! the decision module never sees a name. Words in capitals are those of the protocol.
+//!
+//! ```
+//! use balancer::{Event, TimerToken};
+//! use simulator_adapter::wire::{Line, NameIndex, parse_line};
+//!
+//! let mut zones = NameIndex::default();
+//!
+//! let line = parse_line("TICK_DUE 77", &mut zones, None)?;
+//!
+//! assert!(matches!(line, Line::Event(Event::Timer(TimerToken(77)))));
+//! # Ok::<(), simulator_adapter::wire::WireError>(())
+//! ```
 
 mod action;
 mod endpoint_list;
@@ -12,8 +24,8 @@
 mod settings;
 mod values;
 
-pub use action::write_action;
+pub(crate) use action::write_action;
 pub use endpoint_list::{LIST_COUNT, ListId, ListUpdate};
 pub use error::WireError;
-pub use line::{InstanceStart, Line, parse};
+pub use line::{InstanceStart, Line, parse_line};
 pub use names::{InstanceNames, NameIndex};
--- a/crates/simulator-adapter/src/wire/names.rs
+++ b/crates/simulator-adapter/src/wire/names.rs
@@ -1,4 +1,4 @@
-//! The names that lines use, and the indices that stand for them in the interface.
+//! The names that lines use, and the indices that stand for these names in the decision module.
 
 use std::collections::HashMap;
 
@@ -7,8 +7,8 @@
 pub struct NameIndex(HashMap<String, u32>);
 
 impl NameIndex {
-    /// The index of a name, which is added if it is new.
-    pub fn index(&mut self, name: &str) -> u32 {
+    /// Returns the index of a name, which is added if the name is new.
+    pub fn assign(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.0.get(name) {
             return index;
         }
@@ -18,13 +18,13 @@
     }
 }
 
-/// The names that the events of an instance use, as its settings define them.
+/// The names that events of one instance use, as the settings of the instance define them.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceNames {
-    /// The classes, in the order of the settings.
+    /// Names of the request classes, in the order of the settings.
     pub(super) classes: Vec<String>,
-    /// The tenants, in the order of the settings.
+    /// Names of the tenants, in the order of the settings.
     pub(super) tenants: Vec<String>,
-    /// The values of a load report, in their order.
+    /// Names of the values of a load report, in the order of the values.
     pub(super) load_report_fields: Vec<String>,
 }
--- a/crates/simulator-adapter/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -54,7 +54,7 @@
     }
 
     fn number(&self, path: &str) -> Result<Option<f64>> {
-        self.get(path).map(|value| values::non_negative(path, value)).transpose()
+        self.get(path).map(|value| values::parse_non_negative(path, value)).transpose()
     }
 
     fn number_or_zero(&self, path: &str) -> Result<f64> {
@@ -62,11 +62,11 @@
     }
 
     fn count(&self, path: &str) -> Result<Option<usize>> {
-        self.get(path).map(|value| values::integer(path, value)).transpose()
+        self.get(path).map(|value| values::parse_integer(path, value)).transpose()
     }
 
     fn required_count(&self, path: &str) -> Result<usize> {
-        values::integer(path, self.required(path)?)
+        values::parse_integer(path, self.required(path)?)
     }
 
     fn count_or_zero(&self, path: &str) -> Result<usize> {
@@ -89,46 +89,46 @@
 /// # Errors
 ///
 /// [`WireError`] if a part of the text is no pair, a required pair is absent, or a value is invalid.
-pub(super) fn parse(text: &str, zones: &mut NameIndex) -> Result<(Settings, InstanceNames)> {
+pub(super) fn parse_settings(text: &str, zones: &mut NameIndex) -> Result<(Settings, InstanceNames)> {
     let pairs = Pairs::parse(text)?;
-    let raw = raw_settings(&pairs)?;
+    let raw = parse_raw_settings(&pairs)?;
     let names = InstanceNames {
         classes: raw.classes.iter().map(|class| class.name.clone()).collect(),
         tenants: raw.projects.iter().map(|tenant| tenant.name.clone()).collect(),
-        load_report_fields: load_report_fields(&pairs),
+        load_report_fields: parse_load_report_fields(&pairs),
     };
-    let zone_index = zones.index(&raw.zone);
+    let zone_index = zones.assign(&raw.zone);
     let settings = raw.into_settings(zone_index).map_err(|invalid| {
         WireError::invalid_value(&invalid.path, VALID_QUANTITY, &invalid.value.to_string())
     })?;
     Ok((settings, names))
 }
 
-fn raw_settings(pairs: &Pairs<'_>) -> Result<RawSettings> {
+fn parse_raw_settings(pairs: &Pairs<'_>) -> Result<RawSettings> {
     let stats = RawStats { how: pairs.get("stats.how").unwrap_or_default().to_string() };
     Ok(RawSettings {
-        classes: classes(pairs)?,
-        projects: tenants(pairs)?,
-        caps: capabilities(pairs, &stats)?,
+        classes: parse_classes(pairs)?,
+        projects: parse_tenants(pairs)?,
         over_share_worth: pairs.number("over-share-worth")?,
         n_instances: pairs.count("n-instances")?,
         me: pairs.count_or_zero("me")?,
         tier: pairs.count_or_zero("tier")?,
         zone: pairs.get("zone").unwrap_or_default().to_string(),
-        costs: costs(pairs)?,
-        registry_mode: registry_mode(pairs)?,
-        rules: rules(pairs)?,
+        costs: parse_costs(pairs)?,
+        caps: parse_capabilities(pairs, &stats)?,
+        registry_mode: parse_registry_mode(pairs)?,
+        rules: parse_rules(pairs)?,
         quantum: pairs.number("quantum")?,
         stats,
         ..RawSettings::default()
     })
 }
 
-fn classes(pairs: &Pairs<'_>) -> Result<Vec<RawClass>> {
-    (0..pairs.required_count("classes.count")?).map(|index| class(pairs, index)).collect()
+fn parse_classes(pairs: &Pairs<'_>) -> Result<Vec<RawClass>> {
+    (0..pairs.required_count("classes.count")?).map(|index| parse_class(pairs, index)).collect()
 }
 
-fn class(pairs: &Pairs<'_>, index: usize) -> Result<RawClass> {
+fn parse_class(pairs: &Pairs<'_>, index: usize) -> Result<RawClass> {
     let path = |key: &str| format!("classes.{index}.{key}");
     let effect = match pairs.get(&path("effect")) {
         Some("free") => RawEffect::Free,
@@ -154,7 +154,7 @@
     })
 }
 
-fn tenants(pairs: &Pairs<'_>) -> Result<Vec<RawTenant>> {
+fn parse_tenants(pairs: &Pairs<'_>) -> Result<Vec<RawTenant>> {
     let tenant = |index| {
         let name = pairs.required(&format!("projects.{index}.name"))?.to_string();
         let quota_per_s = pairs.number(&format!("projects.{index}.quota-per-s"))?;
@@ -164,31 +164,31 @@
 }
 
 /// Reads the capabilities. The limits of sockets are left out, as the simulator enforces them.
-fn capabilities(pairs: &Pairs<'_>, stats: &RawStats) -> Result<RawCapabilities> {
+fn parse_capabilities(pairs: &Pairs<'_>, stats: &RawStats) -> Result<RawCapabilities> {
     let retry_after = pairs.flag("caps.retry-after")?;
     let max_retry_after = if retry_after { pairs.number_or_zero("caps.max-retry-after")? } else { 0.0 };
     Ok(RawCapabilities {
+        probing: stats.reports_on_health_checks_only() && pairs.flag("caps.probing")?,
         cancel: pairs.flag("caps.cancel")?,
+        second_copies: pairs.flag("caps.second-copies")?,
         max_attempts: pairs.count("caps.max-attempts")?,
-        max_retry_after,
-        probing: stats.reports_on_health_checks_only() && pairs.flag("caps.probing")?,
         retry_after,
-        second_copies: pairs.flag("caps.second-copies")?,
+        max_retry_after,
         ..RawCapabilities::default()
     })
 }
 
-fn costs(pairs: &Pairs<'_>) -> Result<RawCosts> {
+fn parse_costs(pairs: &Pairs<'_>) -> Result<RawCosts> {
     Ok(RawCosts {
-        connection: pairs.number_or_zero("costs.connection")?,
         cross_zone: pairs.number_or_zero("costs.cross-zone")?,
+        connection: pairs.number_or_zero("costs.connection")?,
         handshake: pairs.number_or_zero("costs.handshake")?,
     })
 }
 
 /// Reads the rules. The grace period of draining backends is left out, as the simulator has no connections
 /// on which a request may be under way.
-fn rules(pairs: &Pairs<'_>) -> Result<RawRules> {
+fn parse_rules(pairs: &Pairs<'_>) -> Result<RawRules> {
     Ok(RawRules {
         ask_within: pairs.number("rules.ask-within")?,
         cold: pairs.number("rules.cold")?,
@@ -201,7 +201,7 @@
     })
 }
 
-fn registry_mode(pairs: &Pairs<'_>) -> Result<RawRegistryMode> {
+fn parse_registry_mode(pairs: &Pairs<'_>) -> Result<RawRegistryMode> {
     match pairs.get("registry-mode") {
         Some("automatic") | None => Ok(RawRegistryMode::Automatic),
         Some("subscribe") => Ok(RawRegistryMode::Subscribe),
@@ -209,7 +209,7 @@
     }
 }
 
-fn load_report_fields(pairs: &Pairs<'_>) -> Vec<String> {
+fn parse_load_report_fields(pairs: &Pairs<'_>) -> Vec<String> {
     let fields = pairs.get("stats.fields");
     fields.map(|fields| fields.split(',').map(str::to_string).collect()).unwrap_or_default()
 }
--- a/crates/simulator-adapter/src/wire/values.rs
+++ b/crates/simulator-adapter/src/wire/values.rs
@@ -1,12 +1,13 @@
-//! The values of a line, each with the bounds that the protocol sets.
+//! Parses the values of a line, each within the range that the protocol sets.
 
 use super::error::{Result, WireError};
 use balancer::{Outcome, RequestId};
+use balancer_settings::VALID_QUANTITY;
 use std::str::FromStr;
 
-/// Stands for an absent value.
+/// The text of an absent value.
 pub(super) const ABSENT: &str = "-";
-/// Length of request ids and idempotency keys.
+/// Length of request ids and ordering keys, in hexadecimal digits.
 const ID_HEX_DIGITS: usize = 16;
 
 /// Splits the values of an event, of which there must be exactly `N`.
@@ -24,29 +25,29 @@
     if got == N { Ok(values) } else { Err(WireError::ValueCount { event, expected: N, got }) }
 }
 
-/// A finite number.
-pub(super) fn number(field: &str, text: &str) -> Result<f64> {
+/// Parses a finite number.
+pub(super) fn parse_number(field: &str, text: &str) -> Result<f64> {
     match text.parse::<f64>() {
         Ok(number) if number.is_finite() => Ok(number),
         _ => Err(WireError::invalid_value(field, "a number", text)),
     }
 }
 
-/// A finite number that is not negative.
-pub(super) fn non_negative(field: &str, text: &str) -> Result<f64> {
-    match number(field, text)? {
+/// Parses a finite number that is not negative.
+pub(super) fn parse_non_negative(field: &str, text: &str) -> Result<f64> {
+    match parse_number(field, text)? {
         number if number >= 0.0 => Ok(number),
-        _ => Err(WireError::invalid_value(field, "a number not below 0", text)),
+        _ => Err(WireError::invalid_value(field, VALID_QUANTITY, text)),
     }
 }
 
-/// An integer in the range of its type.
-pub(super) fn integer<T: FromStr>(field: &str, text: &str) -> Result<T> {
+/// Parses an integer in the range of its type.
+pub(super) fn parse_integer<T: FromStr>(field: &str, text: &str) -> Result<T> {
     text.parse().map_err(|_| WireError::invalid_value(field, "a whole number", text))
 }
 
-/// A mark that is set or not.
-pub(super) fn flag(field: &str, text: &str) -> Result<bool> {
+/// Parses a mark that is set (`1`) or not (`0`).
+pub(super) fn parse_flag(field: &str, text: &str) -> Result<bool> {
     match text {
         "1" => Ok(true),
         "0" => Ok(false),
@@ -54,27 +55,29 @@
     }
 }
 
-/// The id of a request.
-pub(super) fn request_id(text: &str) -> Result<RequestId> {
-    let id = hex_id(text).ok_or_else(|| WireError::invalid_value("the request", "16 hex digits", text))?;
+/// Parses the id of a request.
+pub(super) fn parse_request_id(text: &str) -> Result<RequestId> {
+    let id =
+        parse_hex_id(text).ok_or_else(|| WireError::invalid_value("the request", "16 hex digits", text))?;
     Ok(RequestId(id))
 }
 
-/// The ordering key of a request, if it has one.
-pub(super) fn ordering_key(text: &str) -> Result<Option<u64>> {
+/// Parses the ordering key of a request, which may be absent.
+pub(super) fn parse_ordering_key(text: &str) -> Result<Option<u64>> {
     if text == ABSENT {
         return Ok(None);
     }
-    let key = hex_id(text).ok_or_else(|| WireError::invalid_value("the key", "16 hex digits or -", text))?;
+    let key =
+        parse_hex_id(text).ok_or_else(|| WireError::invalid_value("the key", "16 hex digits or -", text))?;
     Ok(Some(key))
 }
 
-fn hex_id(text: &str) -> Option<u64> {
+fn parse_hex_id(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok().filter(|_| text.len() == ID_HEX_DIGITS)
 }
 
-/// The completion code of an attempt or a health check.
-pub(super) fn outcome(text: &str) -> Result<Outcome> {
+/// Parses the completion code of an attempt or a health check.
+pub(super) fn parse_outcome(text: &str) -> Result<Outcome> {
     match text {
         "S" => Ok(Outcome::Success),
         "E" => Ok(Outcome::Error),
--- a/crates/simulator-adapter/tests/settings_syntaxes.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes.rs
@@ -20,7 +20,7 @@
 /// Translates pairs with a numbering of zones that is shared with earlier instances.
 fn try_from_pairs(pairs: &str, zones: &mut NameIndex) -> Result<Settings, WireError> {
     let hello = format!("HELLO 7 {pairs}");
-    match wire::parse(&hello, zones, None)? {
+    match wire::parse_line(&hello, zones, None)? {
         Line::StartInstance(start) => Ok(start.settings),
         other => panic!("{other:?}"),
     }
@@ -304,9 +304,9 @@
 fn names_of_load_report_values_are_read_from_pairs_only() {
     let mut zones = NameIndex::default();
     let hello = "HELLO 7 classes.count=0 stats.how=inline stats.fields=cpu,avg_ms";
-    let Ok(Line::StartInstance(start)) = wire::parse(hello, &mut zones, None) else { panic!("{hello}") };
+    let Ok(Line::StartInstance(start)) = wire::parse_line(hello, &mut zones, None) else { panic!("{hello}") };
 
-    let line = wire::parse("HEALTH 0.1 51 S 0.5,20", &mut zones, Some(&start.names)).unwrap();
+    let line = wire::parse_line("HEALTH 0.1 51 S 0.5,20", &mut zones, Some(&start.names)).unwrap();
 
     assert!(format!("{line:?}").contains("service_time: Some(0.02)"), "{line:?}");
     assert_eq!(
