--- a/crates/balancer-proxy/src/control/config/tests.rs
+++ b/crates/balancer-proxy/src/control/config/tests/mod.rs
@@ -1,74 +1,22 @@
 //! The page `docs/configuration.md` has each environment variable and each key of the configuration file,
 //! with its type and its default, and no other; and each key of the proxy is translated.
 
+mod example;
+mod page;
+
 use super::raw::{RawCachedEndpoints, RawConfig, RawLimits};
 use super::translation::{self, into_snapshot};
 use crate::control::endpoint_list::{RawEndpoint, RawEndpointList};
 use crate::settings::ProxySettings;
 use balancer_settings::defaults;
 use balancer_settings::keys::{keys_of, settings_keys};
+use page::{OR_NULL, Row, TEXT_TYPES, page, rows};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::fs;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::time::Duration;
 
-/// Number of cells in a row of the page: name, type, range, default, in force, effect.
-const CELLS: usize = 6;
-/// The types of keys whose value is a string.
-const TEXT_TYPES: [&str; 2] = ["text", "address"];
-/// Marks a type of which null is a value.
-const OR_NULL: &str = " or null";
-
-/// A row of the page.
-#[derive(Debug)]
-struct Row {
-    name: String,
-    value_type: String,
-    default: String,
-    in_force: String,
-}
-
-impl Row {
-    fn is_variable(&self) -> bool {
-        self.name.starts_with("RELAY_")
-    }
-
-    fn accepts_null(&self) -> bool {
-        self.value_type.ends_with(OR_NULL)
-    }
-
-    /// Whether the file cannot be parsed without the key.
-    fn is_required(&self) -> bool {
-        self.default == "required" || self.default.starts_with("required in")
-    }
-}
-
-fn repository_path(path: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path)
-}
-
-fn page() -> String {
-    fs::read_to_string(repository_path("docs/configuration.md")).unwrap()
-}
-
-/// The rows of all tables whose first cell is a name in backquotes.
-fn rows(page: &str) -> Vec<Row> {
-    let rows = page.lines().filter(|line| line.starts_with("| `"));
-    rows.map(|line| {
-        let cells: Vec<_> = line.trim_matches('|').split('|').map(str::trim).collect();
-        assert_eq!(cells.len(), CELLS, "{line}");
-        assert!(cells.iter().all(|cell| !cell.is_empty()), "an empty cell: {line}");
-        Row {
-            name: cells[0].trim_matches('`').to_string(),
-            value_type: cells[1].to_string(),
-            default: cells[3].trim_matches('`').to_string(),
-            in_force: cells[4].to_string(),
-        }
-    })
-    .collect()
-}
-
 /// The paths of all keys that deserialization accepts.
 fn accepted_keys() -> BTreeSet<String> {
     let below = |path: &str, keys: &[&str]| -> Vec<String> {
@@ -93,11 +41,11 @@
     let mut variables = BTreeSet::new();
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
-        if path.is_dir() {
-            variables.append(&mut variables_in(&path));
+        if path.file_stem().is_some_and(|name| name == "tests") {
             continue;
         }
-        if path.file_name().is_some_and(|name| name == "tests.rs") {
+        if path.is_dir() {
+            variables.append(&mut variables_in(&path));
             continue;
         }
         let text = fs::read_to_string(path).unwrap();
@@ -292,41 +240,3 @@
     assert_eq!(snapshot.balancer.zone, 2);
     assert_eq!(snapshot.proxy.zones, ["north", "east", "west"]);
 }
-
-/// The paths of all values, except for comments, whose keys begin with `//`.
-fn paths_without_comments(prefix: &str, value: &Value) -> BTreeSet<String> {
-    match value {
-        Value::Object(entries) => {
-            let separator = if prefix.is_empty() { "" } else { "." };
-            let entries = entries.iter().filter(|(key, _)| !key.starts_with("//"));
-            entries
-                .flat_map(|(key, value)| paths_without_comments(&format!("{prefix}{separator}{key}"), value))
-                .collect()
-        }
-        Value::Array(entries) if entries.iter().all(Value::is_object) => {
-            entries.iter().flat_map(|entry| paths_without_comments(&format!("{prefix}[]"), entry)).collect()
-        }
-        _ => BTreeSet::from([prefix.to_string()]),
-    }
-}
-
-#[test]
-fn the_example_has_known_keys_and_comments_only() {
-    let text = fs::read_to_string(repository_path("deploy/example/balancer-proxy.json")).unwrap();
-    let example: Value = serde_json::from_str(&text).unwrap();
-
-    let paths = paths_without_comments("", &example);
-
-    let unknown: Vec<_> = paths.difference(&accepted_keys()).cloned().collect();
-    assert!(unknown.is_empty(), "{unknown:?}");
-    assert!(paths.contains("settings.classes[].effect"), "{paths:?}");
-}
-
-#[test]
-fn an_unknown_key_of_the_example_is_found() {
-    let planted = json!({"// listen": "", "listne": "", "settings": {"classes": [{"//": "", "nmae": ""}]}});
-
-    let paths = paths_without_comments("", &planted);
-
-    assert_eq!(Vec::from_iter(paths), ["listne", "settings.classes[].nmae"]);
-}
--- a/crates/repository-checks/tests/dependencies.rs
+++ b/crates/repository-checks/tests/dependencies.rs
@@ -10,7 +10,7 @@
 /// these by `-` or `_`, such as `hyper-util`, counts as the same.
 const FORBIDDEN_IN_THE_DECISION_MODULE: [&str; 3] = ["tokio", "hyper", "serde"];
 /// The crates that operators build.
-const OPERATORS_CRATES: [&str; 3] = ["balancer", "balancer-proxy", "simulator-adapter"];
+const OPERATORS_CRATES: [&str; 4] = ["balancer", "balancer-settings", "balancer-proxy", "simulator-adapter"];
 
 /// Returns the dependencies that are forbidden in the decision module.
 fn forbidden_among(dependencies: &BTreeSet<String>) -> Vec<&String> {
--- a/crates/repository-checks/tests/documentation.rs
+++ b/crates/repository-checks/tests/documentation.rs
@@ -5,8 +5,16 @@
 use std::path::Path;
 
 /// The pages whose paths are checked.
-const PAGES: [&str; 5] =
-    ["README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/on-call.md", "docs/runbook.md"];
+const PAGES: [&str; 8] = [
+    "README.md",
+    "CONTRIBUTING.md",
+    "deploy/example/README.md",
+    "docs/ARCHITECTURE.md",
+    "docs/configuration.md",
+    "docs/design.md",
+    "docs/on-call.md",
+    "docs/runbook.md",
+];
 /// The folders with which a path of the repository may begin.
 const FOLDERS: [&str; 6] = ["crates/", "src/", "tests/", "docs/", "deploy/", ".ci/"];
 /// The endings by which a word is taken for a path of the repository.
--- a/crates/repository-checks/tests/layers.rs
+++ b/crates/repository-checks/tests/layers.rs
@@ -133,6 +133,7 @@
 fn no_file_imports_itself_through_others() {
     let crates = [
         CrateSize { name: "balancer", least_modules: 30 },
+        CrateSize { name: "balancer-settings", least_modules: 4 },
         CrateSize { name: "balancer-proxy", least_modules: 50 },
         CrateSize { name: "simulator-adapter", least_modules: 10 },
         CrateSize { name: "fleet-bench", least_modules: 50 },
--- a/crates/simulator-adapter/tests/settings_syntaxes.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes/main.rs
@@ -1,152 +1,17 @@
 //! The two syntaxes of settings: equal settings have equal translations, and the differences that are listed
 //! in the module `wire::settings` hold.
 
-use balancer::Settings;
+mod samples;
+mod translations;
+
 use balancer_settings::RawSettings;
 use balancer_settings::keys::settings_keys;
+use samples::{KeySample, samples, with_class, with_entry};
 use serde_json::{Value, json};
-use simulator_adapter::wire::{self, Line, NameIndex, WireError};
-
-/// Keys of the proxy's sockets, and the names of all zones: their pairs are skipped.
-const KEYS_OF_THE_PROXY: [&str; 6] =
-    ["version", "zones", "caps.connect-timeout", "caps.idle-close", "caps.max-open", "rules.drain-grace"];
-
-/// Translates settings of the configuration file, for a balancer in zone 0.
-fn from_json(settings: &Value) -> Settings {
-    let raw: RawSettings = serde_json::from_value(settings.clone()).unwrap();
-    raw.into_settings(0).unwrap()
-}
-
-/// Translates pairs with a numbering of zones that is shared with earlier instances.
-fn try_from_pairs(pairs: &str, zones: &mut NameIndex) -> Result<Settings, WireError> {
-    let hello = format!("HELLO 7 {pairs}");
-    match wire::parse_line(&hello, zones, None)? {
-        Line::StartInstance(start) => Ok(start.settings),
-        other => panic!("{other:?}"),
-    }
-}
-
-/// Translates pairs for the first instance.
-fn from_pairs(pairs: &str) -> Settings {
-    try_from_pairs(pairs, &mut NameIndex::default()).unwrap()
-}
-
-fn pairs_error(pairs: &str) -> String {
-    try_from_pairs(pairs, &mut NameIndex::default()).unwrap_err().to_string()
-}
-
-fn json_error(settings: Value) -> String {
-    serde_json::from_value::<RawSettings>(settings).unwrap_err().to_string()
-}
-
-/// Writes JSON settings as pairs, in the form that the simulator gives them.
-fn pairs_of(path: &str, value: &Value) -> String {
-    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
-    match value {
-        Value::Object(entries) => {
-            let pairs: Vec<_> = entries.iter().map(|(key, value)| pairs_of(&below(key), value)).collect();
-            pairs.join(" ")
-        }
-        Value::Array(entries) if entries.iter().any(Value::is_object) => {
-            let mut pairs = vec![format!("{}={}", below("count"), entries.len())];
-            let entries = entries.iter().enumerate();
-            pairs.extend(entries.map(|(index, entry)| pairs_of(&below(&index.to_string()), entry)));
-            pairs.join(" ")
-        }
-        Value::Array(entries) => {
-            let values: Vec<_> = entries.iter().map(plain_text).collect();
-            format!("{path}={}", values.join(","))
-        }
-        value => format!("{path}={}", plain_text(value)),
-    }
-}
-
-fn plain_text(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_string)
-}
-
-/// A key, and settings that have a value other than the default for this key.
-struct KeySample {
-    key: &'static str,
-    settings: Value,
-}
-
-/// Settings of one class with these entries.
-fn with_class(entries: Value) -> Value {
-    let mut class = entries;
-    class["name"] = json!("save");
-    json!({"classes": [class]})
-}
-
-/// Settings of one class and this entry.
-fn with_entry(key: &str, value: Value) -> Value {
-    let mut settings = with_class(json!({}));
-    settings[key] = value;
-    settings
-}
-
-fn samples_of_classes_and_tenants() -> Vec<KeySample> {
-    let sample = |key, settings| KeySample { key, settings };
-    vec![
-        sample("classes[].name", with_class(json!({}))),
-        sample("classes[].on-time", with_class(json!({"on-time": 0.25, "hard-limit": 3.0}))),
-        sample("classes[].hard-limit", with_class(json!({"hard-limit": 3.5}))),
-        sample("classes[].late-worth", with_class(json!({"late-worth": 0.5}))),
-        sample("classes[].worth", with_class(json!({"worth": 8.0}))),
-        sample("classes[].effect", with_class(json!({"effect": "free"}))),
-        sample("classes[].group", with_class(json!({"effect": "guarded", "group": "zone"}))),
-        sample("classes[].window", with_class(json!({"effect": "guarded", "window": 9.5}))),
-        sample("classes[].fifo-by-key", with_class(json!({"fifo-by-key": true}))),
-        sample("projects[].name", with_entry("projects", json!([{"name": "acme"}, {"name": "umbra"}]))),
-        sample("projects[].quota-per-s", with_entry("projects", json!([{"name": "a", "quota-per-s": 4.5}]))),
-    ]
-}
-
-fn samples_of_groups() -> Vec<KeySample> {
-    let caps = |key, caps: Value| KeySample { key, settings: with_entry("caps", caps) };
-    let costs = |key, costs: Value| KeySample { key, settings: with_entry("costs", costs) };
-    let rules = |key, rules: Value| KeySample { key, settings: with_entry("rules", rules) };
-    let mut probing = with_entry("caps", json!({"probing": true}));
-    probing["stats"] = json!({"how": "on_probe"});
-    vec![
-        caps("caps.cancel", json!({"cancel": true})),
-        caps("caps.max-attempts", json!({"max-attempts": 6})),
-        caps("caps.max-retry-after", json!({"max-retry-after": 2.5, "retry-after": true})),
-        caps("caps.retry-after", json!({"max-retry-after": 1.5, "retry-after": true})),
-        caps("caps.second-copies", json!({"second-copies": true})),
-        KeySample { key: "caps.probing", settings: probing.clone() },
-        KeySample { key: "stats.how", settings: probing },
-        costs("costs.connection", json!({"connection": 0.125})),
-        costs("costs.cross-zone", json!({"cross-zone": 0.25})),
-        costs("costs.handshake", json!({"handshake": 0.125})),
-        rules("rules.ask-within", json!({"ask-within": 7.0})),
-        rules("rules.cold", json!({"cold": 8.5})),
-        rules("rules.cold-share", json!({"cold-share": 0.3})),
-        rules("rules.fall-multiple", json!({"fall-multiple": 2.5})),
-        rules("rules.tip-after", json!({"tip-after": 1.5})),
-        rules("rules.settle-after-doubt", json!({"settle-after-doubt": 0.2})),
-        rules("rules.release-within", json!({"release-within": 4.0})),
-    ]
-}
-
-fn samples_of_the_balancer() -> Vec<KeySample> {
-    let entry = |key, value| KeySample { key, settings: with_entry(key, value) };
-    vec![
-        entry("me", json!(2)),
-        entry("n-instances", json!(5)),
-        entry("over-share-worth", json!(0.1)),
-        entry("quantum", json!(0.005)),
-        entry("registry-mode", json!("subscribe")),
-        entry("tier", json!(1)),
-    ]
-}
-
-fn samples() -> Vec<KeySample> {
-    [samples_of_classes_and_tenants(), samples_of_groups(), samples_of_the_balancer()]
-        .into_iter()
-        .flatten()
-        .collect()
-}
+use simulator_adapter::wire::{self, Line, NameIndex};
+use translations::{
+    KEYS_OF_THE_PROXY, from_json, from_pairs, json_error, pairs_error, pairs_of, try_from_pairs,
+};
 
 #[test]
 fn each_key_has_the_same_effect_in_both_syntaxes() {
--- /dev/null
+++ b/crates/simulator-adapter/tests/settings_syntaxes/translations.rs
@@ -0,0 +1,64 @@
+//! Translations of settings in each of the two syntaxes.
+
+use balancer::Settings;
+use balancer_settings::RawSettings;
+use serde_json::Value;
+use simulator_adapter::wire::{self, Line, NameIndex, WireError};
+
+/// Keys of the proxy's sockets, and the names of all zones: their pairs are skipped.
+pub const KEYS_OF_THE_PROXY: [&str; 6] =
+    ["version", "zones", "caps.connect-timeout", "caps.idle-close", "caps.max-open", "rules.drain-grace"];
+
+/// Translates settings of the configuration file, for a balancer in zone 0.
+pub fn from_json(settings: &Value) -> Settings {
+    let raw: RawSettings = serde_json::from_value(settings.clone()).unwrap();
+    raw.into_settings(0).unwrap()
+}
+
+/// Translates pairs with a numbering of zones that is shared with earlier instances.
+pub fn try_from_pairs(pairs: &str, zones: &mut NameIndex) -> Result<Settings, WireError> {
+    let hello = format!("HELLO 7 {pairs}");
+    match wire::parse_line(&hello, zones, None)? {
+        Line::StartInstance(start) => Ok(start.settings),
+        other => panic!("{other:?}"),
+    }
+}
+
+/// Translates pairs for the first instance.
+pub fn from_pairs(pairs: &str) -> Settings {
+    try_from_pairs(pairs, &mut NameIndex::default()).unwrap()
+}
+
+pub fn pairs_error(pairs: &str) -> String {
+    try_from_pairs(pairs, &mut NameIndex::default()).unwrap_err().to_string()
+}
+
+pub fn json_error(settings: Value) -> String {
+    serde_json::from_value::<RawSettings>(settings).unwrap_err().to_string()
+}
+
+/// Writes JSON settings as pairs, in the form that the simulator gives them.
+pub fn pairs_of(path: &str, value: &Value) -> String {
+    let below = |key: &str| if path.is_empty() { key.to_string() } else { format!("{path}.{key}") };
+    match value {
+        Value::Object(entries) => {
+            let pairs: Vec<_> = entries.iter().map(|(key, value)| pairs_of(&below(key), value)).collect();
+            pairs.join(" ")
+        }
+        Value::Array(entries) if entries.iter().any(Value::is_object) => {
+            let mut pairs = vec![format!("{}={}", below("count"), entries.len())];
+            let entries = entries.iter().enumerate();
+            pairs.extend(entries.map(|(index, entry)| pairs_of(&below(&index.to_string()), entry)));
+            pairs.join(" ")
+        }
+        Value::Array(entries) => {
+            let values: Vec<_> = entries.iter().map(plain_text).collect();
+            format!("{path}={}", values.join(","))
+        }
+        value => format!("{path}={}", plain_text(value)),
+    }
+}
+
+fn plain_text(value: &Value) -> String {
+    value.as_str().map_or_else(|| value.to_string(), str::to_string)
+}
