--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -5,16 +5,19 @@
 //! if the decision module schedules the calls, for each call that fails.
 //!
 //! - `client`: one HTTP call
+//! - `listener`: the trait of the receiver of watch events
 //! - `timing`: timeouts and backoff, and the bound on the age of the list that follows from them
 
 mod client;
+mod listener;
 mod timing;
 
+pub use self::listener::WatchListener;
+
 use self::client::{CallError, DiscoveryClient, ListRequest};
 use self::timing::{Backoff, Jitter, LastCall, SINGLE_CALL_TIMEOUT};
 use super::endpoint_list::{EndpointNames, RawEndpoint, RawEndpointList};
 use super::maintenance_store::MaintenanceStore;
-use crate::clock::Clock;
 use crate::log;
 use crate::settings::SettingsSnapshot;
 use crate::watch_event::{ListedEndpoint, WatchEvent};
@@ -27,18 +30,6 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// The receiver of watch events, which also provides the state that the calls to discovery depend on.
-pub trait WatchListener {
-    /// Handles a list that has arrived, or a call that has failed.
-    fn on_watch_event(&self, event: WatchEvent);
-    /// Returns the settings in force.
-    fn settings(&self) -> Rc<SettingsSnapshot>;
-    /// Returns the clock of the times in watch events.
-    fn clock(&self) -> &Clock;
-    /// Returns whether the backend is still in use, so that its id must not be released.
-    fn is_backend_known(&self, backend: BackendId) -> bool;
-}
-
 /// Keeps the endpoint list of its listener up to date.
 pub struct Discovery {
     /// The receiver of watch events.
@@ -103,7 +94,7 @@
 
     /// Starts the watch, if none is running, after a change of the settings. With new settings the
     /// decision module may no longer schedule the calls, or may schedule them for an earlier time.
-    pub fn settings_changed(self: &Rc<Self>) {
+    pub fn handle_settings_change(self: &Rc<Self>) {
         self.start_watch();
     }
 
@@ -124,7 +115,7 @@
     }
 
     /// Waits until discovery has responded for the first time.
-    pub async fn first_response(&self) {
+    pub async fn wait_for_first_response(&self) {
         // Cannot fail: the sender lives as long as `self`.
         let _ = self.has_responded.subscribe().wait_for(|responded| *responded).await;
     }
--- a/crates/balancer-proxy/src/control/discovery/timing.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing.rs
@@ -2,26 +2,26 @@
 //!
 //! # The bound on the delay of a change
 //!
-//! The protocol deems a proxy notified of a change 6 s after discovery had it and could be reached,
-//! whatever failed before. The worst case up to then is this chain: a call that gets no response, made
-//! just before discovery returns; a backoff; a call that gets half a response; another backoff; and a
+//! The protocol deems a proxy notified of a change 6 s after discovery had the change and could be
+//! reached, whatever failed before. The worst case is a sequence of five steps: a call without a response,
+//! made just before discovery returns; a backoff; a call with half a response; another backoff; and a
 //! call that succeeds.
 //!
-//! A call fails after at most its wait for a change plus its response timeout, the latter with
-//! jitter; connecting is included:
+//! A call fails after at most its wait for a change plus its response timeout with jitter, which include
+//! connecting:
 //!
 //! | call                       | longest time until it fails |
 //! | -------------------------- | --------------------------- |
 //! | after a success            | 1 + 1.25 x 1 = 2.25 s       |
 //! | after a failure            | 0.1 + 1.25 x 1.5 = 1.98 s   |
 //!
-//! "Pushed" means that this module decides when to call again, "polled" that the decision module does
-//! (by `POLL_BACKOFF_AFTER_FAILURE` and `POLL_BACKOFF_AFTER_START` in
-//! `crates/balancer/src/decisions/endpoints.rs`).
-//! "Generations restart" means that the successful response shows that discovery has restarted its
-//! generation numbers, so that one more call fetches the full list. A
-//! new address by SIGHUP is to be in effect within 4 s; the calls there fetch the full list, for which
-//! discovery does not wait, so that they fail after 1.25 s and 1.88 s. All in seconds:
+//! In the next table, "pushed" means that this module schedules the calls, and "polled" that the decision
+//! module schedules the calls, with `POLL_BACKOFF_AFTER_FAILURE` and `POLL_BACKOFF_AFTER_START` of
+//! `crates/balancer/src/decisions/endpoints.rs`. "Generations restart" means that the successful response
+//! shows that discovery has restarted its generation numbers, so that one more call fetches the full list.
+//! A new address by SIGHUP has to be in effect within 4 s. The calls to a new address fetch the full list,
+//! for which discovery does not wait, so that such calls fail after 1.25 s and 1.88 s. All times are in
+//! seconds:
 //!
 //! | worst case                                   | first call + backoff + second call + backoff | sum  |
 //! | -------------------------------------------- | -------------------------------------------- | ---- |
@@ -36,9 +36,9 @@
 //!
 //! # Load on discovery
 //!
-//! A discovery that rejects all calls gets one call a second from each proxy. A silent one gets a call
-//! every 1.6 s, or every 1.85 s if it is polled. From 5,500 proxies that is 5,500 calls a second, and
-//! some 3,000 to 3,400.
+//! A discovery that rejects all calls gets one call a second from each proxy. A silent discovery gets a
+//! call every 1.6 s from each proxy, or every 1.85 s if it is polled. With 5,500 proxies, the load is 5,500
+//! calls a second in the first case, and some 3,000 to 3,400 in the second.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/crates/balancer-proxy/src/control/maintenance_store.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store.rs
@@ -25,7 +25,7 @@
 /// Pause between two attempts to acquire the lock of the record.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// This process's copy of the maintenance record, and its file.
+/// The copy of the maintenance record in this process, and the file of the record.
 pub struct MaintenanceStore {
     /// The file of the record.
     path: PathBuf,
@@ -40,7 +40,7 @@
     last_write_failed: Cell<bool>,
 }
 
-/// Distinguishes a file from the one that it replaced.
+/// The identity of a file and of its content, which differs after each replacement of the file.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -73,11 +73,14 @@
         self.connections.borrow_mut().push_back(connection.abort_handle());
     }
 
-    /// Forgets the connections that have ended, and returns whether the limit is reached.
+    /// Returns whether as many connections are open as the limit allows.
     fn is_full(&self) -> bool {
-        let mut connections = self.connections.borrow_mut();
-        connections.retain(|connection| !connection.is_finished());
-        connections.len() >= MAX_MANAGEMENT_CONNECTIONS
+        self.forget_finished();
+        self.connections.borrow().len() >= MAX_MANAGEMENT_CONNECTIONS
+    }
+
+    fn forget_finished(&self) {
+        self.connections.borrow_mut().retain(|connection| !connection.is_finished());
     }
 
     fn abort_oldest(&self) {
--- a/crates/balancer-proxy/src/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -136,7 +136,7 @@
         self.last_read_file.set(FileStamp::of_config_file());
         let result = Config::load(LoadMode::Reload).and_then(|config| self.apply(config, trigger));
         if let Err(error) = result {
-            self.targets.engine.metrics().settings_rejected();
+            self.targets.engine.metrics().count_rejected_settings();
             log!("balancer-proxy: not reloaded: {error}");
         }
     }
@@ -178,7 +178,7 @@
             return Ok(false);
         }
         engine.apply_settings(snapshot);
-        discovery.settings_changed();
+        discovery.handle_settings_change();
         log!("balancer-proxy: new settings in force{}", version_suffix(&engine.settings()));
         Ok(true)
     }
--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -87,7 +87,8 @@
     ) -> Result<ClientResponse, RequestError> {
         let method = request.method().clone();
         let mut request = self.read(request, received_head).await?;
-        let mut accounting = RequestAccounting::new(client, self.engine.metrics().for_class(request.class()));
+        let mut accounting =
+            RequestAccounting::new(client, self.engine.metrics().class_metrics(request.class()));
         let streamed_body = request.streamed_body();
         if streamed_body.is_none() {
             accounting.request_complete();
@@ -119,7 +120,7 @@
         let settings = self.engine.settings();
         let parsed = request::read(request, received_head, settings, &self.body_budget).await;
         if let Err(error @ RequestError::BodyCapacityExhausted { class }) = &parsed {
-            self.engine.metrics().for_class(class).request_started().finish(error.status());
+            self.engine.metrics().class_metrics(class).start_request().finish(error.status());
         }
         parsed
     }
@@ -199,13 +200,13 @@
 
     /// The request is complete: it counts as outstanding from now on.
     fn request_complete(&mut self) {
-        self.outstanding = Some(self.class_metrics.request_started());
+        self.outstanding = Some(self.class_metrics.start_request());
         self.client.request_received();
     }
 
     /// The request in the metrics. It is counted even if the response came before the request was
     /// complete.
     fn into_outstanding(self) -> OutstandingRequest {
-        self.outstanding.unwrap_or_else(|| self.class_metrics.request_started())
+        self.outstanding.unwrap_or_else(|| self.class_metrics.start_request())
     }
 }
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -103,7 +103,7 @@
         let settings = Rc::new(settings);
         let state = self.dispatcher.state();
         self.dispatcher.replace_settings(settings.clone());
-        self.metrics().settings_applied(&settings.proxy);
+        self.metrics().count_settings_change(&settings.proxy);
         state.endpoints.set_timeouts(&settings.proxy);
         self.dispatcher.handle(state, PendingEvent::Settings(settings));
     }
--- a/crates/balancer-proxy/src/limits/capacities.rs
+++ b/crates/balancer-proxy/src/limits/capacities.rs
@@ -1,4 +1,4 @@
-//! How many connections and how many bytes of request bodies the process may hold, derived from its
+//! The numbers of connections and of bytes of request bodies that the process may hold, derived from the
 //! limits on file descriptors and memory.
 
 use super::message_size::{MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
--- a/crates/balancer-proxy/src/process/other_process.rs
+++ b/crates/balancer-proxy/src/process/other_process.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a process checks whether another one runs on its address, and with which settings.
+/// Interval between two checks for another process on the listen address and for its settings.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Lets the reloader check for another process on the same address, for as long as this one runs.
--- a/crates/balancer-proxy/src/process/proxy.rs
+++ b/crates/balancer-proxy/src/process/proxy.rs
@@ -67,7 +67,8 @@
     /// [`ENDPOINT_LIST_TIMEOUT`].
     pub(super) async fn wait_for_endpoint_list(&self) {
         self.discovery.fetch_full_list();
-        let _ = tokio::time::timeout(ENDPOINT_LIST_TIMEOUT, self.discovery.first_response()).await;
+        let first_response = self.discovery.wait_for_first_response();
+        let _ = tokio::time::timeout(ENDPOINT_LIST_TIMEOUT, first_response).await;
     }
 
     /// Serves clients until the graceful shutdown that SIGTERM begins is complete.
--- a/crates/balancer-proxy/src/upstream/exchange_progress.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_progress.rs
@@ -104,7 +104,7 @@
         let mut options = self.options.borrow_mut();
         options.request_written.set(true);
         if let Some(metrics) = options.metrics.take() {
-            metrics.attempt_written();
+            metrics.count_written_attempt();
         }
     }
 }
--- a/crates/balancer-proxy/tests/metrics.rs
+++ b/crates/balancer-proxy/tests/metrics.rs
@@ -27,15 +27,15 @@
 #[test]
 fn each_final_status_counts_once_and_retired_classes_follow_those_in_force() {
     let metrics = Metrics::new(&settings(Some(3), &["look", "save", "unused"]));
-    let look = metrics.for_class("look");
+    let look = metrics.class_metrics("look");
     for status in [200, 429, 503, 400, 502, 504] {
-        look.request_started().finish(StatusCode::from_u16(status).unwrap());
+        look.start_request().finish(StatusCode::from_u16(status).unwrap());
     }
-    drop(look.request_started()); // its client has disconnected
-    metrics.attempt_written();
-    metrics.settings_rejected();
-    metrics.settings_applied(&settings(Some(4), &["order", "save"]));
-    let _outstanding = metrics.for_class("save").request_started();
+    drop(look.start_request()); // its client has disconnected
+    metrics.count_written_attempt();
+    metrics.count_rejected_settings();
+    metrics.count_settings_change(&settings(Some(4), &["order", "save"]));
+    let _outstanding = metrics.class_metrics("save").start_request();
 
     let expected = concat!(
         r#"{"results":{"order":{"succeeded":0,"declined":0,"aborted":0},"#,
@@ -52,11 +52,11 @@
     let with_class =
         |index: usize| ProxySettings { classes: vec![format!("c-{index}")], ..ProxySettings::default() };
     let metrics = Metrics::new(&with_class(0));
-    let open_request = metrics.for_class("c-0").request_started();
+    let open_request = metrics.class_metrics("c-0").start_request();
 
     for index in 0..100 {
-        metrics.settings_applied(&with_class(index));
-        metrics.for_class(&format!("c-{index}")).request_started().finish(StatusCode::OK);
+        metrics.count_settings_change(&with_class(index));
+        metrics.class_metrics(&format!("c-{index}")).start_request().finish(StatusCode::OK);
     }
     open_request.finish(StatusCode::OK); // of a class that has been forgotten
 
