--- a/crates/balancer-proxy/src/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -11,7 +11,7 @@
 use super::discovery::Discovery;
 use super::instance_lock::InstanceLock;
 use crate::downstream::server::Server;
-use crate::engine::Engine;
+use crate::engine::{Engine, SecondProcess};
 use crate::limits::{Capacities, ProcessLimits};
 use crate::log;
 use crate::settings::SettingsSnapshot;
@@ -106,7 +106,8 @@
         };
         let is_running = instance_lock.is_shared();
         self.set_capacities(is_running);
-        self.targets.engine.set_second_process_running(is_running);
+        let second_process = if is_running { SecondProcess::Running } else { SecondProcess::Absent };
+        self.targets.engine.set_second_process(second_process);
         let was_running = self.second_process_running.replace(is_running);
         let has_ended = was_running && !is_running;
         if !has_ended && !instance_lock.other_settings_differ(&self.fingerprint()) {
--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -7,7 +7,7 @@
 use super::request::{self, ParsedRequest, Submission};
 use super::request_error::RequestError;
 use super::response::{self, ClientResponse};
-use crate::engine::{Engine, FinalResponse};
+use crate::engine::{ClientIdInUse, Engine, FinalResponse, SubmittedRequest};
 use crate::limits::Budget;
 use crate::metrics::{ClassMetrics, OutstandingRequest};
 use crate::upstream::request_body::StreamedRequestBody;
@@ -128,7 +128,7 @@
     /// [`DUPLICATE_ID_TIMEOUT`].
     async fn wait_for_request_id(&self, client_request_id: u64) {
         let started = Instant::now();
-        while self.engine.client_id_in_use(client_request_id) && started.elapsed() < DUPLICATE_ID_TIMEOUT {
+        while self.engine.is_client_id_in_use(client_request_id) && started.elapsed() < DUPLICATE_ID_TIMEOUT {
             tokio::time::sleep(DUPLICATE_ID_POLL_INTERVAL).await;
         }
     }
@@ -154,9 +154,8 @@
     ) -> Result<FinalResponse, RequestError> {
         let Submission { client_request_id, request, forwarded, body_permit: _body_permit } = submission;
         let submitted = self.engine.submit(client_request_id, request, forwarded);
-        let Some((id, mut receiver)) = submitted else {
-            return Err(RequestError::DuplicateRequestId);
-        };
+        let SubmittedRequest { id, response: mut receiver } =
+            submitted.map_err(|ClientIdInUse| RequestError::DuplicateRequestId)?;
         let _guard = DisconnectGuard { engine: &self.engine, id };
         if let Some(body) = streamed_body {
             tokio::select! {
@@ -164,7 +163,7 @@
                 response = &mut receiver => return Ok(response.unwrap_or(FinalResponse::Failed)),
                 end = body.finished() => end?,
             }
-            self.engine.body_received(id);
+            self.engine.complete_body(id);
             accounting.request_complete();
         }
         Ok(receiver.await.unwrap_or(FinalResponse::Failed))
@@ -180,7 +179,7 @@
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        self.engine.client_disconnected(self.id);
+        self.engine.abandon(self.id);
     }
 }
 
--- a/crates/balancer-proxy/src/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -1,39 +1,42 @@
 //! The attempts that are running.
 //!
 //! Owns the task of each running attempt. An attempt is removed once, by whichever event ends it
-//! first; from then on its task is aborted, and later events about it find nothing.
+//! first; the removal aborts its task, and later events find no attempt with its id.
 
 use crate::upstream::shared_flag::SharedFlag;
 use balancer::{BackendId, RequestId, Time};
 use std::collections::HashMap;
 use tokio::task::AbortHandle;
 
+/// The number of an attempt among the attempts of its request, from 0, in the order of the sends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct AttemptNumber(pub(super) usize);
+
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptId {
     pub(super) request: RequestId,
-    /// Its number among the attempts of the request, from 0, in the order in which they were sent.
-    pub(super) number: usize,
+    pub(super) number: AttemptNumber,
 }
 
 /// How much of a running attempt's request has been written to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// Not all of it: once the task is aborted, the backend never executes it.
+    /// Less than the complete request: once the task is aborted, the backend never executes the request.
     Incomplete,
-    /// All of it: the backend may be executing it.
+    /// The complete request: the backend may be executing it.
     Complete,
 }
 
-/// When and to which backend an attempt was sent.
-#[derive(Clone, Copy, Debug)]
+/// The backend to which an attempt was sent, with the time of the send.
+#[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct SentAttempt {
     pub(super) backend: BackendId,
-    /// Time of the decision to send it.
+    /// Time of the decision to send the attempt, in seconds of the proxy's clock.
     pub(super) sent_at: Time,
 }
 
-/// An attempt with its task, which is aborted when this is dropped.
+/// An attempt with its task, which is aborted when the attempt is dropped.
 pub(super) struct RunningAttempt {
     sent: SentAttempt,
     /// Set by the task once the request has been written completely.
@@ -42,6 +45,7 @@
 }
 
 impl RunningAttempt {
+    /// Combines an attempt with its task, which sets `written` once the request is written completely.
     pub(super) fn new(sent: SentAttempt, written: SharedFlag, task: AbortHandle) -> Self {
         Self { sent, written, task }
     }
@@ -60,18 +64,22 @@
 }
 
 impl RunningAttempts {
+    /// Adds an attempt.
     pub(super) fn insert(&mut self, id: AttemptId, attempt: RunningAttempt) {
         self.by_id.insert(id, attempt);
     }
 
-    /// How much has been written of an attempt; `None` if it has ended.
+    /// Returns how much of an attempt has been written, or `None` if the attempt has ended.
     pub(super) fn write_progress(&self, id: AttemptId) -> Option<WriteProgress> {
         let attempt = self.by_id.get(&id)?;
         if attempt.written.get() { Some(WriteProgress::Complete) } else { Some(WriteProgress::Incomplete) }
     }
 
-    /// Aborts and removes an attempt; `None` if it has ended before.
+    /// Aborts and removes an attempt. Returns `None` if the attempt has ended before.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<SentAttempt> {
         self.by_id.remove(&id).map(|attempt| attempt.sent)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-proxy/src/engine/attempts/tests.rs
@@ -0,0 +1,50 @@
+//! Tests of the table of running attempts.
+
+use super::{AttemptId, AttemptNumber, RunningAttempt, RunningAttempts, SentAttempt, WriteProgress};
+use crate::upstream::shared_flag::SharedFlag;
+use balancer::{BackendId, RequestId};
+
+const ID: AttemptId = AttemptId { request: RequestId(7), number: AttemptNumber(1) };
+const SENT: SentAttempt = SentAttempt { backend: BackendId(3), sent_at: 2.5 };
+
+/// Runs a test on a [`tokio::task::LocalSet`], as attempts have tasks.
+fn run_with_tasks(test: impl Future<Output = ()>) {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, test);
+}
+
+#[test]
+fn reports_the_write_progress_of_a_running_attempt_only() {
+    run_with_tasks(async {
+        let mut attempts = RunningAttempts::default();
+        let written = SharedFlag::default();
+        let task = tokio::task::spawn_local(std::future::pending::<()>());
+        attempts.insert(ID, RunningAttempt::new(SENT, written.clone(), task.abort_handle()));
+
+        let before_write = attempts.write_progress(ID);
+        written.set(true);
+        let after_write = attempts.write_progress(ID);
+        attempts.remove(ID);
+        let after_end = attempts.write_progress(ID);
+
+        assert_eq!(before_write, Some(WriteProgress::Incomplete));
+        assert_eq!(after_write, Some(WriteProgress::Complete));
+        assert_eq!(after_end, None);
+    });
+}
+
+#[test]
+fn removes_an_attempt_once_and_aborts_its_task() {
+    run_with_tasks(async {
+        let mut attempts = RunningAttempts::default();
+        let task = tokio::task::spawn_local(std::future::pending::<()>());
+        attempts.insert(ID, RunningAttempt::new(SENT, SharedFlag::default(), task.abort_handle()));
+
+        let first = attempts.remove(ID);
+        let second = attempts.remove(ID);
+
+        assert_eq!(first, Some(SENT));
+        assert_eq!(second, None);
+        assert!(task.await.unwrap_err().is_cancelled());
+    });
+}
--- a/crates/balancer-proxy/src/engine/decisions.rs
+++ b/crates/balancer-proxy/src/engine/decisions.rs
@@ -1,7 +1,8 @@
-//! The decision module and the events that it has not been given yet.
+//! The decision module and the events that it has not handled yet.
 //!
-//! Owns both. Events are queued because carrying out an action may cause the next event, while the
-//! module must be given them one after another, in the order in which they happened.
+//! Owns the module and the queue of events. Events are queued because an action of the module may cause
+//! the next event, while the module handles events one after another, in the order in which they
+//! happened.
 
 use crate::clock::Clock;
 use crate::settings::SettingsSnapshot;
@@ -14,9 +15,9 @@
 pub(super) enum PendingEvent {
     /// An event that borrows nothing.
     Plain(Event<'static>),
-    /// An event of the endpoint list.
+    /// An event of the watch on the endpoint list.
     Watch(WatchEvent),
-    /// New settings.
+    /// Settings that come into force.
     Settings(Rc<SettingsSnapshot>),
 }
 
@@ -33,6 +34,7 @@
 }
 
 impl Decisions {
+    /// Creates a decision module at time `now`, whose random draws depend on `seed`.
     pub(super) fn new(now: Time, seed: u64, settings: Settings) -> Self {
         Self { balancer: Balancer::new(now, seed, settings), pending: VecDeque::new() }
     }
@@ -42,8 +44,8 @@
         self.pending.push_back(event.into());
     }
 
-    /// Gives the module the first pending event and appends the actions that it asks for. Returns the
-    /// time at which it was given the event; `None` if no event is pending.
+    /// Has the module handle the first pending event, and appends its actions to `actions`. Returns the
+    /// time of the handling, or `None` if no event is pending.
     pub(super) fn handle_next(&mut self, clock: &Clock, actions: &mut Vec<Action>) -> Option<Time> {
         let event = self.pending.pop_front()?;
         let now = clock.now();
@@ -61,24 +63,25 @@
         let mut handle =
             |update: EndpointUpdate<'_>| self.balancer.handle(now, Event::Endpoints(update), actions);
         match event {
-            WatchEvent::Changes(listed) => handle(EndpointUpdate::Changes(&endpoints(listed))),
-            WatchEvent::Full(listed) => handle(EndpointUpdate::Full(&endpoints(listed))),
-            WatchEvent::Cached(listed) => handle(EndpointUpdate::Cached(&endpoints(listed))),
+            WatchEvent::Changes(listed) => handle(EndpointUpdate::Changes(&into_endpoints(listed))),
+            WatchEvent::Full(listed) => handle(EndpointUpdate::Full(&into_endpoints(listed))),
+            WatchEvent::Cached(listed) => handle(EndpointUpdate::Cached(&into_endpoints(listed))),
             WatchEvent::Failed => handle(EndpointUpdate::Failed),
         }
     }
 
-    /// Number of backends on the endpoint list.
+    /// Returns the number of backends on the endpoint list.
     pub(super) fn backends_listed(&self) -> usize {
         self.balancer.backends_listed()
     }
 
-    /// Number of backends that the module avoids.
+    /// Returns the number of backends that the module avoids.
     pub(super) fn backends_avoided(&self) -> usize {
         self.balancer.backends_avoided()
     }
 }
 
-fn endpoints(listed: Vec<ListedEndpoint>) -> Vec<Endpoint> {
+/// Returns the part of each listed endpoint that the module reads.
+fn into_endpoints(listed: Vec<ListedEndpoint>) -> Vec<Endpoint> {
     listed.into_iter().map(|listed| listed.endpoint).collect()
 }
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -1,11 +1,11 @@
 //! Gives pending events to the decision module and carries out the actions that it returns.
 //!
-//! Owns the state that events and actions change, the timers and the settings in force. It spawns
-//! the tasks of attempts and health checks, and reports the end of each to the module.
+//! Owns the state that events and actions change, the timers and the settings in force. The dispatcher
+//! spawns the tasks of attempts and health checks, and reports the end of each to the module.
 
-use super::attempts::{AttemptId, RunningAttempt, SentAttempt};
+use super::attempts::{AttemptId, AttemptNumber, RunningAttempt, SentAttempt};
 use super::decisions::PendingEvent;
-use super::requests::{FinalResponse, OpenRequest};
+use super::requests::FinalResponse;
 use super::state::State;
 use super::timers::{Timer, Timers};
 use crate::clock::Clock;
@@ -19,44 +19,44 @@
 use std::cell::{RefCell, RefMut};
 use std::rc::{Rc, Weak};
 
-/// Path of a health check that only finds out whether the backend serves requests.
+/// Path of a health check that finds out only whether the backend serves requests.
 const HEALTH_PATH: &str = "/-/healthy";
 /// Path of a health check whose response is a load report.
 const LOAD_REPORT_PATH: &str = "/-/load";
+/// The timeout of [`Action::Send`] by which an attempt may take as long as its request.
+const REQUEST_TIMEOUT: Time = 0.0;
 
-/// An attempt that the decision module wants made.
+/// The command of the decision module to send an attempt. Times are those of the proxy's clock, in
+/// seconds.
 struct SendCommand {
     request: RequestId,
     backend: BackendId,
-    /// How long its response may take, in seconds; 0 for as long as the request has.
-    timeout: Time,
-    /// How long writing its request may take, in seconds.
-    write_within: Time,
-    /// When the module decided on it.
+    /// The longest time until the response, in seconds; `None` for as long as the request has.
+    timeout: Option<Time>,
+    /// The time by which the last byte of the request must be written, if there is such a limit.
+    write_deadline: Option<Time>,
+    /// The time of the decision.
     decided_at: Time,
 }
 
-impl SendCommand {
-    fn write_deadline(&self) -> Time {
-        self.decided_at + self.write_within
-    }
-}
-
 /// Connects the decision module with the state of the engine.
 pub(super) struct Dispatcher {
-    /// For the tasks of attempts and health checks, which report their ends.
+    /// A reference to the dispatcher itself, by which the tasks of attempts and health checks report
+    /// their ends.
     this: Weak<Dispatcher>,
     pub(super) clock: Clock,
     state: RefCell<State>,
     pub(super) timers: Timers,
     discovery: RefCell<Weak<Discovery>>,
     pub(super) metrics: Rc<Metrics>,
-    /// The settings in force. Whatever needs settings takes them from here, so that they change for
-    /// all of it at once.
+    /// The settings in force. All other parts read the settings from here, so that a change applies to
+    /// all parts at once.
     settings: RefCell<Rc<SettingsSnapshot>>,
 }
 
 impl Dispatcher {
+    /// Creates a dispatcher whose decision module makes random draws that depend on `seed`. At most
+    /// `max_backend_connections` connections to backends will be open at once.
     pub(super) fn new(
         settings: Rc<SettingsSnapshot>,
         seed: u64,
@@ -76,18 +76,22 @@
         })
     }
 
+    /// Returns the state for changes. The borrow must end before the next one begins.
     pub(super) fn state(&self) -> RefMut<'_, State> {
         self.state.borrow_mut()
     }
 
+    /// Returns the settings in force.
     pub(super) fn settings(&self) -> Rc<SettingsSnapshot> {
         self.settings.borrow().clone()
     }
 
+    /// Replaces the settings in force.
     pub(super) fn replace_settings(&self, settings: Rc<SettingsSnapshot>) {
         self.settings.replace(settings);
     }
 
+    /// Sets the discovery that provides the endpoint list, without keeping it alive.
     pub(super) fn set_discovery(&self, discovery: &Rc<Discovery>) {
         *self.discovery.borrow_mut() = Rc::downgrade(discovery);
     }
@@ -96,7 +100,7 @@
         self.discovery.borrow().upgrade()
     }
 
-    /// Queues an event, and decides on all that are pending.
+    /// Queues an event, and has the module decide on all pending events.
     pub(super) fn handle(&self, mut state: RefMut<'_, State>, event: impl Into<PendingEvent>) {
         state.decisions.push(event);
         self.decide(state);
@@ -107,19 +111,26 @@
         let mut actions = Vec::new();
         while let Some(now) = state.decisions.handle_next(&self.clock, &mut actions) {
             for action in actions.drain(..) {
-                self.act(&mut state, action, now);
+                self.carry_out(&mut state, action, now);
             }
         }
     }
 
-    fn act(&self, state: &mut State, action: Action, now: Time) {
+    /// Carries out an action on which the module decided at time `now`.
+    fn carry_out(&self, state: &mut State, action: Action, now: Time) {
         match action {
             Action::Send { id, backend, timeout, write_within } => {
-                let command = SendCommand { request: id, backend, timeout, write_within, decided_at: now };
+                let command = SendCommand {
+                    request: id,
+                    backend,
+                    timeout: (timeout != REQUEST_TIMEOUT).then_some(timeout),
+                    write_deadline: write_within.is_finite().then_some(now + write_within),
+                    decided_at: now,
+                };
                 self.send(state, &command);
             }
-            Action::Cancel { id, attempt } => state.cancel(AttemptId { request: id, number: attempt }),
-            Action::Withdraw { id, attempt } => state.withdraw(AttemptId { request: id, number: attempt }),
+            Action::Cancel { id, attempt } => state.cancel(attempt_id(id, attempt)),
+            Action::Withdraw { id, attempt } => state.withdraw(attempt_id(id, attempt)),
             Action::Reject { id, retry_after } => {
                 state.requests.respond(id, FinalResponse::Rejected(retry_after));
             }
@@ -146,30 +157,32 @@
             return state.report_not_sent(command.request, command.backend);
         };
         state.endpoints.evict_idle_if_full();
-        let id = AttemptId { request: command.request, number: request.next_attempt() };
+        let id = AttemptId { request: command.request, number: request.count_attempt() };
         let deadline = request.attempt_deadline(command.decided_at, command.timeout);
-        let response_deadline = response_deadline(request, deadline, command.decided_at);
+        let response_deadline = request.response_deadline(deadline, command.decided_at);
         let written = SharedFlag::default();
         let attempt = attempt::attempt(AttemptParameters {
             pool,
             request: request.forwarded.clone(),
             clock: self.clock,
             response_deadline,
-            write_deadline: command.write_deadline(),
+            write_deadline: command.write_deadline,
             written: written.clone(),
             metrics: self.metrics.clone(),
         });
         let task = tokio::task::spawn_local(async move {
             let result = attempt.await;
-            this.attempt_ended(id, result);
+            this.end_attempt(id, result);
         });
         let sent = SentAttempt { backend: command.backend, sent_at: command.decided_at };
         state.attempts.insert(id, RunningAttempt::new(sent, written, task.abort_handle()));
-        self.set_attempt_timers(id, command.write_deadline(), deadline);
+        self.set_attempt_timers(id, command.write_deadline, deadline);
     }
 
-    fn set_attempt_timers(&self, id: AttemptId, write_deadline: Time, deadline: Time) {
-        if write_deadline < deadline {
+    fn set_attempt_timers(&self, id: AttemptId, write_deadline: Option<Time>, deadline: Time) {
+        if let Some(write_deadline) = write_deadline
+            && write_deadline < deadline
+        {
             self.timers.set(write_deadline, Timer::WriteDeadline(id));
         }
         if deadline.is_finite() {
@@ -177,21 +190,21 @@
         }
     }
 
-    /// An attempt's task has come to its end.
-    fn attempt_ended(&self, id: AttemptId, result: AttemptResult) {
+    /// Records that the task of an attempt has ended, and has the module decide on that.
+    fn end_attempt(&self, id: AttemptId, result: AttemptResult) {
         let mut state = self.state();
         state.end_attempt(id, result);
         self.decide(state);
     }
 
-    /// Carries out what a timer was set for.
-    pub(super) fn timer_expired(&self, timer: Timer) {
+    /// Handles a timer that is due.
+    pub(super) fn expire_timer(&self, timer: Timer) {
         let mut state = self.state();
         match timer {
             Timer::Decision(token) => state.decisions.push(Event::Timer(token)),
-            Timer::WriteDeadline(id) => state.write_deadline_expired(id),
-            Timer::AttemptDeadline(id) => state.attempt_deadline_expired(id),
-            Timer::RequestDeadline(id) => state.request_deadline_expired(id),
+            Timer::WriteDeadline(id) => state.expire_write_deadline(id),
+            Timer::AttemptDeadline(id) => state.expire_attempt_deadline(id),
+            Timer::RequestDeadline(id) => state.expire_request_deadline(id),
         }
         self.decide(state);
     }
@@ -206,11 +219,13 @@
         let check = attempt::health_check(pool, path, self.clock);
         tokio::task::spawn_local(async move {
             let result = check.await;
-            this.health_check_ended(backend, &result);
+            this.end_health_check(backend, &result);
         });
     }
 
-    fn health_check_ended(&self, backend: BackendId, result: &AttemptResult) {
+    /// Reports the result of a health check to the module, with the load report of its headers, or else
+    /// that of its body.
+    fn end_health_check(&self, backend: BackendId, result: &AttemptResult) {
         let report_in_body =
             result.response.as_ref().and_then(|response| load_report::parse(response.buffered()?));
         let report = result.report.or(report_in_body);
@@ -218,8 +233,6 @@
     }
 }
 
-/// When the backend's response must be there. While the body is being received, the attempt has no
-/// deadline: the backend is given the timeout that starts once the body is complete.
-fn response_deadline(request: &OpenRequest, attempt_deadline: Time, now: Time) -> Time {
-    if attempt_deadline.is_finite() { attempt_deadline } else { now + request.timeout }
+fn attempt_id(request: RequestId, attempt: usize) -> AttemptId {
+    AttemptId { request, number: AttemptNumber(attempt) }
 }
--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -1,6 +1,6 @@
 //! The backends and their connection pools.
 //!
-//! Owns one pool for each backend that is listed, and the time by which sends to a backend in
+//! Owns one connection pool for each listed backend, and the time by which sends to a backend in
 //! maintenance must end. A backend that is gone is forgotten once its grace period is over and no
 //! attempt or health check uses its pool.
 
@@ -13,17 +13,18 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// All backends that requests may be sent to.
+/// All backends to which requests may be sent.
 pub(super) struct Endpoints {
     pools: HashMap<BackendId, Rc<ConnectionPool>>,
-    /// The backends in maintenance, and when sends to each must end.
+    /// For each backend in maintenance, the time by which sends must end, in seconds of the proxy's clock.
     maintenance_deadlines: HashMap<BackendId, Time>,
-    /// The connections to all backends together.
+    /// The budget for the connections to all backends together.
     connections: Rc<Budget>,
 }
 
 impl Endpoints {
-    /// No backends; at most `max_connections` connections to all of them will be open at once.
+    /// Creates an empty set of backends, to which at most `max_connections` connections will be open at
+    /// once.
     pub(super) fn new(max_connections: usize) -> Self {
         Self {
             pools: HashMap::new(),
@@ -32,26 +33,27 @@
         }
     }
 
+    /// Returns the connection pool of a backend, or `None` if the backend is unknown.
     pub(super) fn pool(&self, backend: BackendId) -> Option<Rc<ConnectionPool>> {
         self.pools.get(&backend).cloned()
     }
 
-    /// Whether a backend has a pool or is in maintenance.
+    /// Returns whether a backend has a pool or is in maintenance.
     pub(super) fn is_known(&self, backend: BackendId) -> bool {
         self.pools.contains_key(&backend) || self.maintenance_deadlines.contains_key(&backend)
     }
 
-    /// Applies the timeouts of these settings to all connections.
+    /// Applies the timeouts of these settings to all pools.
     pub(super) fn set_timeouts(&self, settings: &ProxySettings) {
         for pool in self.pools.values() {
             pool.set_timeouts(settings.connect_timeout, settings.idle_timeout);
         }
     }
 
-    /// Puts a backend in maintenance, so that sends to it end by `last_send`. A backend that already is
-    /// in maintenance keeps its deadline.
-    pub(super) fn begin_maintenance(&mut self, backend: BackendId, last_send: Time) {
-        let deadline = *self.maintenance_deadlines.entry(backend).or_insert(last_send);
+    /// Puts a backend in maintenance, so that sends to the backend end by `send_deadline`. A backend that
+    /// already is in maintenance keeps its deadline.
+    pub(super) fn start_maintenance(&mut self, backend: BackendId, send_deadline: Time) {
+        let deadline = *self.maintenance_deadlines.entry(backend).or_insert(send_deadline);
         self.set_maintenance_deadline(backend, Some(deadline));
     }
 
@@ -67,43 +69,43 @@
         }
     }
 
-    /// Brings the pools up to date with the endpoint list. Sends to backends that are draining or gone
-    /// end by `last_send`.
+    /// Updates the pools to the endpoint list. Sends to backends that are draining or gone end by
+    /// `send_deadline`, in seconds of the proxy's clock.
     pub(super) fn apply_watch_event(
         &mut self,
         event: &WatchEvent,
-        last_send: Time,
+        send_deadline: Time,
         settings: &ProxySettings,
     ) {
         if let WatchEvent::Full(listed) | WatchEvent::Cached(listed) = event {
-            self.mark_unlisted_removed(listed, last_send);
+            self.mark_unlisted_removed(listed, send_deadline);
         }
         for listed in listed_endpoints(event) {
             if listed.endpoint.status == Status::Removed {
-                self.mark_removed(listed.endpoint.id, last_send);
+                self.mark_removed(listed.endpoint.id, send_deadline);
             } else {
-                self.upsert(listed, last_send, settings);
+                self.upsert(listed, send_deadline, settings);
             }
         }
     }
 
-    fn mark_unlisted_removed(&self, listed: &[ListedEndpoint], last_send: Time) {
+    fn mark_unlisted_removed(&self, listed: &[ListedEndpoint], send_deadline: Time) {
         for (id, pool) in &self.pools {
             if !listed.iter().any(|listed| listed.endpoint.id == *id) {
-                pool.mark_removed(last_send);
+                pool.mark_removed(send_deadline);
             }
         }
     }
 
-    fn mark_removed(&self, backend: BackendId, last_send: Time) {
+    fn mark_removed(&self, backend: BackendId, send_deadline: Time) {
         if let Some(pool) = self.pools.get(&backend) {
-            pool.mark_removed(last_send);
+            pool.mark_removed(send_deadline);
         }
     }
 
-    fn upsert(&mut self, listed: &ListedEndpoint, last_send: Time, settings: &ProxySettings) {
+    fn upsert(&mut self, listed: &ListedEndpoint, send_deadline: Time, settings: &ProxySettings) {
         let ListedEndpoint { endpoint, address } = listed;
-        let drain_deadline = (endpoint.status != Status::InService).then_some(last_send);
+        let drain_deadline = (endpoint.status != Status::InService).then_some(send_deadline);
         let maintenance_deadline = self.maintenance_deadlines.get(&endpoint.id).copied();
         let pool = self.pools.entry(endpoint.id).or_insert_with(|| {
             let connections = self.connections.clone();
@@ -115,7 +117,7 @@
         pool.update(*address, drain_deadline);
     }
 
-    /// Closes the idle connections to a backend, and those in use as soon as they become idle.
+    /// Closes the idle connections to a backend, and the connections in use as soon as they become idle.
     pub(super) fn retire_connections(&self, backend: BackendId) {
         if let Some(pool) = self.pools.get(&backend) {
             pool.retire_connections();
@@ -130,26 +132,26 @@
     }
 
     /// Forgets the backends that are gone and past their grace period, so that memory stays bounded
-    /// where backends are replaced all the time. A pool with a single reference is used by no attempt
-    /// and no health check.
+    /// where backends are replaced all the time. A pool with a single reference is in use by no attempt
+    /// and no health check, and may be dropped.
     pub(super) fn forget_removed(&mut self, clock: &Clock) {
         self.pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.can_be_forgotten(clock));
     }
 
-    /// Sets how many connections may be open at once, and closes idle ones beyond that.
+    /// Limits the connections that are open at once, and closes idle ones beyond the limit.
     pub(super) fn set_connection_limit(&self, max_connections: usize) {
         self.connections.set_limit(max_connections);
         while self.connections.is_exceeded() && self.evict_oldest_idle() {}
     }
 
-    /// Closes an idle connection if no further one may be opened, as an attempt may need one.
+    /// Closes an idle connection if the limit is reached, so that the next attempt can open one.
     pub(super) fn evict_idle_if_full(&self) {
         if self.connections.is_full() {
             self.evict_oldest_idle();
         }
     }
 
-    /// Closes the connection that has been idle longest. Returns whether there was one.
+    /// Closes the connection that has been idle longest. Returns whether an idle connection existed.
     fn evict_oldest_idle(&self) -> bool {
         let idle = self.pools.values().filter(|pool| pool.idle_since().is_some());
         let Some(pool) = idle.min_by_key(|pool| pool.idle_since()) else {
@@ -160,7 +162,7 @@
     }
 }
 
-/// The endpoints that an event lists.
+/// Returns the endpoints that an event lists.
 fn listed_endpoints(event: &WatchEvent) -> &[ListedEndpoint] {
     match event {
         WatchEvent::Full(listed) | WatchEvent::Cached(listed) | WatchEvent::Changes(listed) => listed,
@@ -168,7 +170,7 @@
     }
 }
 
-/// Whether an event lists a backend that is in service.
+/// Returns whether an event lists a backend that is in service.
 pub(super) fn lists_in_service(event: &WatchEvent) -> bool {
     listed_endpoints(event).iter().any(|listed| listed.endpoint.status == Status::InService)
 }
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -1,69 +1,68 @@
 //! The engine: the one place where the decision module meets the sockets.
 //!
-//! It owns the module's clock and timers, the open requests and their attempts, and the connection
-//! pools of the backends. Whatever happens becomes an event of the module, and the actions that the
-//! module asks for become I/O. It guarantees each accepted request exactly one final response before
-//! its deadline, and reports the end of each attempt to the module. Its parts:
+//! The engine owns the clock and the timers of the decision module, the open requests with their
+//! attempts, and the connection pools of the backends. Each occurrence becomes an event of the module,
+//! and each action of the module becomes I/O. The engine guarantees every accepted request exactly one
+//! final response before its deadline, and reports the end of each attempt to the module. Its parts:
 //!
+//! - `submission`: accepts requests, and ends them when their clients disconnect or the process ends;
 //! - `requests`: the open requests and their final responses;
 //! - `attempts`: the running attempts;
 //! - `endpoints`: the backends and their connection pools;
-//! - `timers`: what is due when;
+//! - `timers`: the timers, in the order in which they are due;
 //! - `decisions`: the decision module and its pending events;
 //! - `state`: these parts together, and how requests and attempts end;
 //! - `dispatcher`: gives events to the module and carries out its actions;
-//! - `scheduling_lag`: how late the process runs what is due;
-//! - `supervisor`: restarts the engine's own tasks after a panic.
+//! - `background_tasks`: the tasks that expire timers and close idle connections;
+//! - `scheduling_lag`: how late the process runs its timers;
+//! - `supervisor`: restarts the background tasks after a panic.
 
 mod attempts;
+mod background_tasks;
 mod decisions;
 mod dispatcher;
 mod endpoints;
 mod requests;
 mod scheduling_lag;
 mod state;
+mod submission;
 mod supervisor;
 mod timers;
 
 pub use requests::FinalResponse;
+pub use submission::{ClientIdInUse, SubmittedRequest};
 
 use super::clock::Clock;
 use super::control::discovery::{Discovery, WatchListener};
 use super::metrics::Metrics;
 use super::settings::SettingsSnapshot;
-use super::upstream::forwarded_request::ForwardedRequest;
 use super::watch_event::WatchEvent;
-use attempts::AttemptId;
-use balancer::{BackendId, Event, MaintenanceChange, Request, RequestId, Time};
+use balancer::{BackendId, Event, MaintenanceChange, Time};
 use decisions::PendingEvent;
 use dispatcher::Dispatcher;
-use requests::OpenRequest;
 use scheduling_lag::SchedulingLag;
 use std::cell::Cell;
 use std::rc::Rc;
-use std::time::{Duration, Instant};
-use supervisor::restart_on_panic;
-use timers::Timer;
-use tokio::sync::oneshot;
 
-/// By how much the timeout that the module is given is shorter than the client's, in seconds: the time
-/// that the final response needs on its way to the client.
-const DECISION_MARGIN_SECS: Time = 0.006;
-/// The engine fails a request on which the module has not decided, this long before the client's
-/// timeout, in seconds.
-const RESPONSE_MARGIN_SECS: Time = 0.5 * DECISION_MARGIN_SECS;
 /// Fraction of the grace period of a drain or maintenance after which an attempt that was decided on
-/// before is no longer sent.
+/// before is no longer sent. The rest of the period is left for attempts that are being written.
 const SEND_GRACE_FRACTION: f64 = 0.5;
-/// Interval between two sweeps of the idle connections.
-const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Whether another process serves the same clients, as during an upgrade.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SecondProcess {
+    /// A second process accepts requests of the same clients.
+    Running,
+    /// This process is the only one.
+    Absent,
+}
 
 /// Drives the decision module.
 pub struct Engine {
     dispatcher: Rc<Dispatcher>,
     scheduling_lag: SchedulingLag,
-    /// A backend in service has been listed.
-    has_endpoints: Cell<bool>,
+    /// Set once a backend in service has been listed.
+    has_listed_backend: Cell<bool>,
 }
 
 impl Engine {
@@ -82,23 +81,20 @@
         let engine = Rc::new(Self {
             dispatcher: Dispatcher::new(settings, seed, max_backend_connections, metrics),
             scheduling_lag: SchedulingLag::default(),
-            has_endpoints: Cell::new(false),
+            has_listed_backend: Cell::new(false),
         });
-        let timers = engine.clone();
-        tokio::task::spawn_local(restart_on_panic(move || timers.clone().run_timers()));
-        let sweep = engine.clone();
-        tokio::task::spawn_local(restart_on_panic(move || sweep.clone().sweep_idle_connections()));
+        background_tasks::spawn(&engine);
         engine
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     #[must_use]
     pub fn settings(&self) -> Rc<SettingsSnapshot> {
         self.dispatcher.settings()
     }
 
-    /// Puts settings in force, here, in the module and in the metrics. Open requests keep those that
-    /// they arrived under, and connections stay open.
+    /// Puts settings in force in the engine, the decision module and the metrics. Open requests keep
+    /// the settings under which they arrived, and connections stay open.
     pub fn apply_settings(&self, settings: SettingsSnapshot) {
         let settings = Rc::new(settings);
         let state = self.dispatcher.state();
@@ -108,17 +104,18 @@
         self.dispatcher.handle(state, PendingEvent::Settings(settings));
     }
 
-    /// The longest deadline that an open request or one still to come may have, in seconds.
+    /// Returns the longest time in seconds that an open request, or one that arrives from now on, may
+    /// have until its deadline.
     #[must_use]
     pub fn longest_deadline(&self) -> Time {
         let of_open_requests = self.dispatcher.state().requests.longest_class_deadline();
         self.settings().longest_deadline().max(of_open_requests)
     }
 
-    /// The time by which sends must end to a backend whose drain or maintenance begins now.
+    /// Returns the time by which sends must end to a backend whose drain or maintenance begins now.
     fn send_deadline_from_now(&self) -> Time {
-        let grace = self.settings().proxy.drain_grace_period.as_secs_f64();
-        self.dispatcher.clock.now() + SEND_GRACE_FRACTION * grace
+        let grace_period = self.settings().proxy.drain_grace_period.as_secs_f64();
+        self.dispatcher.clock.now() + SEND_GRACE_FRACTION * grace_period
     }
 
     /// Sets the discovery that provides the endpoint list. The engine does not keep it alive.
@@ -131,31 +128,37 @@
         let mut state = self.dispatcher.state();
         match change {
             MaintenanceChange::Begins => {
-                state.endpoints.begin_maintenance(backend, self.send_deadline_from_now());
+                state.endpoints.start_maintenance(backend, self.send_deadline_from_now());
             }
             MaintenanceChange::Ends => state.endpoints.end_maintenance(backend),
         }
         self.dispatcher.handle(state, Event::Maintenance { backend, change });
     }
 
-    /// Sets how many connections to backends may be open at once, and closes idle ones beyond that.
+    /// Limits the connections to backends that are open at once, and closes idle ones beyond the limit.
     pub fn set_connection_limit(&self, max_backend_connections: usize) {
         self.dispatcher.state().endpoints.set_connection_limit(max_backend_connections);
     }
 
-    /// Whether a backend in service has ever been listed.
+    /// Notifies the decision module whether another process serves the same clients.
+    pub fn set_second_process(&self, second_process: SecondProcess) {
+        let running = second_process == SecondProcess::Running;
+        self.dispatcher.handle(self.dispatcher.state(), Event::SecondProcess { running });
+    }
+
+    /// Returns whether a backend in service has ever been listed.
     #[must_use]
     pub fn has_listed_backend(&self) -> bool {
-        self.has_endpoints.get()
+        self.has_listed_backend.get()
     }
 
-    /// The counts of this process.
+    /// Returns the metrics of this process.
     #[must_use]
     pub fn metrics(&self) -> &Rc<Metrics> {
         &self.dispatcher.metrics
     }
 
-    /// The metrics, with the numbers of backends that are listed and avoided, as a line of JSON.
+    /// Returns the metrics, with the numbers of backends that are listed and avoided, as a line of JSON.
     ///
     /// # Errors
     ///
@@ -164,134 +167,16 @@
         let state = self.dispatcher.state();
         self.metrics().to_json(state.decisions.backends_listed(), state.decisions.backends_avoided())
     }
-
-    /// Whether a request with this id of its client is open.
-    #[must_use]
-    pub fn client_id_in_use(&self, client_id: u64) -> bool {
-        self.dispatcher.state().requests.is_client_id_in_use(client_id)
-    }
-
-    /// Accepts a request whose client gave it `client_id` and waits for `request.timeout` seconds; its
-    /// [`Request::id`] is assigned here. The receiver gets the final response within that time, and at
-    /// once if as many requests are open as the settings allow. `None` if the client's id is in use.
-    pub fn submit(
-        &self,
-        client_id: u64,
-        mut request: Request,
-        forwarded: ForwardedRequest,
-    ) -> Option<(RequestId, oneshot::Receiver<FinalResponse>)> {
-        let (response, receiver) = oneshot::channel();
-        let mut state = self.dispatcher.state();
-        if state.requests.is_client_id_in_use(client_id) {
-            return None;
-        }
-        let id = state.requests.next_id();
-        request.id = id;
-        let settings = self.settings();
-        if state.requests.len() >= settings.proxy.max_open_requests {
-            let _ = response.send(FinalResponse::Rejected(None)); // the receiver is still here
-            return Some((id, receiver));
-        }
-        let now = self.dispatcher.clock.now();
-        // The client's timeout started when it sent the request, which may then have waited to be read.
-        request.timeout -= self.scheduling_lag.get();
-        let timeout = request.timeout - RESPONSE_MARGIN_SECS;
-        request.timeout -= DECISION_MARGIN_SECS;
-        let deadline = state.requests.insert(
-            id,
-            OpenRequest {
-                client_id,
-                response,
-                forwarded: Rc::new(forwarded),
-                deadline: if request.streaming_body { Time::INFINITY } else { now + timeout },
-                timeout,
-                attempts_sent: 0,
-                settings,
-            },
-        );
-        if deadline.is_finite() {
-            self.dispatcher.timers.set(deadline, Timer::RequestDeadline(id));
-        }
-        self.dispatcher.handle(state, Event::Request(request));
-        Some((id, receiver))
-    }
-
-    /// The body of a streamed request is complete, and its timeout starts. Nothing happens if the
-    /// request is not open.
-    pub fn body_received(&self, id: RequestId) {
-        let mut state = self.dispatcher.state();
-        let Some(request) = state.requests.start_timeout(id, self.dispatcher.clock.now()) else {
-            return;
-        };
-        let deadline = request.deadline;
-        self.dispatcher.timers.set(deadline, Timer::RequestDeadline(id));
-        for number in 0..request.attempts_sent {
-            let attempt = AttemptId { request: id, number };
-            self.dispatcher.timers.set(deadline, Timer::AttemptDeadline(attempt));
-        }
-        self.dispatcher.handle(state, Event::BodyReceived(id));
-    }
-
-    /// Gives all requests, those still to come too, their final responses by `shutdown_deadline`, as
-    /// the process ends then.
-    pub fn finish_by(&self, shutdown_deadline: Instant) {
-        let start = self.dispatcher.clock.start_instant();
-        let deadline = shutdown_deadline.saturating_duration_since(start).as_secs_f64();
-        let brought_forward = self.dispatcher.state().requests.set_shutdown_deadline(deadline);
-        for id in brought_forward {
-            self.dispatcher.timers.set(deadline, Timer::RequestDeadline(id));
-        }
-    }
-
-    /// Another process has begun or ceased to accept requests of the same clients.
-    pub fn set_second_process_running(&self, running: bool) {
-        self.dispatcher.handle(self.dispatcher.state(), Event::SecondProcess { running });
-    }
-
-    /// The client of a request has disconnected. Nothing happens if the request is not open.
-    pub fn client_disconnected(&self, id: RequestId) {
-        let mut state = self.dispatcher.state();
-        if state.requests.abandon(id) {
-            self.dispatcher.handle(state, Event::ClientDisconnected(id));
-        }
-    }
-
-    async fn run_timers(self: Rc<Self>) {
-        loop {
-            self.dispatcher.timers.wait_until_due(&self.dispatcher.clock).await;
-            self.expire_timers();
-        }
-    }
-
-    /// Carries out all timers that are due, and records how late they were.
-    fn expire_timers(&self) {
-        let now = self.dispatcher.clock.now();
-        let mut lateness: Time = 0.0;
-        while let Some(scheduled) = self.dispatcher.timers.pop_due(now) {
-            lateness = lateness.max(now - scheduled.due);
-            self.dispatcher.timer_expired(scheduled.timer);
-        }
-        self.scheduling_lag.record(lateness);
-    }
-
-    async fn sweep_idle_connections(self: Rc<Self>) {
-        loop {
-            tokio::time::sleep(IDLE_SWEEP_INTERVAL).await;
-            let mut state = self.dispatcher.state();
-            state.endpoints.forget_removed(&self.dispatcher.clock);
-            state.endpoints.sweep_idle();
-        }
-    }
 }
 
 impl WatchListener for Engine {
-    /// Brings the pools up to date with the endpoint list, and notifies the module.
+    /// Updates the pools to the endpoint list, and notifies the decision module.
     fn on_watch_event(&self, event: WatchEvent) {
         let mut state = self.dispatcher.state();
-        let last_send = self.send_deadline_from_now();
-        state.endpoints.apply_watch_event(&event, last_send, &self.settings().proxy);
+        let send_deadline = self.send_deadline_from_now();
+        state.endpoints.apply_watch_event(&event, send_deadline, &self.settings().proxy);
         if endpoints::lists_in_service(&event) {
-            self.has_endpoints.set(true);
+            self.has_listed_backend.set(true);
         }
         self.dispatcher.handle(state, PendingEvent::Watch(event));
     }
@@ -304,8 +189,8 @@
         &self.dispatcher.clock
     }
 
-    /// Whether the backend is in maintenance, or has been listed and not been gone for longer than
-    /// sends to it may take.
+    /// Returns whether the backend is in maintenance, is listed, or is gone and may still be in use by
+    /// attempts.
     fn is_backend_known(&self, backend: BackendId) -> bool {
         self.dispatcher.state().endpoints.is_known(backend)
     }
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -1,8 +1,9 @@
 //! The open requests and their final responses.
 //!
-//! Guarantees each accepted request exactly one final response: the sending end of
-//! its channel lives in [`OpenRequests`] and is consumed when the request is closed.
+//! Guarantees each accepted request exactly one final response: [`OpenRequests`] owns the sender of the
+//! request's channel, and closing the request consumes the sender.
 
+use super::attempts::AttemptNumber;
 use crate::settings::SettingsSnapshot;
 use crate::upstream::forwarded_request::ForwardedRequest;
 use crate::upstream::response_body::BackendResponse;
@@ -15,63 +16,82 @@
 pub enum FinalResponse {
     /// The response of a backend.
     Success(BackendResponse),
-    /// Not executed, so that a retry is harmless; with the `Retry-After` in seconds, if there is one.
+    /// The request was not executed, so that a retry is harmless. Contains the `Retry-After` in seconds,
+    /// if the client is given one.
     Rejected(Option<Time>),
-    /// It may have been executed.
+    /// The request may have been executed.
     Failed,
 }
 
 /// A request without a final response.
 pub(super) struct OpenRequest {
-    /// The id that the client gave it.
+    /// The id that the client gave the request.
     pub(super) client_id: u64,
-    /// Where the final response goes.
+    /// Sends the final response to the client's connection.
     pub(super) response: oneshot::Sender<FinalResponse>,
-    /// What attempts send.
+    /// The request in the form in which attempts send it.
     pub(super) forwarded: Rc<ForwardedRequest>,
-    /// When it must have its final response; infinite while its body is being received.
+    /// The time by which the request must have its final response, in seconds of the proxy's clock;
+    /// infinite while the body is still being received.
     pub(super) deadline: Time,
-    /// The time that it has once its body is complete, in seconds.
+    /// The time from the complete body to the deadline, in seconds.
     pub(super) timeout: Time,
-    /// Number of attempts sent so far.
+    /// The number of attempts sent so far.
     pub(super) attempts_sent: usize,
-    /// The settings in force when it arrived, which apply to it until its end.
+    /// The settings in force when the request arrived, which apply to the request until its end.
     pub(super) settings: Rc<SettingsSnapshot>,
 }
 
 impl OpenRequest {
-    /// Whether the settings allow another attempt.
+    /// Returns whether the settings allow another attempt.
     pub(super) fn has_attempt_left(&self) -> bool {
         self.attempts_sent < self.settings.balancer.max_attempts
     }
 
     /// Counts an attempt, and returns its number.
-    pub(super) fn next_attempt(&mut self) -> usize {
-        let number = self.attempts_sent;
+    pub(super) fn count_attempt(&mut self) -> AttemptNumber {
+        let number = AttemptNumber(self.attempts_sent);
         self.attempts_sent += 1;
         number
     }
 
-    /// When an attempt sent `now` times out: after `timeout` seconds, but not after the request. A
-    /// timeout of 0 means that of the request, which is infinite while its body is being received.
-    pub(super) fn attempt_deadline(&self, now: Time, timeout: Time) -> Time {
-        if timeout == 0.0 { self.deadline } else { (now + timeout).min(self.deadline) }
+    /// Returns the numbers of the attempts sent so far.
+    pub(super) fn sent_attempt_numbers(&self) -> impl Iterator<Item = AttemptNumber> + use<> {
+        (0..self.attempts_sent).map(AttemptNumber)
+    }
+
+    /// Returns the deadline of an attempt that is sent `now`: `timeout` seconds later, but not after the
+    /// deadline of the request. Without a timeout, the deadline of the request applies, which is infinite
+    /// while the body is still being received.
+    pub(super) fn attempt_deadline(&self, now: Time, timeout: Option<Time>) -> Time {
+        timeout.map_or(self.deadline, |timeout| (now + timeout).min(self.deadline))
+    }
+
+    /// Returns the time by which the backend must have responded to an attempt that is sent `now` with
+    /// this deadline. An attempt without a deadline, as the body is still being received, leaves the
+    /// backend the time that starts once the body is complete.
+    pub(super) fn response_deadline(&self, attempt_deadline: Time, now: Time) -> Time {
+        if attempt_deadline.is_finite() { attempt_deadline } else { now + self.timeout }
     }
 }
 
 /// All requests without a final response.
 pub(super) struct OpenRequests {
-    /// By an id that is never used twice: a client may use its own id again while an attempt of the
-    /// earlier request, which has its final response, is still running.
+    /// The requests by the ids that the engine assigned, each of which is used once. The ids of clients
+    /// do not identify requests: a client may use its id again while an attempt of the earlier request,
+    /// which has its final response, is still running.
     by_id: HashMap<RequestId, OpenRequest>,
-    /// The client's ids of the open requests.
+    /// The ids that clients gave the open requests.
     client_ids: HashSet<u64>,
+    /// The id that was assigned last; 0 if none was assigned.
     last_id: u64,
-    /// When all requests must have their final responses because the process ends.
+    /// The time by which all requests must have their final responses because the process ends, in seconds
+    /// of the proxy's clock; infinite before a shutdown.
     shutdown_deadline: Time,
 }
 
 impl OpenRequests {
+    /// Creates an empty set of requests.
     pub(super) fn new() -> Self {
         Self {
             by_id: HashMap::new(),
@@ -81,33 +101,38 @@
         }
     }
 
-    /// An id that no request has had.
+    /// Returns an id that no request has had.
     pub(super) fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
     }
 
+    /// Returns the number of open requests.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
+    /// Returns whether a request is open.
     pub(super) fn contains(&self, id: RequestId) -> bool {
         self.by_id.contains_key(&id)
     }
 
+    /// Returns whether a request to which its client gave this id is open.
     pub(super) fn is_client_id_in_use(&self, client_id: u64) -> bool {
         self.client_ids.contains(&client_id)
     }
 
+    /// Returns a request, or `None` if it is not open.
     pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.by_id.get(&id)
     }
 
+    /// Returns a request for changes, or `None` if it is not open.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.by_id.get_mut(&id)
     }
 
-    /// Adds a request. Its deadline is brought forward to the end of the process, and returned.
+    /// Adds a request whose deadline is, at the latest, that of the shutdown. Returns the deadline.
     pub(super) fn insert(&mut self, id: RequestId, mut request: OpenRequest) -> Time {
         request.deadline = request.deadline.min(self.shutdown_deadline);
         let deadline = request.deadline;
@@ -116,14 +141,15 @@
         deadline
     }
 
-    /// Starts the timeout of a request whose body is complete `now`; `None` if it is not open.
+    /// Starts the timeout of a request whose body is complete `now`, and returns the request, or `None` if
+    /// it is not open.
     pub(super) fn start_timeout(&mut self, id: RequestId, now: Time) -> Option<&OpenRequest> {
         let request = self.by_id.get_mut(&id)?;
         request.deadline = (now + request.timeout).min(self.shutdown_deadline);
         Some(request)
     }
 
-    /// Sets when the process ends, and returns the requests whose deadlines are brought forward by it.
+    /// Sets the deadline of the shutdown, and returns the requests whose deadlines it brings forward.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Time) -> Vec<RequestId> {
         self.shutdown_deadline = deadline;
         let mut brought_forward = Vec::new();
@@ -136,19 +162,20 @@
         brought_forward
     }
 
-    /// The longest deadline of all settings that open requests arrived under, in seconds; 0 if none is open.
+    /// Returns the longest deadline of any class, in seconds, in all settings under which open requests
+    /// arrived; 0 if no request is open.
     pub(super) fn longest_class_deadline(&self) -> Time {
         self.by_id.values().map(|request| request.settings.longest_deadline()).fold(0.0, Time::max)
     }
 
-    /// Closes a request without a final response, as its client has disconnected. Returns whether it
-    /// was open.
+    /// Closes a request without a final response, as its client has disconnected. Returns whether the
+    /// request was open.
     pub(super) fn abandon(&mut self, id: RequestId) -> bool {
         self.close(id).is_some()
     }
 
-    /// Closes a request with its final response. Returns whether it was open; otherwise the response
-    /// is dropped.
+    /// Closes a request with its final response. Returns whether the request was open; otherwise the
+    /// response is dropped.
     pub(super) fn respond(&mut self, id: RequestId, response: FinalResponse) -> bool {
         let Some(request) = self.close(id) else {
             return false;
@@ -164,3 +191,6 @@
         Some(request)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/engine/scheduling_lag.rs
+++ b/crates/balancer-proxy/src/engine/scheduling_lag.rs
@@ -1,26 +1,29 @@
-//! How late this process runs what is due: an estimate of how long a request waited to be read.
+//! How late this process expires its timers: an estimate of how long a request waited to be read.
 
 use balancer::Time;
 use std::cell::Cell;
 
-/// Upper bound of the estimate, in seconds.
+/// Upper bound on the estimate, in seconds.
 const MAX_LAG_SECS: Time = 0.1;
-/// Factor by which the estimate falls with each round of timers that was less late.
+/// Factor by which a round of timers that expired less late than estimated lowers the estimate.
 const LAG_DECAY: f64 = 0.8;
 
-/// By how many seconds timers have recently expired too late. A request may have waited as long
-/// between its arrival and the moment at which it was read.
-#[derive(Default)]
+/// An estimate, in seconds, of how late timers have recently expired. A request may have waited as long
+/// between its arrival and the moment at which this process read it.
+#[derive(Debug, Default)]
 pub(super) struct SchedulingLag(Cell<Time>);
 
 impl SchedulingLag {
-    /// The current estimate, in seconds.
+    /// Returns the current estimate, in seconds from 0 to [`MAX_LAG_SECS`].
     pub(super) fn get(&self) -> Time {
         self.0.get()
     }
 
-    /// Records a round of timers, the latest of which expired `lateness` seconds after it was due.
+    /// Records a round of timers, of which the most belated one expired `lateness` seconds too late.
     pub(super) fn record(&self, lateness: Time) {
         self.0.set(lateness.max(LAG_DECAY * self.0.get()).min(MAX_LAG_SECS));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/engine/state.rs
+++ b/crates/balancer-proxy/src/engine/state.rs
@@ -1,8 +1,8 @@
 //! The state of the engine, and how requests and attempts end.
 //!
 //! Owns the decision module with its pending events, the open requests, the running attempts and the
-//! backends. Whatever ends an attempt comes here, so that the module is notified of it once, and the
-//! client of a request gets the first response.
+//! backends. Each end of an attempt passes through [`State`], so that the module is notified of the end
+//! once, and the client of a request gets the first response.
 
 use super::attempts::{AttemptId, RunningAttempts, WriteProgress};
 use super::decisions::Decisions;
@@ -12,7 +12,7 @@
 use crate::upstream::attempt::AttemptResult;
 use balancer::{BackendId, EndedAttempt, Event, Outcome, RequestId, Settings};
 
-/// What events and actions change.
+/// The state that events and actions change.
 pub(super) struct State {
     clock: Clock,
     pub(super) decisions: Decisions,
@@ -22,6 +22,8 @@
 }
 
 impl State {
+    /// Creates the state without requests and backends. At most `max_backend_connections` connections
+    /// to backends will be open at once.
     pub(super) fn new(clock: Clock, seed: u64, settings: Settings, max_backend_connections: usize) -> Self {
         Self {
             clock,
@@ -32,8 +34,8 @@
         }
     }
 
-    /// Ends an attempt, unless it has ended before: notifies the module, and gives the client the
-    /// response if it is the first one.
+    /// Ends an attempt, unless the attempt has ended before: notifies the module, and gives the client
+    /// the response if this is the first one of the request.
     pub(super) fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(sent) = self.attempts.remove(id) else {
             return;
@@ -47,7 +49,7 @@
         self.decisions.push(Event::AttemptEnded(EndedAttempt {
             id: id.request,
             backend: sent.backend,
-            attempt: id.number,
+            attempt: id.number.0,
             outcome: result.outcome,
             duration: self.clock.now() - sent.sent_at,
             request_finished: !self.requests.contains(id.request),
@@ -55,7 +57,7 @@
         }));
     }
 
-    /// Notifies the module that an attempt which it asked for was not sent.
+    /// Notifies the module that an attempt for which it asked was not sent.
     pub(super) fn report_not_sent(&mut self, id: RequestId, backend: BackendId) {
         self.decisions.push(Event::AttemptEnded(EndedAttempt {
             id,
@@ -68,40 +70,42 @@
         }));
     }
 
-    /// Aborts an attempt.
+    /// Aborts an attempt, unless the attempt has ended before.
     pub(super) fn cancel(&mut self, id: AttemptId) {
         match self.attempts.write_progress(id) {
             Some(WriteProgress::Incomplete) => self.abort(id, Outcome::NotSent),
             Some(WriteProgress::Complete) => self.abort(id, Outcome::Cancelled),
-            None => {} // it has ended before
+            None => {}
         }
     }
 
-    /// Aborts an attempt that has not been written completely; any other goes on.
+    /// Aborts an attempt that has not been written completely; any other attempt goes on.
     pub(super) fn withdraw(&mut self, id: AttemptId) {
         if self.attempts.write_progress(id) == Some(WriteProgress::Incomplete) {
             self.abort(id, Outcome::NotSent);
         }
     }
 
-    /// Aborts an attempt that has not been written completely in time; any other goes on.
-    pub(super) fn write_deadline_expired(&mut self, id: AttemptId) {
+    /// Aborts an attempt that has not been written completely by its write deadline, which passes now;
+    /// any other attempt goes on.
+    pub(super) fn expire_write_deadline(&mut self, id: AttemptId) {
         if self.attempts.write_progress(id) == Some(WriteProgress::Incomplete) {
             self.abort(id, Outcome::NoConnection);
         }
     }
 
-    /// Aborts an attempt that has no response in time.
-    pub(super) fn attempt_deadline_expired(&mut self, id: AttemptId) {
+    /// Aborts an attempt that is still running at its deadline, which passes now.
+    pub(super) fn expire_attempt_deadline(&mut self, id: AttemptId) {
         match self.attempts.write_progress(id) {
             Some(WriteProgress::Incomplete) => self.abort(id, Outcome::NoConnection),
             Some(WriteProgress::Complete) => self.abort(id, Outcome::Timeout),
-            None => {} // it has ended before
+            None => {}
         }
     }
 
-    /// Fails a request that the module has not decided on in time, so that its client gets a response.
-    pub(super) fn request_deadline_expired(&mut self, id: RequestId) {
+    /// Fails a request that is still open at its deadline, which passes now. The module has not decided
+    /// in time, and learns of the end as if the client had disconnected.
+    pub(super) fn expire_request_deadline(&mut self, id: RequestId) {
         if self.requests.respond(id, FinalResponse::Failed) {
             self.decisions.push(Event::ClientDisconnected(id));
         }
--- a/crates/balancer-proxy/src/engine/timers.rs
+++ b/crates/balancer-proxy/src/engine/timers.rs
@@ -1,7 +1,7 @@
 //! The timers of the engine, in the order in which they are due.
 //!
-//! Owns the queue and the wait for the first of them. Timers are never cancelled: the request or
-//! attempt of one that expires may have ended before.
+//! Owns the queue of timers and the wait for the first one. Timers are never cancelled: when a timer
+//! expires, its request or attempt may have ended before.
 
 use super::attempts::AttemptId;
 use crate::clock::Clock;
@@ -11,12 +11,13 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// What expires.
+/// The event that a timer stands for.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Timer {
     /// A timer of the decision module, with its token.
     Decision(TimerToken),
-    /// The time by which an attempt's request must be written completely; afterwards it never may be.
+    /// The time by which an attempt's request must be written completely; its last byte is never
+    /// written later.
     WriteDeadline(AttemptId),
     /// The time by which an attempt must have its response.
     AttemptDeadline(AttemptId),
@@ -24,10 +25,13 @@
     RequestDeadline(RequestId),
 }
 
-/// A timer and when it is due. Timers due at the same time are in the order in which they were set.
+/// A timer with the time at which it is due. Timers due at the same time are in the order in which they
+/// were set.
 #[derive(Debug)]
 pub(super) struct ScheduledTimer {
+    /// The time at which the timer is due, in seconds of the proxy's clock.
     pub(super) due: Time,
+    /// The number of the timer in the order in which timers were set, from 1.
     sequence: u64,
     pub(super) timer: Timer,
 }
@@ -59,6 +63,7 @@
 }
 
 impl TimerQueue {
+    /// Returns the time at which the first timer is due.
     fn first_due(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse(first)| first.due)
     }
@@ -68,12 +73,12 @@
 #[derive(Default)]
 pub(super) struct Timers {
     queue: RefCell<TimerQueue>,
-    /// Wakes the wait when a timer is set that is due before all others.
+    /// Wakes [`Timers::wait_until_due`] when a timer is set that is due before all others.
     first_changed: Notify,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer that is due at this time of the proxy's clock, in seconds.
     pub(super) fn set(&self, due: Time, timer: Timer) {
         let mut queue = self.queue.borrow_mut();
         let is_first = queue.first_due().is_none_or(|first| due < first);
@@ -85,7 +90,7 @@
         }
     }
 
-    /// Removes and returns the first timer, if it is due.
+    /// Removes and returns the first timer if it is due by `now`.
     pub(super) fn pop_due(&self, now: Time) -> Option<ScheduledTimer> {
         let mut queue = self.queue.borrow_mut();
         queue.first_due().filter(|due| *due <= now)?;
@@ -106,3 +111,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/upstream/attempt.rs
+++ b/crates/balancer-proxy/src/upstream/attempt.rs
@@ -55,8 +55,8 @@
     /// When the engine stops waiting for the response. The backend is sent the time that remains; the
     /// attempt does not end at this time by itself.
     pub response_deadline: Time,
-    /// The last byte of the request is not written after this; infinite if there is no such limit.
-    pub write_deadline: Time,
+    /// The last byte of the request is not written after this, if there is such a limit.
+    pub write_deadline: Option<Time>,
     /// Set once the complete request has been written: from then on a failure may hide a request
     /// that runs, and is reported as a reset. If the attempt is dropped before, it never runs.
     pub written: SharedFlag,
@@ -71,7 +71,7 @@
     let build_request = |final_data: &SharedFlag| request.build(response_deadline - clock.now(), final_data);
     let options = ExchangeContext {
         request_written: written,
-        write_deadline: write_deadline.is_finite().then(|| clock.instant_at(write_deadline)),
+        write_deadline: write_deadline.map(|deadline| clock.instant_at(deadline)),
         metrics: Some(metrics),
     };
     run(&pool, &clock, &build_request, &options).await
--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -64,7 +64,7 @@
         };
         let request = Request { timeout: 20.0, ..Request::default() };
         let id = next_unique_number() as u64;
-        let (id, _response) = engine.submit(id, request, payload).unwrap();
+        let submitted = engine.submit(id, request, payload).unwrap();
         let pause = || tokio::time::sleep(CONDITION_INTERVAL);
         while backend.request_count() == 0 {
             pause().await;
@@ -83,7 +83,7 @@
         }
         assert!(engine.is_backend_known(BackendId(49)), "the one that is listed");
         assert!(engine.is_backend_known(BackendId(1)), "the one with an attempt in flight");
-        engine.client_disconnected(id);
+        engine.abandon(submitted.id);
         while engine.is_backend_known(BackendId(1)) {
             pause().await;
             pauses += 1;
--- a/crates/balancer-proxy/tests/forwarding.rs
+++ b/crates/balancer-proxy/tests/forwarding.rs
@@ -108,7 +108,7 @@
             request: payload.into(),
             clock: Clock::start(),
             response_deadline: 20.0,
-            write_deadline: 20.0,
+            write_deadline: Some(20.0),
             written: SharedFlag::default(),
             metrics,
         });
--- a/crates/balancer-proxy/tests/withheld_last_byte.rs
+++ b/crates/balancer-proxy/tests/withheld_last_byte.rs
@@ -45,7 +45,7 @@
             request: payload.into(),
             clock: Clock::start(),
             response_deadline: 20.0,
-            write_deadline: 20.0,
+            write_deadline: Some(20.0),
             written: written.clone(),
             metrics: metrics.clone(),
         });
