--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -20,11 +20,12 @@
 /// Interval at which a test evaluates a condition of the engine.
 const CONDITION_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Settings of an inner balancer with one class of requests that may be retried at will.
+/// Settings of an inner balancer with one class of requests that may be retried at will. The class allows
+/// a request more time than the test takes, so that an attempt without a response stays in flight.
 fn safe_settings() -> Settings {
     let class = RequestClass {
-        latency_objective: 1.0,
-        max_timeout: 2.0,
+        latency_objective: TEST_TIMEOUT.as_secs_f64(),
+        max_timeout: TEST_TIMEOUT.as_secs_f64(),
         effect: Effect::Safe,
         ..RequestClass::default()
     };
@@ -62,9 +63,9 @@
             headers: [("host".parse().unwrap(), "app.svc".parse().unwrap())].into_iter().collect(),
             body: ForwardedBody::Buffered("".into()),
         };
-        let request = Request { timeout: 20.0, ..Request::default() };
+        let request = Request { timeout: TEST_TIMEOUT.as_secs_f64(), ..Request::default() };
         let id = next_unique_number() as u64;
-        let (id, _response) = engine.submit(id, request, payload).unwrap();
+        let submitted = engine.submit(id, request, payload).unwrap();
         let pause = || tokio::time::sleep(CONDITION_INTERVAL);
         while backend.request_count() == 0 {
             pause().await;
@@ -83,7 +84,7 @@
         }
         assert!(engine.is_backend_known(BackendId(49)), "the one that is listed");
         assert!(engine.is_backend_known(BackendId(1)), "the one with an attempt in flight");
-        engine.client_disconnected(id);
+        engine.abandon(submitted.id);
         while engine.is_backend_known(BackendId(1)) {
             pause().await;
             pauses += 1;
