--- a/crates/fleet-bench/src/added.rs
+++ b/crates/fleet-bench/src/added.rs
@@ -1,4 +1,4 @@
-//! The latency that the real proxy adds to a call, compared with direct calls in the same run.
+//! Measures the latency that the real proxy adds to a call, compared with direct calls in the same run.
 //!
 //! The load is an open loop: a Poisson process is drawn in advance, and the latency of each call counts
 //! from its scheduled start, so that a slow response does not postpone the clock of later calls. Direct
@@ -18,7 +18,7 @@
 
 use crate::budget;
 use crate::error::Error;
-use crate::proxy::program_path;
+use crate::proxy::find_program;
 use crate::report::Report;
 use crate::shutdown::ShutdownSignal;
 use crate::usage::MachineLoad;
@@ -35,7 +35,7 @@
 /// Returns an error if the plan is invalid, the proxy fails, or a signal has arrived.
 pub fn run(args: &Args) -> Result<Report, Error> {
     let plan = Plan::read(args)?;
-    let program = program_path(args.run.program.as_deref())?;
+    let program = find_program(args.run.program.as_deref())?;
     let shutdown = ShutdownSignal::install()?;
     let mut report = Report::new("added", plan.seed, &plan)?;
     let mut tables = Tables::new();
--- a/crates/fleet-bench/src/added/analysis.rs
+++ b/crates/fleet-bench/src/added/analysis.rs
@@ -10,8 +10,9 @@
 
 /// Longer latencies count as this.
 const MAX_LATENCY: Duration = Duration::from_secs(60);
-/// The measured time is also divided into this many equal parts, which shows how steady it was.
-const PARTS: usize = 5;
+/// Number of equal parts of the measured time; the added latency of each part shows how steady the run
+/// was.
+const SEGMENTS: usize = 5;
 /// The quantile to which the budget applies.
 const BUDGET_QUANTILE: f64 = 0.99;
 
@@ -27,14 +28,14 @@
 
 /// The lowest and highest latency added in a part of the measured time, in milliseconds at the 99th
 /// percentile.
-pub struct PartRange {
+pub struct SegmentRange {
     /// The lowest.
     pub min_ms: f64,
     /// The highest.
     pub max_ms: f64,
 }
 
-/// What the proxy used for each call, in microseconds.
+/// Cost of a proxied call at the proxy, in microseconds.
 pub struct ProxyCost {
     /// Processor time.
     pub processor_us: f64,
@@ -48,13 +49,13 @@
     pub direct: RouteLatencies,
     /// Proxied calls.
     pub proxied: RouteLatencies,
-    /// How much the added latency varies over the measured time.
-    pub part_range: PartRange,
-    /// How late the generator began its calls, at the 99th percentile.
+    /// Range of the added latency over the measured time.
+    pub segment_range: SegmentRange,
+    /// Delay of the generator in beginning its calls, in milliseconds at the 99th percentile.
     pub generator_delay_ms: f64,
     /// The fraction of the calls that waited for a caller.
     pub queued_fraction: f64,
-    /// What the proxy used.
+    /// Cost of a proxied call at the proxy.
     pub proxy_cost: ProxyCost,
     /// The fraction of the time in which a task of the machine waited for a processor.
     pub machine_stalled: f64,
@@ -75,7 +76,7 @@
         Ok(Self {
             direct: RouteLatencies::of(&samples, Route::Direct)?,
             proxied: RouteLatencies::of(&samples, Route::Proxied)?,
-            part_range: PartRange::of(&samples, load.seconds)?,
+            segment_range: SegmentRange::of(&samples, load.seconds)?,
             generator_delay_ms: generator_delays.quantile_ms(BUDGET_QUANTILE),
             queued_fraction: queued as f64 / samples.len() as f64,
             proxy_cost,
@@ -83,7 +84,7 @@
         })
     }
 
-    /// The added latency at a quantile, in milliseconds: the difference of the two routes.
+    /// Returns the added latency at a quantile, in milliseconds: the difference of the two routes.
     #[must_use]
     pub fn added_ms(&self, quantile: f64) -> f64 {
         self.proxied.latencies.quantile_ms(quantile) - self.direct.latencies.quantile_ms(quantile)
@@ -110,18 +111,19 @@
     }
 }
 
-impl PartRange {
+impl SegmentRange {
     fn of(samples: &[CallSample], seconds: f64) -> Result<Self, Error> {
         let mut added_ms = Vec::new();
-        for part in 0..PARTS {
+        for segment in 0..SEGMENTS {
             let quantile_ms = |route: Route| -> Result<f64, Error> {
-                let of_part = of_route(samples, route).filter(|sample| part_of(sample, seconds) == part);
-                Ok(histogram(of_part.filter_map(|sample| sample.latency))?.quantile_ms(BUDGET_QUANTILE))
+                let of_segment =
+                    of_route(samples, route).filter(|sample| segment_of(sample, seconds) == segment);
+                Ok(histogram(of_segment.filter_map(|sample| sample.latency))?.quantile_ms(BUDGET_QUANTILE))
             };
             added_ms.push(quantile_ms(Route::Proxied)? - quantile_ms(Route::Direct)?);
         }
         added_ms.sort_by(f64::total_cmp);
-        Ok(Self { min_ms: added_ms[0], max_ms: added_ms[PARTS - 1] })
+        Ok(Self { min_ms: added_ms[0], max_ms: added_ms[SEGMENTS - 1] })
     }
 }
 
@@ -143,10 +145,10 @@
     samples.iter().filter(move |sample| sample.call.route == route)
 }
 
-/// The part of the measured time in which a call was to begin.
-fn part_of(sample: &CallSample, seconds: f64) -> usize {
+/// Returns the index of the part of the measured time in which a call was scheduled.
+fn segment_of(sample: &CallSample, seconds: f64) -> usize {
     let fraction = (sample.call.at.as_secs_f64() - WARM_UP_SECONDS) / seconds;
-    ((fraction * PARTS as f64) as usize).min(PARTS - 1)
+    ((fraction * SEGMENTS as f64) as usize).min(SEGMENTS - 1)
 }
 
 fn histogram(latencies: impl Iterator<Item = Duration>) -> Result<LatencyHistogram, Error> {
--- a/crates/fleet-bench/src/added/bench.rs
+++ b/crates/fleet-bench/src/added/bench.rs
@@ -1,13 +1,13 @@
-//! A proxy with its list, in front of backends that respond at once.
+//! A real proxy with its endpoint list, in front of stub backends.
 
 use super::load::{CALLERS, CallSample, Caller, Schedule, WARM_UP_SECONDS, draw_calls};
 use super::plan::LoadPlan;
 use crate::address::{self, AddressRole};
 use crate::backend::Backends;
 use crate::discovery::{Change, Discovery};
-use crate::draw::{arrivals, derive_seed};
+use crate::draw::{derive_seed, draw_arrivals};
 use crate::error::Error;
-use crate::instance::{InstanceList, instances_at};
+use crate::instance::{InstanceList, create_instances};
 use crate::proxy::{ProxyConfig, ProxyOptions, ProxyProcess, RegistryMode};
 use crate::shutdown::ShutdownSignal;
 use crate::usage::{MachineLoad, ProcessUsage};
@@ -16,24 +16,24 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Backends that run. The entries of the list share their addresses in turn, as a proxy sends to few
-/// entries of its list, whatever its size.
+/// Maximum number of stub backends. The entries of the list share the addresses of the backends in turn,
+/// as a proxy sends to few entries of a list, whatever the size of the list.
 const BACKENDS: usize = 8;
 
-/// A proxy with its list, in front of backends that respond at once.
+/// A real proxy with its endpoint list, in front of stub backends that respond at once.
 pub struct Bench<'a> {
     shutdown: &'a ShutdownSignal,
     listed: usize,
     rng: SmallRng,
-    // Fields are dropped in this order: the proxy ends before the servers that it calls.
+    // Fields are dropped in this order: the proxy ends before the servers.
     proxy: ProxyProcess,
     discovery: Discovery,
     backends: Backends,
 }
 
-/// What one load has shown.
+/// Samples and usage of one load.
 pub struct LoadResult {
-    /// The calls, those of the warm-up too.
+    /// Samples of all calls, the calls of the warm-up included.
     pub samples: Vec<CallSample>,
     /// The usage of the proxy before the load.
     pub usage_before: ProcessUsage,
@@ -44,11 +44,11 @@
 }
 
 impl<'a> Bench<'a> {
-    /// Starts the servers and the proxy, and waits until that is ready.
+    /// Starts the servers and the proxy, and waits until the proxy is ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if one of them does not start, and [`Error::Interrupted`] once a signal has
+    /// Returns an error if a server or the proxy does not start, and [`Error::Interrupted`] once a signal has
     /// arrived.
     pub fn start(
         seed: u64,
@@ -57,7 +57,7 @@
         listed: usize,
     ) -> Result<Self, Error> {
         let backends = Backends::start(BACKENDS.min(listed))?;
-        let instances = instances_at(backends.addresses().iter().copied().cycle().take(listed));
+        let instances = create_instances(backends.addresses().iter().copied().cycle().take(listed));
         let discovery = Discovery::start(instances.clone(), 1)?;
         let mut proxy = ProxyProcess::spawn(&ProxyOptions {
             program,
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::NoBackendRequests`] if they have not responded to any request.
+    /// Returns [`Error::NoBackendRequests`] if no backend has responded to a request.
     pub fn check_backends(&self) -> Result<(), Error> {
         if self.backends.responses() == 0 { Err(Error::NoBackendRequests) } else { Ok(()) }
     }
@@ -104,7 +104,7 @@
     fn run_load(&mut self, load: LoadPlan) -> Result<Vec<CallSample>, Error> {
         let seconds = WARM_UP_SECONDS + load.seconds;
         let calls = draw_calls(&mut self.rng, load.rate, seconds);
-        let changes = arrivals(&mut self.rng, load.changes, seconds);
+        let changes = draw_arrivals(&mut self.rng, load.changes, seconds);
         let shutdown = self.shutdown;
         let proxy = self.proxy.listen();
         let backends = self.backends.addresses().to_vec();
--- a/crates/fleet-bench/src/added/connection.rs
+++ b/crates/fleet-bench/src/added/connection.rs
@@ -11,7 +11,7 @@
 const MAX_HEADERS: usize = 32;
 const STATUS_OK: u16 = 200;
 
-/// A persistent connection to one server, opened again when the server has closed it.
+/// A persistent connection to one server, opened again after the server has closed the connection.
 pub struct Connection {
     server: SocketAddr,
     stream: Option<TcpStream>,
@@ -28,7 +28,7 @@
         Ok(Self { server, stream: Some(connect(server)?), buffer: Vec::new() })
     }
 
-    /// Makes a call and returns whether its response was 200.
+    /// Makes a call and returns whether the status of its response was 200.
     pub fn call(&mut self, request_id: u64) -> bool {
         self.try_call(request_id).unwrap_or_else(|error| {
             tracing::debug!("{}: {error}", self.server);
@@ -91,7 +91,7 @@
 }
 
 impl Response {
-    /// Parses a response; `None` if it is not complete.
+    /// Parses a response; returns `None` if the response is not complete.
     fn parse(buffer: &[u8]) -> io::Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
--- a/crates/fleet-bench/src/added/load.rs
+++ b/crates/fleet-bench/src/added/load.rs
@@ -1,7 +1,7 @@
 //! An open-loop load of calls that are made directly or through the proxy.
 
 use super::connection::Connection;
-use crate::draw::arrivals;
+use crate::draw::draw_arrivals;
 use crate::error::Error;
 use crate::shutdown::ShutdownSignal;
 use rand::Rng;
@@ -12,28 +12,28 @@
 
 /// Load ahead of the measured one, in seconds: connections are opened in that time.
 pub const WARM_UP_SECONDS: f64 = 1.5;
-/// Maximum number of calls in flight. A further call waits for a caller, and that counts as a part of
-/// its latency.
+/// Maximum number of calls in flight. A further call waits for a caller, and the wait counts as latency
+/// of the call.
 pub const CALLERS: usize = 128;
-/// All callers have connected within this time.
+/// Time within which all callers have connected.
 const CONNECT_TIME: Duration = Duration::from_millis(200);
 /// A sleep ends late by some tens of microseconds, so that the last part of a wait is a busy loop.
 const SPIN_TIME: Duration = Duration::from_micros(150);
 
-/// How a call reaches the backend.
+/// Route of a call to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// From the client to the backend.
+    /// The client calls the backend directly.
     Direct,
     /// Through the proxy.
     Proxied,
 }
 
 impl Route {
-    /// Both, in the order of reports.
+    /// All routes, in the order of reports.
     pub const ALL: [Self; 2] = [Self::Direct, Self::Proxied];
 
-    /// The name in reports.
+    /// Returns the name of the route in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -43,29 +43,29 @@
     }
 }
 
-/// A call that is to be made.
+/// A call that is scheduled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledCall {
-    /// When, since the start of the load.
+    /// Time of the call, since the start of the load.
     pub at: Duration,
-    /// How.
+    /// Route of the call.
     pub route: Route,
 }
 
 /// Draws calls of a Poisson process, with `rate` calls per second on each route.
 pub fn draw_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
-    let times = arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
+    let times = draw_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
     let route = |proxied: bool| if proxied { Route::Proxied } else { Route::Direct };
     times.into_iter().map(|at| ScheduledCall { at, route: route(rng.random()) }).collect()
 }
 
-/// What became of one call.
+/// Result of one call.
 #[derive(Clone, Copy, Debug)]
 pub struct CallSample {
     /// The call.
     pub call: ScheduledCall,
-    /// How much later the generator began it through its own fault; `None` if no caller was free in
-    /// time.
+    /// Delay of the generator in beginning the call, if a caller was free in time; `None` if the call
+    /// waited for a caller.
     pub generator_delay: Option<Duration>,
     /// The time from the scheduled start to the response; `None` if the call failed.
     pub latency: Option<Duration>,
@@ -79,13 +79,13 @@
 }
 
 impl Schedule {
-    /// A schedule of these calls, which starts once the callers have had time to connect.
+    /// Creates a schedule of these calls, which starts once the callers have had time to connect.
     #[must_use]
     pub fn start_soon(calls: Vec<ScheduledCall>) -> Self {
         Self { start: Instant::now() + CONNECT_TIME, calls, next: AtomicUsize::new(0) }
     }
 
-    /// Takes the next call, with its number.
+    /// Takes the next call and the number of the call, from 0.
     fn take_next(&self) -> Option<(usize, ScheduledCall)> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         self.calls.get(number).map(|call| (number, *call))
@@ -103,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] if one of them does not accept the connection.
+    /// Returns [`Error::Io`] if the backend or the proxy does not accept the connection.
     pub fn connect(backend: SocketAddr, proxy: SocketAddr) -> Result<Self, Error> {
         Ok(Self { direct: Connection::open(backend)?, proxied: Connection::open(proxy)? })
     }
--- a/crates/fleet-bench/src/added/plan.rs
+++ b/crates/fleet-bench/src/added/plan.rs
@@ -5,19 +5,19 @@
 use crate::plan::{ProxyRunArgs, check_range, check_run_time, override_with};
 use serde::{Deserialize, Serialize};
 
-/// Seconds that a measurement takes beside its load.
+/// Seconds that a measurement takes in addition to its load.
 const OVERHEAD_SECONDS: f64 = 1.0;
 
 /// Arguments of `fleet-bench added`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// What it shares with other commands
+    /// Arguments that the commands with real proxies share
     #[command(flatten)]
     pub run: ProxyRunArgs,
-    /// Calls a second through the proxy; as many are made directly
+    /// Calls per second through the proxy; as many calls are made directly
     #[arg(long, value_delimiter = ',', value_name = "RATE,...")]
     pub rates: Option<Vec<f64>>,
-    /// Changes of the list a second
+    /// Changes of the list per second
     #[arg(long, value_delimiter = ',', value_name = "RATE,...")]
     pub changes: Option<Vec<f64>>,
     /// Seconds for which each rate is measured
@@ -25,19 +25,19 @@
     pub seconds: Option<f64>,
 }
 
-/// What is run.
+/// The plan of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Sizes of the list.
+    /// Sizes of the list, 1 to 20,000 entries.
     pub listed: Vec<usize>,
-    /// Calls per second through the proxy; as many are made directly.
+    /// Calls per second through the proxy, 1 to 10,000; as many calls are made directly.
     pub rates: Vec<f64>,
-    /// Changes of the list per second.
+    /// Changes of the list per second, 0 to 1,000.
     pub changes: Vec<f64>,
-    /// Seconds for which each rate is measured.
+    /// Duration of the measurement of each rate, 0.5 to 600 s.
     pub seconds: f64,
 }
 
@@ -57,11 +57,11 @@
 /// The load of one measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadPlan {
-    /// Calls per second through the proxy; as many are made directly.
+    /// Calls per second through the proxy; as many calls are made directly.
     pub rate: f64,
     /// Changes of the list per second.
     pub changes: f64,
-    /// Seconds that are measured, after the warm-up.
+    /// Duration of the measurement after the warm-up, in seconds.
     pub seconds: f64,
 }
 
@@ -96,7 +96,7 @@
         check_run_time(measurements as f64 * (self.seconds + WARM_UP_SECONDS + OVERHEAD_SECONDS))
     }
 
-    /// The loads that are measured with each list, in this order.
+    /// Returns the loads that are measured with each list, in the order of the run.
     #[must_use]
     pub fn loads(&self) -> Vec<LoadPlan> {
         let mut loads = Vec::new();
--- a/crates/fleet-bench/src/added/tables.rs
+++ b/crates/fleet-bench/src/added/tables.rs
@@ -24,22 +24,22 @@
     "verdict",
 ];
 const CALL_COLUMNS: [&str; 7] = ["calls", "failed", "50%, ms", "90%, ms", "99%, ms", "99.9%, ms", "max, ms"];
-/// Upper limits of the printed histogram's classes, in milliseconds.
-const CLASS_LIMITS_MS: [f64; 14] =
+/// Upper limits of the printed histogram's buckets, in milliseconds.
+const BUCKET_LIMITS_MS: [f64; 14] =
     [0.05, 0.1, 0.2, 0.3, 0.5, 0.72, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 50.0, 5_000.0];
 
 /// The tables of the report.
 pub struct Tables {
-    /// What the proxy adds to a call.
+    /// Added latency, cost and verdict of each measurement.
     added: Table,
     /// The calls of each route.
     calls: Table,
-    /// The calls of each route by their latency.
-    classes: Table,
+    /// Histogram of the latencies of each route.
+    buckets: Table,
 }
 
 impl Tables {
-    /// Empty tables.
+    /// Creates the tables without rows.
     #[must_use]
     pub fn new() -> Self {
         let by_measurement =
@@ -50,10 +50,10 @@
         );
         let mut calls = by_measurement("Calls: latency from the scheduled start", &["route"]);
         calls.columns.extend(CALL_COLUMNS.map(str::to_string));
-        let mut classes =
+        let mut buckets =
             by_measurement("Histogram: % of the calls, by the upper limit of the latency in ms", &["route"]);
-        classes.columns.extend(CLASS_LIMITS_MS.map(|limit| limit.to_string()));
-        Self { added, calls, classes }
+        buckets.columns.extend(BUCKET_LIMITS_MS.map(|limit| limit.to_string()));
+        Self { added, calls, buckets }
     }
 
     /// Adds the rows of one measurement.
@@ -63,14 +63,14 @@
         for calls in [&analysis.direct, &analysis.proxied] {
             let name = || name.iter().cloned().chain([calls.route.name().into()]);
             self.calls.row(name().chain(call_cells(calls)));
-            self.classes.row(name().chain(class_cells(&calls.latencies)));
+            self.buckets.row(name().chain(bucket_cells(&calls.latencies)));
         }
     }
 
-    /// The tables in the order of the report.
+    /// Returns the tables in the order of the report.
     #[must_use]
     pub fn into_tables(self) -> [Table; 3] {
-        [self.added, self.calls, self.classes]
+        [self.added, self.calls, self.buckets]
     }
 }
 
@@ -79,8 +79,8 @@
         analysis.added_ms(0.5).into(),
         analysis.added_ms(0.9).into(),
         analysis.added_ms(0.99).into(),
-        analysis.part_range.min_ms.into(),
-        analysis.part_range.max_ms.into(),
+        analysis.segment_range.min_ms.into(),
+        analysis.segment_range.max_ms.into(),
         analysis.added_ms(0.999).into(),
         (analysis.added_ms(0.99) / budget::ADDED_LATENCY_MS).into(),
         analysis.generator_delay_ms.into(),
@@ -105,11 +105,11 @@
     ]
 }
 
-/// The percentage of the calls in each class.
-fn class_cells(latencies: &LatencyHistogram) -> Vec<Value> {
+/// Returns the percentage of the calls in each class of the histogram.
+fn bucket_cells(latencies: &LatencyHistogram) -> Vec<Value> {
     let mut cells = Vec::new();
     let mut low_us = 0;
-    for limit_ms in CLASS_LIMITS_MS {
+    for limit_ms in BUCKET_LIMITS_MS {
         let high_us = (1e3 * limit_ms) as u64;
         let count = latencies.count_between_us(low_us, high_us);
         cells.push((100.0 * count as f64 / latencies.len() as f64).into());
--- a/crates/fleet-bench/src/added/verdict.rs
+++ b/crates/fleet-bench/src/added/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether the added latency is within its budget.
+//! Compares the added latency with its budget.
 
 use crate::budget;
 
@@ -8,10 +8,10 @@
 /// More calls than this fraction wait for a caller only if calls pile up.
 const MAX_QUEUED_FRACTION: f64 = 0.01;
 
-/// What is known of the 99th percentiles of one measurement.
+/// Figures of one measurement that decide the verdict; latencies and delays are 99th percentiles.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// How late the generator began its calls, in milliseconds.
+    /// Delay of the generator in beginning its calls, in milliseconds.
     pub generator_delay_ms: f64,
     /// The fraction of the calls that waited for a caller.
     pub queued_fraction: f64,
@@ -35,7 +35,7 @@
 }
 
 impl Verdict {
-    /// The text in reports.
+    /// Returns the text of the verdict in reports.
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
@@ -49,7 +49,7 @@
 
 impl Observation {
     /// Compares the added latency with the budget. Calls that pile up are a fault of the proxy, also
-    /// where they delay direct calls; a late generator is a fault of the machine.
+    /// where the piled-up calls delay direct calls; a late generator is a fault of the machine.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         if self.generator_delay_ms > MAX_GENERATOR_DELAY_FRACTION * budget::ADDED_LATENCY_MS {
--- a/crates/fleet-bench/src/backend.rs
+++ b/crates/fleet-bench/src/backend.rs
@@ -18,7 +18,7 @@
 /// Backoff after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Backends that run on a thread of their own until they are dropped.
+/// Backends that run on their own thread until the value is dropped.
 pub struct Backends {
     addresses: Vec<SocketAddr>,
     responses: Arc<AtomicU64>,
@@ -44,13 +44,13 @@
         Ok(Self { addresses, responses, _runtime: runtime })
     }
 
-    /// The addresses on which they listen.
+    /// Returns the addresses on which the backends listen.
     #[must_use]
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// The number of responses by all backends.
+    /// Returns the number of responses of all backends together.
     #[must_use]
     pub fn responses(&self) -> u64 {
         self.responses.load(Ordering::Relaxed)
@@ -71,7 +71,7 @@
                 continue;
             }
         };
-        let _ = stream.set_nodelay(true); // without it the connection is only slower
+        let _ = stream.set_nodelay(true); // a failure makes the connection slower only
         let responses = responses.clone();
         tokio::spawn(async move {
             if let Err(error) = serve_connection(&mut stream, &responses).await {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Responds to the requests of one connection until it ends.
+/// Responds to the requests of one connection until the connection ends.
 async fn serve_connection(stream: &mut TcpStream, responses: &AtomicU64) -> io::Result<()> {
     let mut buffer = Vec::new();
     while let Some(head) = RequestHead::read(stream, &mut buffer).await? {
@@ -91,7 +91,7 @@
             }
         }
         buffer.drain(..head.body_bytes);
-        // Counted before the write, so that a client that has the response finds it counted.
+        // Counted before the write, so that a response which a client has read is counted already.
         responses.fetch_add(1, Ordering::Relaxed);
         stream.write_all(if head.has_request_id { OK_RESPONSE } else { NOT_FOUND_RESPONSE }).await?;
     }
--- a/crates/fleet-bench/src/background.rs
+++ b/crates/fleet-bench/src/background.rs
@@ -1,18 +1,18 @@
-//! Servers that run on a thread of their own.
+//! Servers that run on their own thread.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// A thread with its own runtime. Dropping it ends the tasks on that runtime and joins the thread.
+/// A thread with its own runtime. Dropping the value ends the tasks on the runtime and joins the thread.
 pub struct BackgroundRuntime {
     stop_sender: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl BackgroundRuntime {
-    /// Starts a thread and calls `spawn_tasks` in the context of its runtime.
+    /// Starts a thread and calls `spawn_tasks` in the context of the runtime of the thread.
     ///
     /// # Errors
     ///
--- a/crates/fleet-bench/src/budget.rs
+++ b/crates/fleet-bench/src/budget.rs
@@ -1,4 +1,4 @@
-//! What the operators allow each proxy to cost.
+//! Budgets of the operators for the cost of each proxy.
 
 /// Processor time for the control plane, as a fraction of a core.
 pub const CONTROL_CORES: f64 = 0.01;
--- a/crates/fleet-bench/src/control.rs
+++ b/crates/fleet-bench/src/control.rs
@@ -1,5 +1,5 @@
-//! Real proxies against a stub discovery server: what it costs to keep a list up to date, how soon a
-//! change is in force, and what discovery receives after an outage.
+//! Real proxies against a stub discovery server: the cost of an up-to-date list, the time until a change
+//! is in force, and the polls that discovery receives after an outage.
 //!
 //! Bytes are those of polls and responses, heads and bodies, without the overhead of TCP.
 
@@ -12,13 +12,13 @@
 pub use plan::{Args, GroupSize, Outage, Plan};
 
 use crate::error::Error;
-use crate::proxy::program_path;
+use crate::proxy::find_program;
 use crate::report::{Report, Table};
 use crate::rollout;
 use crate::shutdown::ShutdownSignal;
 use crate::usage::MachineLoad;
 use group::ProxyGroup;
-use list_changes::{ListShare, MIN_CHANGES_PER_WINDOW};
+use list_changes::{ListChangeRates, MIN_CHANGES_PER_WINDOW};
 use std::path::Path;
 
 /// Runs the command.
@@ -28,7 +28,7 @@
 /// Returns an error if the plan is invalid, a proxy fails, or a signal has arrived.
 pub fn run(args: &Args) -> Result<Report, Error> {
     let plan = Plan::read(args)?;
-    let program = program_path(args.run.program.as_deref())?;
+    let program = find_program(args.run.program.as_deref())?;
     let shutdown = ShutdownSignal::install()?;
     let mut report = Report::new("control", plan.seed, &plan)?;
     let load_at_start = MachineLoad::now()?;
@@ -61,7 +61,7 @@
         }
         report.notes.extend(group.check_listed()?);
     }
-    report.tables.extend([share_table(&plan.listed), costs, recoveries]);
+    report.tables.extend([list_rates_table(&plan.listed), costs, recoveries]);
     report.notes.push(format!(
         "A window has at least {MIN_CHANGES_PER_WINDOW} changes. Where the rate of the fleet gives fewer, \
          polls, bytes and core of the row `fleet` are interpolated between the window without changes and \
@@ -75,18 +75,18 @@
     Ok(())
 }
 
-fn share_table(listed: &[usize]) -> Table {
+fn list_rates_table(listed: &[usize]) -> Table {
     let mut table = Table::new(
         "Changes of one list at the rates of the fleet, by the size of the list",
         &["listed", "restarts/day", "configurations/day", "changes/s"],
     );
     for &listed in listed {
-        let share = ListShare::of(listed);
+        let rates = ListChangeRates::of(listed);
         table.row([
             listed.into(),
-            share.restarts_per_day.into(),
-            share.configurations_per_day.into(),
-            share.changes_per_second().into(),
+            rates.restarts_per_day.into(),
+            rates.configurations_per_day.into(),
+            rates.changes_per_second().into(),
         ]);
     }
     table
--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -1,7 +1,7 @@
-//! What it costs a proxy to keep its list up to date, measured in windows of constant change rates.
+//! Measures the cost of an up-to-date list for a proxy, in windows of constant change rates.
 
 use super::group::{HEAD_COLUMNS, ProxyGroup, Snapshot};
-use super::list_changes::ListShare;
+use super::list_changes::ListChangeRates;
 use super::plan::{ACKNOWLEDGEMENT_TIMEOUT, Plan};
 use crate::budget;
 use crate::discovery::{PollCounts, PropagationLatency};
@@ -10,7 +10,7 @@
 use crate::usage::ProcessUsage;
 use std::time::Duration;
 
-/// From this fraction of a core on, the discovery server itself may limit what is measured.
+/// Fraction of a core from which on the discovery server itself may limit the measured rates.
 const SERVER_BUSY_CORES: f64 = 0.8;
 
 const COLUMNS: [&str; 16] = [
@@ -32,7 +32,7 @@
     "machine stalled, %",
 ];
 
-/// An empty table for [`measure_rates`].
+/// Returns an empty table for [`measure_rates`].
 #[must_use]
 pub fn table() -> Table {
     let mut table = Table::new(
@@ -55,7 +55,7 @@
     table: &mut Table,
     notes: &mut Vec<String>,
 ) -> Result<(), Error> {
-    let fleet_rate = ListShare::of(group.size.listed).changes_per_second();
+    let fleet_rate = ListChangeRates::of(group.size.listed).changes_per_second();
     let idle = measure_window(group, 0.0, plan.window, notes)?;
     let at_fleet_rate = measure_window(group, fleet_rate, plan.window, notes)?;
     let fleet = idle.interpolate(&at_fleet_rate, fleet_rate);
@@ -76,7 +76,7 @@
     seconds: f64,
     notes: &mut Vec<String>,
 ) -> Result<Costs, Error> {
-    let times = group.changes.times(rate, seconds);
+    let times = group.changes.draw_times(rate, seconds);
     drop(group.discovery.take_propagation()?);
     let before = group.snapshot()?;
     group.publish_at(&times)?;
@@ -120,7 +120,7 @@
     }
 }
 
-/// What one window has shown, for each proxy.
+/// Costs of each proxy in one window.
 #[derive(Clone, Copy)]
 struct Costs {
     changes_per_second: f64,
@@ -129,7 +129,7 @@
     bytes_per_second: f64,
     /// Processor time as a fraction of a core, on average.
     mean_cores: f64,
-    /// The same at the proxy with the highest one.
+    /// Processor time of the proxy with the highest, as a fraction of a core.
     max_cores: f64,
     /// Resident memory of the proxy with the most.
     max_resident_bytes: f64,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// The costs at a lower rate than `other` had: those at rest, which are `self`, and in proportion
-    /// what the changes of `other` added.
+    /// Returns the costs at a rate below that of `other`, by linear interpolation between the costs
+    /// without changes, which are `self`, and the costs of `other`.
     fn interpolate(&self, other: &Self, rate: f64) -> Self {
         let fraction = (rate / other.changes_per_second).min(1.0);
         let between = |idle: f64, other: f64| idle + fraction * (other - idle);
--- a/crates/fleet-bench/src/control/group.rs
+++ b/crates/fleet-bench/src/control/group.rs
@@ -1,4 +1,4 @@
-//! A list with the proxies that have it.
+//! A group of real proxies that have the same endpoint list.
 
 use super::list_changes::ChangeGenerator;
 use super::plan::GroupSize;
@@ -6,7 +6,7 @@
 use crate::discovery::{Discovery, PollCounts};
 use crate::draw::derive_seed;
 use crate::error::Error;
-use crate::instance::{Instance, InstanceList, instances_at};
+use crate::instance::{Instance, InstanceList, create_instances};
 use crate::proxy::{ProxyConfig, ProxyOptions, ProxyProcess};
 use crate::report::Value;
 use crate::shutdown::ShutdownSignal;
@@ -14,37 +14,38 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// All proxies have polled for the first time within this: in the registry mode `subscribe` they
-/// spread the first poll over 5 s.
+/// Time within which all proxies have polled for the first time. In the registry mode `subscribe` the
+/// proxies spread the first poll over 5 s.
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(20);
 const FIRST_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Idle time between the first polls and the first window.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 const ACKNOWLEDGEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Numbers of proxies are below this, so that each group has its own seed.
+/// Multiplier of the list size in the number of a group. Groups have fewer proxies than this, so that
+/// each group has its own seed.
 const GROUP_SEED_STRIDE: usize = 1_000;
 
 /// The names of the columns of [`ProxyGroup::row_head`].
 pub const HEAD_COLUMNS: [&str; 3] = ["listed", "proxies", "mode"];
 
-/// A list with the proxies that have it.
+/// A group of real proxies that have the same endpoint list, and their discovery server.
 pub struct ProxyGroup<'a> {
-    /// Its size.
+    /// Size of the list and of the group.
     pub size: GroupSize,
     /// Interrupts all waits.
     pub shutdown: &'a ShutdownSignal,
-    // Fields are dropped in this order: the proxies end before the server that they poll.
+    // Fields are dropped in this order: the proxies end before the discovery server.
     /// The proxies.
     pub proxies: Vec<ProxyProcess>,
-    /// The server that they poll.
+    /// The discovery server that the proxies poll.
     pub discovery: Discovery,
     /// Draws the changes of the list.
     pub changes: ChangeGenerator,
 }
 
-/// What the group, its server and the machine have used, at one time.
+/// Usage of the proxies, of their discovery server and of the machine at one time.
 pub struct Snapshot {
-    /// When the usage was read.
+    /// Time at which the usage was read.
     pub at: Instant,
     /// The usage of each proxy.
     pub usages: Vec<ProcessUsage>,
@@ -70,7 +71,7 @@
         shutdown: &'a ShutdownSignal,
     ) -> Result<Self, Error> {
         // Nothing listens on these addresses: without requests no proxy connects to a backend.
-        let instances = instances_at(address::allocate(AddressRole::Backend, size.listed));
+        let instances = create_instances(address::allocate(AddressRole::Backend, size.listed));
         let group_number = (size.listed * GROUP_SEED_STRIDE + size.proxies) as u64;
         let seed = derive_seed(plan_seed, group_number);
         let discovery = Discovery::start(instances.clone(), size.proxies)?;
@@ -118,7 +119,7 @@
         Ok(())
     }
 
-    /// Reads what the group has used.
+    /// Reads the usage of the proxies, of their discovery server and of the machine.
     ///
     /// # Errors
     ///
@@ -137,7 +138,7 @@
     /// Returns [`Error::Interrupted`] once a signal has arrived.
     pub fn publish_at(&mut self, times: &[Duration]) -> Result<(), Error> {
         let Self { discovery, changes, shutdown, .. } = self;
-        discovery.publish_at(times, shutdown, || changes.next(discovery))
+        discovery.publish_at(times, shutdown, || changes.draw_change(discovery))
     }
 
     /// Waits until every proxy has acknowledged every version, or until the timeout.
@@ -153,8 +154,8 @@
         Ok(())
     }
 
-    /// Compares the number of listed backends at each proxy with that of discovery. Returns a note if
-    /// they differ.
+    /// Compares the number of listed backends at each proxy with that of discovery. Returns a note if the
+    /// numbers differ.
     ///
     /// # Errors
     ///
@@ -171,7 +172,7 @@
         }))
     }
 
-    /// The first cells of a row about this group, under [`HEAD_COLUMNS`].
+    /// Returns the first cells of a row about this group, under [`HEAD_COLUMNS`].
     #[must_use]
     pub fn row_head(&self) -> [Value; HEAD_COLUMNS.len()] {
         [self.size.listed.into(), self.proxies.len().into(), self.size.registry_mode.name().into()]
--- a/crates/fleet-bench/src/control/list_changes.rs
+++ b/crates/fleet-bench/src/control/list_changes.rs
@@ -1,35 +1,34 @@
-//! Changes of the list as they occur in the operators' fleet.
+//! Changes of an endpoint list in the proportions of the operators' fleet.
 
 use crate::discovery::{Change, Discovery};
-use crate::draw::arrivals;
+use crate::draw::draw_arrivals;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// A window has at least this many changes, unless its rate is 0: without any there is no latency to
-/// measure.
+/// Minimum number of changes in a window with a rate above 0: a window without changes shows no latency.
 pub const MIN_CHANGES_PER_WINDOW: usize = 3;
 
 /// Backends of the operators' fleet.
 const FLEET_BACKENDS: f64 = 5_500.0;
-/// Restarts that the operators expect in their fleet, per day.
+/// Restarts per day in the fleet that the operators expect.
 const FLEET_RESTARTS_PER_DAY: f64 = 680.0;
-/// Changes of configuration that the operators expect in their fleet, per day.
+/// Changes of configuration per day in the fleet that the operators expect.
 const FLEET_CONFIGURATIONS_PER_DAY: f64 = 13_000.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// A restart is two changes of the list: draining, then the return or the replacement.
 const CHANGES_PER_RESTART: f64 = 2.0;
 
-/// The changes that one list sees: a part of the fleet's in proportion to its size.
-pub struct ListShare {
+/// Changes of one list: a fraction of the fleet's changes in proportion to the size of the list.
+pub struct ListChangeRates {
     /// Restarts per day.
     pub restarts_per_day: f64,
     /// Changes of configuration per day.
     pub configurations_per_day: f64,
 }
 
-impl ListShare {
-    /// The share of a list with this many entries.
+impl ListChangeRates {
+    /// Returns the rates of a list with this many entries.
     #[must_use]
     pub fn of(listed: usize) -> Self {
         let fraction = listed as f64 / FLEET_BACKENDS;
@@ -54,16 +53,16 @@
 }
 
 impl ChangeGenerator {
-    /// A generator whose draws depend on the seed alone.
+    /// Creates a generator whose draws depend on the seed alone.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self { rng: SmallRng::seed_from_u64(seed), draining: None }
     }
 
-    /// The times of a window's changes: a Poisson process of `rate` changes per second during
-    /// `window` seconds, with at least [`MIN_CHANGES_PER_WINDOW`].
-    pub fn times(&mut self, rate: f64, window: f64) -> Vec<Duration> {
-        let mut times = arrivals(&mut self.rng, rate, window);
+    /// Draws the times of the changes in a window: a Poisson process of `rate` changes per second during
+    /// `window` seconds, with at least [`MIN_CHANGES_PER_WINDOW`] changes.
+    pub fn draw_times(&mut self, rate: f64, window: f64) -> Vec<Duration> {
+        let mut times = draw_arrivals(&mut self.rng, rate, window);
         while rate > 0.0 && times.len() < MIN_CHANGES_PER_WINDOW {
             times.push(Duration::from_secs_f64(self.rng.random::<f64>() * window));
         }
@@ -72,7 +71,7 @@
     }
 
     /// Draws the next change.
-    pub fn next(&mut self, discovery: &Discovery) -> Change {
+    pub fn draw_change(&mut self, discovery: &Discovery) -> Change {
         let serving = discovery.serving();
         let index = serving[self.rng.random_range(0..serving.len())];
         let restart_changes = CHANGES_PER_RESTART * FLEET_RESTARTS_PER_DAY;
--- a/crates/fleet-bench/src/control/plan.rs
+++ b/crates/fleet-bench/src/control/plan.rs
@@ -9,25 +9,26 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// After a window, proxies may still acknowledge its changes for this long.
+/// Time after a window in which proxies may still acknowledge the changes of the window.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Polls are observed for this long after an outage of discovery.
 pub const RECOVERY_WINDOW: Duration = Duration::from_secs(6);
 /// Longer than a proxy waits for a response of discovery.
 const OVERLONG_DELAY: Duration = Duration::from_secs(10);
-/// Windows beside those of the given rates: without changes, and at the fleet's own rate.
+/// Number of windows that are measured in addition to the rates of the plan: without changes, and at the
+/// rate of the fleet.
 const BASELINE_WINDOWS: usize = 2;
 
 /// Arguments of `fleet-bench control`.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// What it shares with other commands
+    /// Arguments that the commands with real proxies share
     #[command(flatten)]
     pub run: ProxyRunArgs,
-    /// Numbers of proxies
+    /// Numbers of proxies, each combined with each size of the list
     #[arg(long, value_delimiter = ',', value_name = "N,...")]
     pub proxies: Option<Vec<usize>>,
-    /// Changes of the list a second, beside none and the fleet's own rate
+    /// Changes of the list per second, measured in addition to no changes and the rate of the fleet
     #[arg(long, value_delimiter = ',', value_name = "RATE,...")]
     pub rates: Option<Vec<f64>>,
     /// Seconds for which each rate is measured
@@ -36,7 +37,7 @@
     /// Outages of discovery, one after another; without a value there is no outage
     #[arg(long, alias = "absences", value_delimiter = ',', value_name = "KIND,...", num_args = 0..)]
     pub outages: Option<Vec<Outage>>,
-    /// Changes of settings
+    /// Arguments of the settings rollouts
     #[command(flatten)]
     pub settings: rollout::RolloutArgs,
 }
@@ -66,7 +67,7 @@
 }
 
 impl Outage {
-    /// What the server does during the outage.
+    /// Returns the availability of the server during the outage.
     #[must_use]
     pub fn availability(self) -> Availability {
         match self {
@@ -76,43 +77,44 @@
         }
     }
 
-    /// Whether the server sends the full list to all proxies afterwards.
+    /// Returns whether the server sends the full list to all proxies after the outage.
     #[must_use]
     pub fn forgets_history(self) -> bool {
         matches!(self, Self::RefusingFullList | Self::SilentFullList | Self::SlowFullList)
     }
 
-    /// The name on the command line and in reports.
+    /// Returns the name of the outage on the command line and in reports.
     #[must_use]
     pub fn name(self) -> String {
         self.to_possible_value().map_or_else(String::new, |value| value.get_name().to_string())
     }
 }
 
-/// What is run.
+/// The plan of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Sizes of the list.
+    /// Sizes of the list, 2 to 20,000 entries.
     pub listed: Vec<usize>,
-    /// Numbers of proxies, each combined with each size.
+    /// Numbers of proxies, 1 to 300, each combined with each size of the list.
     pub proxies: Vec<usize>,
-    /// Changes of the list per second, beside none and the fleet's own rate.
+    /// Changes of the list per second, 0.01 to 1,000, measured in addition to no changes and the rate of
+    /// the fleet.
     pub rates: Vec<f64>,
-    /// Seconds for which each rate is measured.
+    /// Duration of the measurement of each rate, 0.5 to 600 s.
     pub window: f64,
     /// Outages of discovery, one after another.
     #[serde(alias = "absences")]
     pub outages: Vec<Outage>,
-    /// The duration of an outage, in seconds.
+    /// Duration of an outage, 0.5 to 600 s.
     #[serde(alias = "away")]
     pub outage_seconds: f64,
-    /// Sizes that are also run in the registry mode `subscribe`, with the lowest number of proxies
-    /// above 1.
+    /// Sizes of the list that are also measured in the registry mode `subscribe`, with the lowest number
+    /// of proxies above 1.
     pub subscribe: Vec<usize>,
-    /// Changes of settings, by proxies that have the first of the lists.
+    /// Rollouts of settings to proxies that have the first of the lists.
     pub settings: rollout::Plan,
 }
 
@@ -132,14 +134,14 @@
     }
 }
 
-/// A list and the number of proxies that have it.
+/// Sizes of a group of proxies that have the same list.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupSize {
     /// Entries of the list.
     pub listed: usize,
-    /// Number of proxies.
+    /// Number of proxies that have the list.
     pub proxies: usize,
-    /// How the proxies obtain the list.
+    /// Mode in which the proxies obtain the list.
     pub registry_mode: RegistryMode,
 }
 
@@ -198,7 +200,7 @@
             + outages * (self.outage_seconds + RECOVERY_WINDOW.as_secs_f64())
     }
 
-    /// The groups of proxies that are run, in this order.
+    /// Returns the groups of proxies that are run, in the order of the run.
     #[must_use]
     pub fn groups(&self) -> Vec<GroupSize> {
         let mut groups = Vec::new();
@@ -214,7 +216,7 @@
         groups
     }
 
-    /// The group whose settings change; `None` if the lists are run instead.
+    /// Returns the group whose settings change; `None` if the lists are run instead.
     #[must_use]
     pub fn rollout_group(&self) -> Option<GroupSize> {
         let listed = *self.listed.first().filter(|_| self.settings.is_enabled())?;
--- a/crates/fleet-bench/src/control/recovery.rs
+++ b/crates/fleet-bench/src/control/recovery.rs
@@ -1,4 +1,4 @@
-//! What discovery receives from all proxies after it was unavailable.
+//! Measures the polls of all proxies after an outage of discovery.
 
 use super::group::{HEAD_COLUMNS, ProxyGroup};
 use super::plan::{Outage, RECOVERY_WINDOW};
@@ -28,7 +28,7 @@
     "machine stalled, %",
 ];
 
-/// An empty table for [`measure_recovery`].
+/// Returns an empty table for [`measure_recovery`].
 #[must_use]
 pub fn table() -> Table {
     let mut table = Table::new(
@@ -39,7 +39,7 @@
     table
 }
 
-/// Plays an outage of this many seconds and returns a row about the time after it.
+/// Simulates an outage of this many seconds and returns a row about the time after the outage.
 ///
 /// # Errors
 ///
@@ -50,7 +50,7 @@
     outage_seconds: f64,
 ) -> Result<Vec<Value>, Error> {
     let machine = MachineLoad::now()?;
-    play_outage(group, outage, outage_seconds)?;
+    simulate_outage(group, outage, outage_seconds)?;
     let recovery = observe_recovery(group)?;
     let machine_stalled = MachineLoad::now()?.stall_since(&machine);
 
@@ -66,7 +66,7 @@
     Ok(row)
 }
 
-fn play_outage(group: &mut ProxyGroup<'_>, outage: Outage, seconds: f64) -> Result<(), Error> {
+fn simulate_outage(group: &mut ProxyGroup<'_>, outage: Outage, seconds: f64) -> Result<(), Error> {
     group.discovery.set_availability(outage.availability());
     let interval = Duration::from_secs_f64(seconds / (CHANGES_PER_OUTAGE + 1) as f64);
     let times: Vec<Duration> = (1..=CHANGES_PER_OUTAGE as u32).map(|number| interval * number).collect();
@@ -92,11 +92,12 @@
     Ok(Recovery { start, traffic, complete_after_seconds })
 }
 
-/// What was observed after an outage.
+/// Observations after an outage.
 struct Recovery {
     start: Instant,
     traffic: Vec<TrafficEvent>,
-    /// When all proxies had the newest version; NaN if not within the recovery window.
+    /// Time from the end of the outage until all proxies had the newest version, in seconds; NaN if
+    /// longer than the recovery window.
     complete_after_seconds: f64,
 }
 
@@ -120,7 +121,7 @@
     }
 }
 
-/// The highest number of these times, which are in order, within a span.
+/// Returns the highest number of these times, which are in order, within a span.
 fn max_polls_within(times: &[Instant], span: Duration) -> usize {
     let from = |first: usize| times.partition_point(|time| *time < times[first] + span) - first;
     (0..times.len()).map(from).max().unwrap_or(0)
--- a/crates/fleet-bench/src/discovery.rs
+++ b/crates/fleet-bench/src/discovery.rs
@@ -1,8 +1,9 @@
-//! A stub discovery server in this process. It serves lists and long polls by the operators' protocol,
-//! on a separate address for each proxy, so that the polls of each proxy are counted separately.
+//! A stub discovery server in this process. The server responds to list requests and long polls by the
+//! operators' protocol, on a separate address for each proxy, so that the polls of each proxy are counted
+//! separately.
 //!
-//! A change is *in force* at a proxy once its next poll names that version (`since=`), as only then
-//! the proxy has applied the response. The measured time includes the way of that poll.
+//! A change is *in force* at a proxy once its next poll names the version of the change (`since=`), as
+//! only then the proxy has applied the response. The measured time includes the way of that poll.
 
 mod list;
 mod poll_log;
@@ -24,7 +25,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A discovery server that runs on a thread of its own until it is dropped.
+/// A discovery server that runs on its own thread until the value is dropped.
 pub struct Discovery {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
@@ -54,7 +55,7 @@
         Ok(Self { shared, addresses, _runtime: runtime })
     }
 
-    /// The address for each proxy.
+    /// Returns the addresses of the server, one for each proxy.
     #[must_use]
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
@@ -99,19 +100,19 @@
         self.shared.status.send_modify(|status| status.availability = availability);
     }
 
-    /// The indices of the serving instances.
+    /// Returns the indices of the serving instances.
     #[must_use]
     pub fn serving(&self) -> Vec<usize> {
         self.shared.state().list.serving()
     }
 
-    /// How many entries the full list has.
+    /// Returns the number of entries in the full list.
     #[must_use]
     pub fn listed(&self) -> usize {
         self.shared.state().list.listed()
     }
 
-    /// What each proxy has polled and received since the start.
+    /// Returns the polls and bytes of each proxy since the start.
     #[must_use]
     pub fn counts(&self) -> Vec<PollCounts> {
         self.shared.state().log.counts().to_vec()
@@ -123,7 +124,7 @@
         self.shared.state().log.pending_acknowledgements()
     }
 
-    /// When a proxy last acknowledged a new version.
+    /// Returns the time at which a proxy last acknowledged a new version.
     #[must_use]
     pub fn last_acknowledged_at(&self) -> Instant {
         self.shared.state().log.last_acknowledged_at()
--- a/crates/fleet-bench/src/discovery/list.rs
+++ b/crates/fleet-bench/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The versioned instance list and the responses that are made from it.
+//! The versioned instance list and its responses to polls.
 
 use crate::instance::{FIRST_VERSION, Instance, InstanceList, Lifecycle};
 use std::collections::HashMap;
@@ -12,14 +12,14 @@
     Weight {
         /// The instance.
         index: usize,
-        /// Its new weight.
+        /// New weight of the instance, relative to that of the others.
         weight: f64,
     },
     /// An instance begins to drain.
     Drain(usize),
     /// A draining instance has restarted and serves again.
     Restart(usize),
-    /// A draining instance is gone, and a new one replaces it at the same address.
+    /// A draining instance is gone, and a new instance replaces the draining one at the same address.
     Replace(usize),
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// The list with its history, as far as that is kept.
+/// The instance list with the version in which each instance last changed.
 pub struct VersionedList {
     version: u64,
     instances: Vec<Instance>,
@@ -46,7 +46,7 @@
 }
 
 impl VersionedList {
-    /// A list in its first version.
+    /// Creates a list in its first version.
     pub fn new(instances: Vec<Instance>) -> Self {
         Self {
             version: FIRST_VERSION,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The present version.
+    /// Returns the present version.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -97,18 +97,18 @@
         self.responses.clear();
     }
 
-    /// The indices of the serving instances.
+    /// Returns the indices of the serving instances.
     pub fn serving(&self) -> Vec<usize> {
         let entries = self.instances.iter().enumerate();
         entries.filter(|(_, entry)| entry.lifecycle == Lifecycle::Serving).map(|(index, _)| index).collect()
     }
 
-    /// How many entries the full list has.
+    /// Returns the number of entries in the full list.
     pub fn listed(&self) -> usize {
         self.instances.iter().filter(|entry| entry.lifecycle != Lifecycle::Deleted).count()
     }
 
-    /// The HTTP response to a poll that names this version, or none.
+    /// Returns the HTTP response to a poll that names this version; `None` for a poll without a version.
     ///
     /// # Errors
     ///
@@ -124,7 +124,7 @@
         Ok(response)
     }
 
-    /// The changes after a version, or the full list for `None`.
+    /// Returns the changes after a version, or the full list for `None`.
     fn entries_since(&self, since: Option<u64>) -> InstanceList<'_> {
         let entries = self.instances.iter().zip(&self.changed_in);
         let wanted = entries.filter(|(entry, changed_in)| match since {
--- a/crates/fleet-bench/src/discovery/poll_log.rs
+++ b/crates/fleet-bench/src/discovery/poll_log.rs
@@ -1,4 +1,4 @@
-//! What each proxy polled and received, and which version of the list it has.
+//! Polls and responses of each proxy, and the version of the list that each proxy has.
 
 use crate::error::Error;
 use crate::instance::FIRST_VERSION;
@@ -8,7 +8,7 @@
 /// Longer propagation counts as this.
 const MAX_PROPAGATION: Duration = Duration::from_secs(600);
 
-/// What one proxy has polled and received since the start.
+/// Polls and bytes of one proxy since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollCounts {
     /// Polls.
@@ -19,7 +19,7 @@
     pub response_bytes: u64,
 }
 
-/// What was transferred at one time.
+/// Kind of a transfer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transfer {
     /// A poll arrived.
@@ -31,15 +31,15 @@
 /// A recorded transfer.
 #[derive(Clone, Copy, Debug)]
 pub struct TrafficEvent {
-    /// When it happened.
+    /// Time of the transfer.
     pub at: Instant,
-    /// What was transferred.
+    /// Kind of the transfer.
     pub transfer: Transfer,
-    /// Its size, in bytes.
+    /// Size of the transfer, in bytes.
     pub bytes: usize,
 }
 
-/// The time from a change at discovery until it is in force.
+/// Time from a change at discovery until the change is in force.
 #[derive(Debug)]
 pub struct PropagationLatency {
     /// At each proxy.
@@ -58,7 +58,7 @@
 /// A version after the first.
 struct PublishedVersion {
     at: Instant,
-    /// Proxies that have not acknowledged it.
+    /// Number of proxies that have not acknowledged the version.
     pending_proxies: usize,
 }
 
@@ -70,12 +70,12 @@
     last_acknowledged_at: Instant,
     counts: Vec<PollCounts>,
     propagation: PropagationLatency,
-    /// All transfers while they are recorded.
+    /// Transfers since the start of the recording; `None` while transfers are not recorded.
     traffic: Option<Vec<TrafficEvent>>,
 }
 
 impl PollLog {
-    /// An empty log for this many proxies, which all have the first version.
+    /// Creates an empty log for this many proxies, which all have the first version.
     ///
     /// # Errors
     ///
@@ -97,8 +97,8 @@
         self.published.push(PublishedVersion { at: Instant::now(), pending_proxies });
     }
 
-    /// Counts a poll, by which a proxy acknowledges the version that it names.
-    pub fn poll(&mut self, proxy: usize, since: Option<u64>, bytes: usize) {
+    /// Counts a poll, by which a proxy acknowledges the version named in the poll.
+    pub fn record_poll(&mut self, proxy: usize, since: Option<u64>, bytes: usize) {
         let now = Instant::now();
         let counts = &mut self.counts[proxy];
         counts.polls += 1;
@@ -130,7 +130,7 @@
     }
 
     /// Counts bytes of a response.
-    pub fn response(&mut self, proxy: usize, bytes: usize) {
+    pub fn record_response(&mut self, proxy: usize, bytes: usize) {
         self.counts[proxy].response_bytes += bytes as u64;
         self.record(TrafficEvent { at: Instant::now(), transfer: Transfer::Response, bytes });
     }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// What each proxy has polled and received.
+    /// Returns the polls and bytes of each proxy.
     pub fn counts(&self) -> &[PollCounts] {
         &self.counts
     }
@@ -151,7 +151,7 @@
         self.published.iter().map(|published| published.pending_proxies).sum()
     }
 
-    /// When a proxy last acknowledged a new version.
+    /// Returns the time at which a proxy last acknowledged a new version.
     pub fn last_acknowledged_at(&self) -> Instant {
         self.last_acknowledged_at
     }
--- a/crates/fleet-bench/src/discovery/server.rs
+++ b/crates/fleet-bench/src/discovery/server.rs
@@ -18,23 +18,23 @@
 const LIST_PATH: &str = "/api/targets";
 const NOT_FOUND_RESPONSE: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 
-/// Whether the server responds.
+/// Availability of the server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Availability {
-    /// It responds at once.
+    /// The server responds at once.
     Up,
     /// Each response is delayed by this time.
     Slow(Duration),
-    /// It accepts polls without responding. It responds to them once it is up again.
+    /// The server accepts polls, and responds only after the outage.
     Silent,
-    /// Its connections are closed and new ones are refused.
+    /// The server closes its connections and refuses new ones.
     Refusing,
 }
 
-/// What a waiting poll depends on.
+/// State of the server on which a waiting poll depends.
 #[derive(Clone, Copy, Debug)]
 pub struct Status {
-    /// Whether the server responds.
+    /// Availability of the server.
     pub availability: Availability,
     /// The present version of the list.
     pub version: u64,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The list and what the proxies have polled of it.
+/// The list, and the log of the polls.
 pub struct State {
     /// The list.
     pub list: VersionedList,
@@ -58,7 +58,7 @@
     pub log: PollLog,
 }
 
-/// What all connections share.
+/// State that all connections share.
 pub struct Shared {
     state: Mutex<State>,
     /// Wakes the waiting polls.
@@ -66,7 +66,7 @@
 }
 
 impl Shared {
-    /// A server that is up and serves this list.
+    /// Creates the state of a server that is up and serves this list.
     pub fn new(state: State) -> Self {
         let status = Status { availability: Availability::Up, version: state.list.version() };
         Self { state: Mutex::new(state), status: watch::Sender::new(status) }
@@ -74,12 +74,12 @@
 
     /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, State> {
-        // Each method leaves valid counts, so that a panic elsewhere does not spoil them.
+        // Each method leaves valid counts, so that the counts are usable after a panic elsewhere.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Waits as the poll asks for, and returns the response.
-    async fn response(&self, poll: Poll) -> Result<Arc<[u8]>, serde_json::Error> {
+    async fn wait_for_response(&self, poll: Poll) -> Result<Arc<[u8]>, serde_json::Error> {
         // Waiting on the status cannot fail, as the sender is in `self`.
         let mut status = self.status.subscribe();
         if let Some(since) = poll.since {
@@ -100,7 +100,7 @@
 struct Poll {
     /// The version that the proxy has.
     since: Option<u64>,
-    /// How long it waits for another version.
+    /// Time for which the poll waits for another version.
     wait: Duration,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// Serves one proxy at its own address. While the server refuses connections, that is not bound.
+/// Serves one proxy at its own address. While the server refuses connections, the address is not bound.
 pub async fn serve_proxy(shared: Arc<Shared>, proxy: usize, address: SocketAddr, first: StdListener) {
     let mut listener = TcpListener::from_std(first);
     loop {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Accepts connections until the server refuses them.
+/// Accepts connections until the server refuses connections.
 async fn accept_connections(shared: &Arc<Shared>, proxy: usize, listener: TcpListener) {
     let mut status = shared.status.subscribe();
     loop {
@@ -160,7 +160,7 @@
 }
 
 async fn serve_until_refusing(shared: Arc<Shared>, proxy: usize, mut stream: TcpStream) {
-    let _ = stream.set_nodelay(true); // without it the connection is only slower
+    let _ = stream.set_nodelay(true); // a failure makes the connection slower only
     let mut status = shared.status.subscribe();
     tokio::select! {
         ended = serve_connection(&shared, proxy, &mut stream) => if let Err(error) = ended {
@@ -170,19 +170,19 @@
     }
 }
 
-/// Responds to the polls of one connection until it ends.
+/// Responds to the polls of one connection until the connection ends.
 async fn serve_connection(shared: &Shared, proxy: usize, stream: &mut TcpStream) -> io::Result<()> {
     let mut buffer = Vec::new();
     while let Some(head) = RequestHead::read(stream, &mut buffer).await? {
         let poll = Poll::parse(&head.path);
-        shared.state().log.poll(proxy, poll.and_then(|poll| poll.since), head.head_bytes);
+        shared.state().log.record_poll(proxy, poll.and_then(|poll| poll.since), head.head_bytes);
         let Some(poll) = poll else {
             stream.write_all(NOT_FOUND_RESPONSE).await?;
             continue;
         };
         let response = tokio::select! {
-            response = shared.response(poll) => response.map_err(io::Error::other)?,
-            // A proxy sends nothing while it waits, so a read means that it has given up and closed.
+            response = shared.wait_for_response(poll) => response.map_err(io::Error::other)?,
+            // A waiting proxy sends nothing, so a read means that the proxy has given up and closed.
             _ = stream.read_buf(&mut buffer) => return Ok(()),
         };
         write_counted(shared, proxy, stream, &response).await?;
@@ -199,7 +199,7 @@
     let mut rest = response;
     while !rest.is_empty() {
         let written = stream.write(rest).await?;
-        shared.state().log.response(proxy, written);
+        shared.state().log.record_response(proxy, written);
         rest = &rest[written..];
     }
     Ok(())
--- a/crates/fleet-bench/src/draw.rs
+++ b/crates/fleet-bench/src/draw.rs
@@ -6,15 +6,15 @@
 /// Multiplier that separates seeds that are close together.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9;
 
-/// A seed for the part with this number of a run with the given seed.
+/// Derives the seed of a numbered component of a run from the seed of the run.
 #[must_use]
 pub fn derive_seed(seed: u64, number: u64) -> u64 {
     seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(number)
 }
 
-/// Arrival times of a Poisson process with `rate` arrivals per second on average, during `seconds`.
-/// There are none at a rate of 0.
-pub fn arrivals(rng: &mut impl Rng, rate: f64, seconds: f64) -> Vec<Duration> {
+/// Draws the arrival times of a Poisson process with `rate` arrivals per second on average, during
+/// `seconds`. There are no arrivals at a rate of 0.
+pub fn draw_arrivals(rng: &mut impl Rng, rate: f64, seconds: f64) -> Vec<Duration> {
     if rate <= 0.0 {
         return Vec::new();
     }
--- a/crates/fleet-bench/src/error.rs
+++ b/crates/fleet-bench/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails.
+//! Errors of all commands.
 
 use crate::fleet::checker::Rule;
 use std::net::SocketAddr;
@@ -6,13 +6,13 @@
 use std::process::ExitStatus;
 use thiserror::Error;
 
-/// Why there is no report. Each message is one line.
+/// The error of a command without a report. Each message is one line.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A file cannot be read, written or run.
     #[error("{}: {error}", path.display())]
     File {
-        /// Its path.
+        /// Path of the file.
         path: PathBuf,
         /// The error of the system.
         error: std::io::Error,
@@ -20,15 +20,15 @@
     /// An experiment file is not TOML or has an unknown key.
     #[error("{}: {message}", path.display())]
     Experiment {
-        /// Its path.
+        /// Path of the experiment file.
         path: PathBuf,
-        /// What is wrong, with the line.
+        /// Description of the error, with the number of the line.
         message: String,
     },
     /// An argument is invalid.
     #[error("{name}: expected {expected}, got {got}")]
     Argument {
-        /// Its name.
+        /// Name of the argument.
         name: &'static str,
         /// The values that are accepted.
         expected: &'static str,
@@ -36,14 +36,14 @@
         got: String,
     },
     /// A number is out of range.
-    #[error("{name}: expected {least} to {most}, got {got}")]
+    #[error("{name}: expected {min} to {max}, got {got}")]
     Range {
-        /// Its name.
+        /// Name of the number.
         name: &'static str,
-        /// The lowest value that is accepted.
-        least: f64,
-        /// The highest value that is accepted.
-        most: f64,
+        /// Lowest accepted value.
+        min: f64,
+        /// Highest accepted value.
+        max: f64,
         /// The value that was given.
         got: f64,
     },
@@ -52,7 +52,7 @@
     Rule {
         /// The rule.
         rule: Rule,
-        /// The number of the call at its proxy.
+        /// Number of the call at its proxy.
         call: u64,
         /// The seed of the run.
         seed: u64,
@@ -60,13 +60,13 @@
         phase: String,
         /// The machine of the proxy.
         machine: usize,
-        /// When, in seconds of virtual time.
+        /// Time of the violation, in seconds of virtual time.
         at: f64,
     },
     /// The proxy's program does not exist.
     #[error("{}: no such program (build it, or name it by --proxy)", path.display())]
     ProgramMissing {
-        /// Where it was expected.
+        /// Path at which the program was expected.
         path: PathBuf,
     },
     /// A started process does not appear in procfs.
@@ -75,14 +75,14 @@
         /// The process id.
         id: u32,
     },
-    /// A proxy ended before it was ready.
+    /// A proxy ended before its readiness.
     #[error("{address}: ended: {status}: {last_log_line}")]
     ProxyEnded {
         /// The proxy's listen address.
         address: SocketAddr,
-        /// Its exit status.
+        /// Exit status of the process.
         status: ExitStatus,
-        /// The last line that it logged.
+        /// Last line of the proxy's log.
         last_log_line: String,
     },
     /// A proxy was not ready in time.
@@ -90,10 +90,10 @@
     ProxyNotReady {
         /// The proxy's listen address.
         address: SocketAddr,
-        /// The last line that it logged.
+        /// Last line of the proxy's log.
         last_log_line: String,
     },
-    /// A proxy's response to `stats` is not what the protocol says.
+    /// The response of a proxy to `stats` does not follow the protocol.
     #[error("{address}: invalid stats: {response}")]
     InvalidStats {
         /// The proxy's management address.
@@ -110,9 +110,9 @@
     /// Proxies did not reach the expected state of their settings in time.
     #[error("{late} of {proxies} proxies not at {expected} within {timeout_s} s; {address}: {stats}")]
     RolloutTimeout {
-        /// How many did not.
+        /// Number of late proxies.
         late: usize,
-        /// How many proxies there are.
+        /// Number of all proxies.
         proxies: usize,
         /// The expected state.
         expected: String,
@@ -120,17 +120,17 @@
         timeout_s: u64,
         /// The listen address of the first late proxy.
         address: SocketAddr,
-        /// What the `stats` of that proxy say.
+        /// Response of that proxy to `stats`.
         stats: String,
     },
-    /// The proxies rejected another number of settings files than they should.
+    /// The proxies rejected an unexpected number of settings files.
     #[error("settings, {scenario}: {rejected} files were rejected, not {expected}")]
     RejectedFiles {
         /// The scenario.
         scenario: String,
-        /// How many files the proxies rejected.
+        /// Number of files that the proxies rejected.
         rejected: u64,
-        /// How many they should have rejected.
+        /// Number of files that the proxies were expected to reject.
         expected: u64,
     },
     /// A thread of the measurement panicked.
@@ -139,7 +139,7 @@
     /// A value cannot be converted to or from JSON.
     #[error("{what}: {error}")]
     Json {
-        /// What the value is.
+        /// Name of the value.
         what: &'static str,
         /// The error of the conversion.
         error: serde_json::Error,
--- a/crates/fleet-bench/src/fleet.rs
+++ b/crates/fleet-bench/src/fleet.rs
@@ -50,7 +50,7 @@
     /// Source of the plan
     #[command(flatten)]
     pub source: Source,
-    /// Phase that is simulated; may be given several times [default: all phases in turn]
+    /// Phase to simulate; may be given several times [default: all phases in turn]
     #[arg(long = "phase", value_name = "PHASE")]
     pub phases: Vec<Phase>,
     /// Number of backends, each with its proxy
@@ -59,7 +59,7 @@
     /// Number of services
     #[arg(long)]
     pub services: Option<usize>,
-    /// Fraction of the full call rate that is simulated
+    /// Fraction of the full call rate to simulate
     #[arg(long)]
     pub rate_scale: Option<f64>,
     /// Cost of a call across zones, as a fraction of the priority weight of a call
@@ -80,7 +80,7 @@
 }
 
 impl Args {
-    /// The plan of the experiment file, with the values of the arguments in place of its own.
+    /// Reads the plan of the experiment file, and replaces its values by those of the arguments.
     fn plan(&self) -> Result<Plan, Error> {
         let mut plan: Plan = self.source.read()?;
         if !self.phases.is_empty() {
@@ -103,8 +103,9 @@
 /// Simulates all phases of a plan.
 ///
 /// # Errors
-/// The plan cannot be read or simulated, a rule was violated, the real time limit was reached, or the
-/// system does not report the memory or the load.
+///
+/// Returns an error if the plan cannot be read or is out of range, a call violates a rule, the real time
+/// limit is reached, or the system does not report the memory or the load.
 pub fn run(args: &Args) -> Result<Report, Error> {
     let plan = args.plan()?;
     let started = Instant::now();
@@ -113,7 +114,7 @@
     let topology = Topology::new(&plan);
     let roles = Roles::new(&topology);
     report.tables.push(tables::topology_table(&topology));
-    report.tables.push(memory::table(&plan, &topology, &roles)?);
+    report.tables.push(memory::measure(&plan, &topology, &roles)?);
     let mut results = Vec::new();
     for &phase in &plan.phases {
         let phase_started = Instant::now();
@@ -124,7 +125,7 @@
     }
     report.tables.extend(tables::phase_tables(&plan, &topology, &roles, &results));
     // Last and in sequence, so that no other thread of this process competes for the caches.
-    report.tables.push(processor_time::table(&plan, &topology, &roles, &results));
+    report.tables.push(processor_time::measure(&plan, &topology, &roles, &results));
     report.notes.extend(tables::notes(&plan));
     report.notes.push(format!(
         "took {:.1} s of real time on {} threads; load average {}",
--- a/crates/fleet-bench/src/fleet/caller/accounting.rs
+++ b/crates/fleet-bench/src/fleet/caller/accounting.rs
@@ -1,4 +1,4 @@
-//! Counts and records what a caller does.
+//! Counts and records the calls, attempts and messages of one caller.
 
 use super::endpoint_list::EndpointList;
 use super::message::Message;
@@ -8,7 +8,7 @@
 use crate::fleet::scenario::Scenario;
 use balancer::{Balancer, EndpointUpdate, Event, Settings, Time};
 
-/// How a call ended without success.
+/// Kind of the end of a call without success.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
     /// The balancer rejected the call: the call has not run, and a retry is harmless.
@@ -22,7 +22,7 @@
 pub struct FailedCall {
     /// The call.
     pub call: OpenCall,
-    /// How the call ended.
+    /// Kind of the end of the call.
     pub kind: FailureKind,
     /// Whether some backend in service was reachable when the call ended.
     pub backend_reachable: bool,
@@ -39,7 +39,7 @@
     pub unavailable: bool,
 }
 
-/// The observations of a caller while it is simulated.
+/// The observations of a caller during its simulation.
 #[derive(Debug)]
 pub struct Accounting<'a> {
     scenario: &'a Scenario<'a>,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> Accounting<'a> {
-    /// No observations yet.
+    /// Creates the accounting of a caller without observations.
     pub fn new(scenario: &'a Scenario<'a>) -> Self {
         let observations = CallerObservations {
             update_delays: vec![None; scenario.changes.len()],
@@ -62,13 +62,13 @@
         self.observations.recording = Some(Recording::new(seed, settings));
     }
 
-    /// The observations at the end.
+    /// Returns the observations at the end of the simulation.
     pub fn into_observations(self) -> CallerObservations {
         self.observations
     }
 
-    /// Whether the window has begun, from which on calls and attempts are counted.
-    pub fn in_window(&self, now: Time) -> bool {
+    /// Returns whether the window has begun; calls and attempts count from then on.
+    pub fn is_in_window(&self, now: Time) -> bool {
         now >= self.scenario.context.plan.warm_up
     }
 
@@ -79,7 +79,7 @@
 
     /// Records an endpoint update.
     pub fn record_update(&mut self, now: Time, update: EndpointUpdate<'_>) {
-        self.record(|| Record::endpoints(now, update));
+        self.record(|| Record::of_update(now, update));
     }
 
     /// Records the start of a new process with this seed.
@@ -126,7 +126,7 @@
     pub fn count_attempt(&mut self, attempt: SentAttempt, list: &EndpointList) {
         let SentAttempt { backend, sent: now, unavailable } = attempt;
         self.record_load(backend, now);
-        if !self.in_window(now) {
+        if !self.is_in_window(now) {
             return;
         }
         let plan = self.scenario.context.plan;
@@ -140,7 +140,8 @@
         counts.past_deemed_grace += u64::from(past_deemed_grace);
     }
 
-    /// Records an attempt to a backend that is warming up, or late in the warm-up of the run.
+    /// Records the time of an attempt to a backend in slow start, and counts an attempt in the second
+    /// half of the warm-up.
     fn record_load(&mut self, backend: usize, now: Time) {
         let context = &self.scenario.context;
         let plan = context.plan;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Whether the grace period of a backend that is not in service is over, where callers count as
+    /// Returns whether the grace period of a backend out of service is over, where the caller counts as
     /// notified after `deemed_notified`.
     fn is_past_deemed_grace(&self, backend: usize, now: Time) -> bool {
         let context = &self.scenario.context;
@@ -167,7 +168,7 @@
 
     /// Counts a message of discovery.
     pub fn count_message(&mut self, now: Time, message: &Message) {
-        if !self.in_window(now) || now > self.scenario.context.plan.end() {
+        if !self.is_in_window(now) || now > self.scenario.context.plan.end() {
             return;
         }
         let endpoints = message.endpoints();
--- a/crates/fleet-bench/src/fleet/caller/calls.rs
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -67,7 +67,7 @@
         }
         let class = self.workload.draw_class(&mut run.rng);
         let timeout = self.plan.call_timeout;
-        let counted = run.accounting.in_window(now);
+        let counted = run.accounting.is_in_window(now);
         let call = NewCall { effect: CLASS_EFFECTS[class], deadline: now + timeout, counted };
         let id = self.requests.open(call);
         if counted {
@@ -94,7 +94,7 @@
         let sent = run.queue.now();
         let attempt = self.requests.send(order.request, InFlight { backend, sent })?;
         let times = AttemptTimes { sent, timeout_at: sent + order.timeout };
-        let end = self.network.attempt(backend, times, &mut run.rng);
+        let end = self.network.draw_attempt_end(backend, times, &mut run.rng);
         run.queue.schedule(end.at, CallerEvent::AttemptEnded(attempt, end.outcome));
         let sent_attempt = SentAttempt { backend, sent, unavailable: end.unavailable };
         run.accounting.count_attempt(sent_attempt, list);
--- a/crates/fleet-bench/src/fleet/caller/deliveries.rs
+++ b/crates/fleet-bench/src/fleet/caller/deliveries.rs
@@ -1,4 +1,4 @@
-//! When the endpoint updates of discovery reach a caller.
+//! Arrival times of the endpoint updates of discovery at a caller.
 
 use super::network::Network;
 use crate::fleet::scenario::Scenario;
@@ -8,7 +8,7 @@
 /// A message with endpoint changes.
 #[derive(Clone, Copy, Debug)]
 pub struct Delivery {
-    /// When it arrives.
+    /// Time of the arrival, in seconds.
     pub at: Time,
     /// The caller has all changes before this index from then on.
     pub changes_end: usize,
--- a/crates/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The caller's process and its endpoint list: which messages of discovery it gets, and what an agent
-//! on its machine keeps while the process is down.
+//! The process of a caller and its endpoint list: the messages of discovery that the process receives,
+//! and the list that an agent on the machine keeps while the process is down.
 
 use super::endpoint_list::EndpointList;
 use super::message::Message;
@@ -16,7 +16,7 @@
 /// The caller's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
-    /// No process.
+    /// There is no process.
     Down,
     /// A new process with the cached endpoint list, without a response of discovery.
     Starting,
@@ -29,23 +29,23 @@
 pub struct Update {
     /// The indices of the changes.
     pub changes: Range<usize>,
-    /// The message with them.
+    /// The message with the changes.
     pub message: Message,
 }
 
-/// The process and its endpoint list.
+/// The process of a caller and its endpoint list.
 #[derive(Debug)]
 pub struct DiscoveryClient<'a> {
     scenario: &'a Scenario<'a>,
-    /// Whether the agent on the machine is up all the time: it outlives a restart of the proxy's
-    /// process, but not a crash of the machine.
+    /// Whether the agent on the machine is up throughout the phase: the agent outlives a restart of the
+    /// proxy's process, but not a crash of the machine.
     agent_is_up: bool,
     process: ProcessState,
     endpoints: EndpointList,
 }
 
 impl<'a> DiscoveryClient<'a> {
-    /// A running process with the list before its first change.
+    /// Creates a running process that has the list before the first change.
     pub fn new(scenario: &'a Scenario<'a>, machine: usize) -> Self {
         let context = &scenario.context;
         let first_machine = scenario.service().machines.start;
@@ -59,33 +59,33 @@
         }
     }
 
-    /// The endpoint list as the process has it.
+    /// Returns the endpoint list of the process.
     pub fn endpoints(&self) -> &EndpointList {
         &self.endpoints
     }
 
-    /// Whether there is a process.
+    /// Returns whether there is a process.
     pub fn is_up(&self) -> bool {
         self.process != ProcessState::Down
     }
 
-    /// Delivers the changes before the index `end`; none if the process does not receive them, or has
-    /// them from a complete list.
+    /// Delivers the changes before the index `end`. Returns `None` if the process does not receive the
+    /// changes, or has the changes from a complete list.
     pub fn deliver(&mut self, end: usize, now: Time) -> Option<Update> {
         let changes = self.endpoints.applied()..end;
         if changes.is_empty() {
             return None;
         }
         let running = self.process == ProcessState::Running;
-        // The agent keeps them for a process that is restarted.
+        // The agent keeps the changes for a process that is restarted.
         if running || self.agent_is_up {
             self.endpoints.apply(&self.scenario.changes, end, now);
         }
         running.then(|| Update { changes: changes.clone(), message: self.message(changes) })
     }
 
-    /// The message with some changes that have been applied: after a long partition the complete list
-    /// is shorter.
+    /// Returns the message with some changes that have been applied; after a long partition, when the
+    /// complete list is shorter, the message has the complete list.
     fn message(&self, changes: Range<usize>) -> Message {
         if changes.len() > self.endpoints.len() {
             return Message::Full(self.endpoints.listed());
@@ -104,8 +104,8 @@
         self.process = ProcessState::Starting;
     }
 
-    /// Draws when the process gets the first response of discovery, which is that of the agent if it is
-    /// up.
+    /// Draws the time of the first response of discovery to the process; the agent responds if the agent
+    /// is up.
     pub fn draw_first_response(
         &self,
         now: Time,
--- a/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
+++ b/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
@@ -1,44 +1,46 @@
-//! The endpoint list of a service as one caller has it.
+//! The endpoint list of a service at one caller.
 
 use crate::fleet::faults::EndpointChange;
 use balancer::{Endpoint, Status, Time};
 
-/// The endpoint list after some of its changes.
+/// The endpoint list after the changes that the caller has received.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// The first machine of the service; backends are counted from it.
+    /// The index of the first machine of the service; backends are counted from this machine.
     first_machine: usize,
     /// The endpoint of each backend, removed ones included.
     endpoints: Vec<Endpoint>,
-    /// Since when the caller has been notified that a backend is not in service.
+    /// For each backend, the time at which the caller was notified that the backend is not in service, in
+    /// seconds.
     out_of_service_since: Vec<Option<Time>>,
     /// The number of changes that have been applied.
     applied: usize,
 }
 
 impl EndpointList {
-    /// The list before its first change.
+    /// Creates the list before the first change.
     pub fn new(first_machine: usize, endpoints: Vec<Endpoint>) -> Self {
         let out_of_service_since = vec![None; endpoints.len()];
         Self { first_machine, endpoints, out_of_service_since, applied: 0 }
     }
 
-    /// The number of changes that have been applied.
+    /// Returns the number of changes that have been applied.
     pub fn applied(&self) -> usize {
         self.applied
     }
 
-    /// The number of backends, removed ones included.
+    /// Returns the number of backends, removed ones included.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Since when the caller has been notified that a backend is not in service.
+    /// Returns the time at which the caller was notified that a backend is not in service, in seconds;
+    /// `None` for a backend in service.
     pub fn out_of_service_since(&self, backend: usize) -> Option<Time> {
         self.out_of_service_since[backend]
     }
 
-    /// The endpoints that are not removed.
+    /// Returns the endpoints that are not removed.
     pub fn listed(&self) -> Vec<Endpoint> {
         self.endpoints.iter().filter(|e| e.status != Status::Removed).cloned().collect()
     }
--- a/crates/fleet-bench/src/fleet/caller/environment.rs
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -1,7 +1,7 @@
 //! The environment of one caller's balancer: the virtual clock, the calls that the proxy makes, the
 //! network, discovery, and the observations of all of these.
 //!
-//! A method that leads to an event of the balancer returns that event; the caller passes it on.
+//! A method that leads to an event of the balancer returns the event, which the caller passes on.
 
 use super::accounting::{Accounting, FailureKind};
 use super::calls::{AttemptOrder, Calls};
--- a/crates/fleet-bench/src/fleet/caller/event_queue.rs
+++ b/crates/fleet-bench/src/fleet/caller/event_queue.rs
@@ -16,7 +16,7 @@
 /// Something that happens to a caller.
 #[derive(Clone, Copy, Debug)]
 pub enum CallerEvent {
-    /// It makes a call.
+    /// The proxy makes a call.
     Call,
     /// A timer of the balancer with this token fires.
     Timer(TimerToken),
@@ -24,18 +24,18 @@
     AttemptEnded(AttemptId, Outcome),
     /// All endpoint changes before this index arrive.
     EndpointChanges(usize),
-    /// The state of its balancer is sampled for the sample with this index.
+    /// The state of the balancer is sampled for the sample with this index.
     Sample(u32),
-    /// Its process stops.
+    /// The process stops.
     Stop,
-    /// Its process starts.
+    /// A new process starts.
     Start,
     /// The first response of discovery after a start arrives.
     FirstEndpointList,
 }
 
 impl CallerEvent {
-    /// Whether the event happens only to the process that it was scheduled by.
+    /// Returns whether the event concerns only the process that scheduled the event.
     fn is_of_process(self) -> bool {
         match self {
             Self::Call | Self::Timer(_) | Self::AttemptEnded(..) | Self::FirstEndpointList => true,
@@ -47,9 +47,9 @@
 #[derive(Debug)]
 struct PendingEvent {
     at: Time,
-    /// Events of one time happen in the order in which they were scheduled.
+    /// Position in the order of scheduling, by which events of the same time are ordered.
     sequence: u64,
-    /// The process that scheduled it.
+    /// The number of the process that scheduled the event, from 0.
     incarnation: u32,
     event: CallerEvent,
 }
@@ -84,7 +84,7 @@
 }
 
 impl EventQueue {
-    /// The virtual time, in seconds.
+    /// Returns the virtual time, in seconds.
     pub fn now(&self) -> Time {
         self.now
     }
@@ -100,13 +100,14 @@
         }));
     }
 
-    /// Ends the current process: its pending calls, timers and attempts won't happen.
+    /// Ends the current process: the pending calls, timers and attempts of the process are dropped when
+    /// due.
     pub fn end_incarnation(&mut self) {
         self.incarnation += 1;
     }
 
-    /// Advances the time to the next event and takes it. The time also advances to events of a
-    /// process that has ended, which are dropped.
+    /// Advances the time to the next event and takes the event. The time also advances to the dropped
+    /// events of a process that has ended.
     pub fn next(&mut self) -> Option<CallerEvent> {
         while let Some(Reverse(pending)) = self.pending.pop() {
             self.now = pending.at;
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -1,7 +1,7 @@
-//! The simulated network and backends, as one caller reaches them.
+//! The simulated network and backends, as seen from one caller.
 //!
-//! Backends respond after an exponential service time without queues, so that callers don't affect
-//! one another.
+//! Backends respond after an exponential service time without queues, so that callers do not affect one
+//! another.
 
 use crate::fleet::faults::{Outage, OutageKind};
 use crate::fleet::random;
@@ -9,23 +9,23 @@
 use balancer::{Outcome, Time};
 use rand::rngs::SmallRng;
 
-/// How an attempt ends.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptEnd {
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// When the caller sees it.
+    /// Time at which the caller observes the outcome, in seconds.
     pub at: Time,
     /// Whether the backend was down or partitioned when the attempt was sent.
     pub unavailable: bool,
 }
 
-/// When an attempt is sent and given up.
+/// Start and deadline of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
-    /// When it is sent.
+    /// Time of the send, in seconds.
     pub sent: Time,
-    /// When it times out.
+    /// Time at which the attempt times out, in seconds.
     pub timeout_at: Time,
 }
 
@@ -35,12 +35,13 @@
     scenario: &'a Scenario<'a>,
     /// The zone of the machine.
     zone: usize,
-    /// When each backend last responded: a connection to it stays open for a while.
+    /// Time of the last response of each backend, in seconds: until the idle timeout after a response,
+    /// the connection to the backend is open.
     last_response: Vec<Time>,
 }
 
 impl<'a> Network<'a> {
-    /// The network as seen from a zone, without connections.
+    /// Creates the network as seen from a zone, without open connections.
     pub fn new(scenario: &'a Scenario<'a>, zone: usize) -> Self {
         let last_response = vec![f64::NEG_INFINITY; scenario.service().machines.len()];
         Self { scenario, zone, last_response }
@@ -51,7 +52,7 @@
         self.last_response[backend] = now;
     }
 
-    /// Closes all connections, as their process has ended.
+    /// Closes all connections, as the process has ended.
     pub fn close_connections(&mut self) {
         self.last_response.fill(f64::NEG_INFINITY);
     }
@@ -59,11 +60,12 @@
     /// Draws how long an endpoint update takes from a zone to this machine.
     pub fn update_delay(&self, from_zone: usize, rng: &mut SmallRng) -> Time {
         let delay = self.scenario.context.plan.update_delay;
-        let publication = delay.median * (delay.sigma * random::normal(rng)).exp();
+        let publication = delay.median * (delay.sigma * random::draw_normal(rng)).exp();
         publication + 0.5 * self.round_trip(from_zone)
     }
 
-    /// Whether some backend is in service and reachable, regardless of the caller's endpoint list.
+    /// Returns whether some backend is in service and reachable, regardless of the endpoint list of the
+    /// caller.
     pub fn any_backend_reachable(&self, now: Time) -> bool {
         let context = &self.scenario.context;
         self.scenario
@@ -74,33 +76,33 @@
     }
 
     /// Draws how an attempt to a backend ends.
-    pub fn attempt(&self, backend: usize, times: AttemptTimes, rng: &mut SmallRng) -> AttemptEnd {
+    pub fn draw_attempt_end(&self, backend: usize, times: AttemptTimes, rng: &mut SmallRng) -> AttemptEnd {
         let context = &self.scenario.context;
         let service = self.scenario.service();
         let machine = service.machines.start + backend;
         let round_trip = self.round_trip(context.topology.machines[machine].zone);
-        let service_time = service.service_time * random::exponential(rng);
+        let service_time = service.service_time * random::draw_exponential(rng);
         let outage = context.faults.outages[machine];
         let down = outage.filter(|outage| outage.is_down(times.sent));
         let crashed = down.is_some_and(|outage| outage.kind == OutageKind::Crash);
         if crashed || self.partitioned_from(machine, times.sent) {
-            return self.attempt_without_peer(backend, times);
+            return self.end_without_peer(backend, times);
         }
         if down.is_some() {
             let at = times.timeout_at.min(times.sent + round_trip);
             return AttemptEnd { outcome: Outcome::NoConnection, at, unavailable: true };
         }
         let response_at = times.sent + round_trip + service_time;
-        let end = self.attempt_in_flight(machine, outage, times, response_at);
+        let end = self.end_in_flight(machine, outage, times, response_at);
         if end.at >= times.timeout_at {
             return AttemptEnd { outcome: Outcome::Timeout, at: times.timeout_at, unavailable: false };
         }
         end
     }
 
-    /// An attempt to which nothing responds: it times out on an open connection, and a new connection
-    /// is not established.
-    fn attempt_without_peer(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
+    /// Returns the end of an attempt without a response: the attempt times out on an open connection, and
+    /// a new connection is not established.
+    fn end_without_peer(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
         let plan = self.scenario.context.plan;
         let connected = times.sent < self.last_response[backend] + plan.idle_timeout;
         if connected {
@@ -110,9 +112,9 @@
         AttemptEnd { outcome: Outcome::NoConnection, at, unavailable: true }
     }
 
-    /// An attempt that a backend has received: its response, unless an outage or a partition
-    /// prevents it.
-    fn attempt_in_flight(
+    /// Returns the end of an attempt that a backend has received: the response, unless an outage or a
+    /// partition prevents the response.
+    fn end_in_flight(
         &self,
         machine: usize,
         outage: Option<Outage>,
--- a/crates/fleet-bench/src/fleet/caller/requests.rs
+++ b/crates/fleet-bench/src/fleet/caller/requests.rs
@@ -8,9 +8,9 @@
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlight {
-    /// The index of its backend in the service.
+    /// The index of the backend in the service.
     pub backend: usize,
-    /// When it was sent.
+    /// Time of the send, in seconds.
     pub sent: Time,
 }
 
@@ -34,7 +34,8 @@
     /// Records an attempt of a call.
     ///
     /// # Errors
-    /// The attempt violates a rule.
+    ///
+    /// Returns the violation if the attempt violates a rule.
     pub fn send(&mut self, request: RequestId, attempt: InFlight) -> Result<AttemptId, Violation> {
         let index = self.checker.send(request)?;
         let id = AttemptId { request, index };
@@ -42,7 +43,7 @@
         Ok(id)
     }
 
-    /// Takes an attempt that ends; none if it has ended before.
+    /// Takes an attempt that ends; returns `None` if the attempt has ended before.
     pub fn end_attempt(&mut self, id: AttemptId) -> Option<InFlight> {
         self.in_flight.remove(&id)
     }
@@ -55,12 +56,13 @@
     /// Closes a call with its final response.
     ///
     /// # Errors
-    /// The response violates a rule.
+    ///
+    /// Returns the violation if the response violates a rule.
     pub fn close(&mut self, request: RequestId, now: Time) -> Result<OpenCall, Violation> {
         self.checker.close(request, now)
     }
 
-    /// Whether a call is owed its final response.
+    /// Returns whether a call has no final response yet.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.checker.is_open(request)
     }
@@ -74,7 +76,8 @@
     /// Checks at the end of the run that no call is open.
     ///
     /// # Errors
-    /// A call that got no final response.
+    ///
+    /// Returns the violation by a call that got no final response.
     pub fn verify_none_open(&self) -> Result<(), Violation> {
         self.checker.verify_none_open()
     }
--- a/crates/fleet-bench/src/fleet/caller/workload.rs
+++ b/crates/fleet-bench/src/fleet/caller/workload.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// A proxy makes no calls this long before its process stops, in seconds: it could not report their
+/// Time before its stop in which a process makes no calls, in seconds: the process could not report the
 /// outcomes.
 const QUIET_BEFORE_STOP: Time = 1.0;
 
@@ -18,12 +18,12 @@
     plan: &'a Plan,
     /// Calls per second.
     rate: f64,
-    /// The outage of the machine, if it has one.
+    /// The outage of the machine, if there is one.
     outage: Option<Outage>,
 }
 
 impl<'a> Workload<'a> {
-    /// The calls of a machine's proxy.
+    /// Creates the workload of a machine's proxy.
     pub fn new(scenario: &Scenario<'a>, machine: usize) -> Self {
         let context = &scenario.context;
         Self {
@@ -35,11 +35,11 @@
 
     /// Draws the time of the next call; none if the process stops or the phase ends before.
     pub fn draw_next(&self, now: Time, rng: &mut SmallRng) -> Option<Time> {
-        let at = now + random::exponential(rng) / self.rate;
+        let at = now + random::draw_exponential(rng) / self.rate;
         (at < self.plan.end().min(self.last_call_before(now))).then_some(at)
     }
 
-    /// The end of the calls of the process that runs at a time.
+    /// Returns the time at which the process that runs at a time stops making calls, in seconds.
     fn last_call_before(&self, now: Time) -> Time {
         match self.outage.filter(|outage| now < outage.down) {
             Some(outage) if outage.kind == OutageKind::Restart => {
--- a/crates/fleet-bench/src/fleet/checker.rs
+++ b/crates/fleet-bench/src/fleet/checker.rs
@@ -11,22 +11,22 @@
 /// A rule that a call violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Rule {
-    /// It got a second final response, or was never open.
+    /// The call got a second final response, or was never open.
     #[error("got a final response without being open")]
     NotOpen,
-    /// It got its final response after its deadline.
+    /// The call got its final response after its deadline.
     #[error("got its final response after the deadline")]
     Late,
-    /// It got no final response.
+    /// The call got no final response.
     #[error("got no final response")]
     Unanswered,
-    /// An attempt was sent after its final response.
+    /// An attempt was sent after the final response of the call.
     #[error("was sent without being open")]
     SentAfterResponse,
-    /// It is unsafe, may have run, and was sent again.
+    /// The call is unsafe, may have run, and was sent again.
     #[error("is unsafe and was sent again")]
     UnsafeRetry,
-    /// It was sent to a backend that is in no endpoint list.
+    /// An attempt was sent to a backend that is in no endpoint list.
     #[error("was sent to an unlisted backend")]
     Unlisted,
 }
@@ -79,7 +79,8 @@
     /// Records an attempt and returns its index, from 0.
     ///
     /// # Errors
-    /// The call is not open, or it is unsafe and may have run.
+    ///
+    /// Returns the violation if the call is not open, or is unsafe and may have run.
     pub fn send(&mut self, call: RequestId) -> Result<usize, Violation> {
         let open = self.open.get_mut(&call).ok_or(Violation { rule: Rule::SentAfterResponse, call })?;
         if open.effect == Effect::Unsafe && open.may_have_run {
@@ -101,7 +102,8 @@
     /// Closes a call with its final response.
     ///
     /// # Errors
-    /// The call is not open, or its deadline has passed.
+    ///
+    /// Returns the violation if the call is not open, or the deadline of the call has passed.
     pub fn close(&mut self, call: RequestId, now: Time) -> Result<OpenCall, Violation> {
         let open = self.open.remove(&call).ok_or(Violation { rule: Rule::NotOpen, call })?;
         if now > open.deadline + DEADLINE_TOLERANCE {
@@ -110,14 +112,14 @@
         Ok(open)
     }
 
-    /// Whether a call is owed its final response.
+    /// Returns whether a call has no final response yet.
     #[must_use]
     pub fn is_open(&self, call: RequestId) -> bool {
         self.open.contains_key(&call)
     }
 
-    /// Drops all open calls, as the proxy's machine and its client are down. Returns the number of
-    /// calls among them that are counted in the report.
+    /// Drops all open calls, as the machine of the proxy is down. Returns the number of dropped calls
+    /// that the report counts.
     pub fn drop_open(&mut self) -> usize {
         self.open.drain().filter(|(_, open)| open.counted).count()
     }
@@ -125,7 +127,8 @@
     /// Checks at the end of the run that no call is open.
     ///
     /// # Errors
-    /// A call that got no final response.
+    ///
+    /// Returns the violation by a call that got no final response.
     pub fn verify_none_open(&self) -> Result<(), Violation> {
         match self.open.keys().min() {
             Some(&call) => Err(Violation { rule: Rule::Unanswered, call }),
--- a/crates/fleet-bench/src/fleet/counts.rs
+++ b/crates/fleet-bench/src/fleet/counts.rs
@@ -1,4 +1,4 @@
-//! What the callers count from the start of the window on. `+=` adds up the counts of several callers.
+//! Counts of the callers from the start of the window on. `+=` adds the counts of several callers.
 
 use std::ops::AddAssign;
 
@@ -59,10 +59,11 @@
     pub total: u64,
     /// Attempts to a backend that was down by then, or on the other side of a partition.
     pub to_unavailable: u64,
-    /// Attempts to a backend more than the grace period after the proxy was notified that it is
-    /// draining or removed.
+    /// Attempts later than the grace period after the proxy was notified that the backend is draining or
+    /// removed.
     pub past_grace: u64,
-    /// The same, where an update also counts as notified after `deemed_notified`, received or not.
+    /// Attempts later than the grace period, where a proxy also counts as notified after
+    /// `deemed_notified`.
     pub past_deemed_grace: u64,
 }
 
@@ -80,9 +81,9 @@
 pub struct UpdateCounts {
     /// Messages.
     pub messages: u64,
-    /// Endpoints in them.
+    /// Endpoints in the messages.
     pub endpoints: u64,
-    /// Their size in bytes.
+    /// Size of the messages, in bytes.
     pub bytes: u64,
 }
 
--- a/crates/fleet-bench/src/fleet/coverage.rs
+++ b/crates/fleet-bench/src/fleet/coverage.rs
@@ -1,4 +1,4 @@
-//! Whether each backend in service is in the subset of some caller.
+//! Counts the backends in service that are in no caller's subset.
 
 use super::observations::{CallerObservations, SAMPLE_INTERVAL};
 use super::results::{Coverage, CoverageSample};
@@ -8,7 +8,7 @@
 /// A backend in no subset for this many samples in a row is unassigned for long.
 pub const LONG_UNASSIGNED_SAMPLES: u32 = 10;
 
-/// The coverage of a service's backends at each sample.
+/// Measures the coverage of the backends of a service at each sample.
 pub fn measure(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Coverage {
     let machines = scenario.service().machines.clone();
     let backends = machines.len();
@@ -32,7 +32,7 @@
     Coverage { samples, long_unassigned }
 }
 
-/// Whether each backend is in some subset: sample by sample, and in each by backend.
+/// Returns whether each backend is in some subset at each sample: a run of all backends for each sample.
 fn assigned_backends(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<bool> {
     let backends = scenario.service().machines.len();
     let samples = (scenario.context.plan.end() / SAMPLE_INTERVAL).floor() as usize + 1;
@@ -43,7 +43,8 @@
     assigned
 }
 
-/// Whether a machine's backend is in service at a time, and callers count as notified of it.
+/// Returns whether the backend of a machine is in service at a time, and callers count as notified of its
+/// start.
 fn is_known_in_service(scenario: &Scenario<'_>, machine: usize, at: Time) -> bool {
     let context = &scenario.context;
     let just_started = context.faults.outages[machine]
--- a/crates/fleet-bench/src/fleet/faults.rs
+++ b/crates/fleet-bench/src/fleet/faults.rs
@@ -8,27 +8,28 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-/// How a machine goes down.
+/// Kind of an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutageKind {
-    /// Drained, stopped and started again: its connections are reset, new ones are refused.
+    /// The machine drains, stops and starts again: connections are reset, new connections are refused.
     Restart,
-    /// Without a notification: requests in flight get no response, connection attempts time out.
+    /// The machine stops without a notification: requests in flight get no response, connection attempts
+    /// time out.
     Crash,
 }
 
-/// The outage of a machine with its backend and its proxy; at most one in a phase.
+/// The outage of a machine with its backend and its proxy; a machine has at most one in a phase.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// How it goes down.
+    /// Kind of the outage.
     pub kind: OutageKind,
-    /// When its drain begins; without a drain, when it goes down.
+    /// Time at which the drain begins, in seconds; the same as `down` without a drain.
     pub drain: Time,
-    /// When it goes down.
+    /// Time at which the machine goes down, in seconds.
     pub down: Time,
-    /// When it is up again and begins to warm up.
+    /// Time at which the machine is up again and its backend begins the slow start, in seconds.
     pub up: Time,
-    /// When discovery has detected that it is down.
+    /// Time at which discovery has detected the outage, in seconds.
     pub detected: Time,
 }
 
@@ -47,26 +48,26 @@
         }
     }
 
-    /// Whether the machine is down at a time.
+    /// Returns whether the machine is down at a time.
     #[must_use]
     pub fn is_down(&self, at: Time) -> bool {
         (self.down..self.up).contains(&at)
     }
 }
 
-/// A region that cannot reach the others, nor discovery, which is outside of it.
+/// A region that cannot reach the other regions, nor discovery, which is outside of the region.
 #[derive(Clone, Copy, Debug)]
 pub struct Partition {
     /// The region.
     pub region: usize,
-    /// When the partition begins.
+    /// Time at which the partition begins, in seconds.
     pub start: Time,
-    /// When it is over.
+    /// Time at which the partition ends, in seconds.
     pub end: Time,
 }
 
 impl Partition {
-    /// The first time from `at` on at which the partition is not in force.
+    /// Returns the first time from `at` on at which the partition is not in force, in seconds.
     fn over_from(&self, at: Time) -> Time {
         if self.is_active(at) { self.end } else { at }
     }
@@ -79,9 +80,10 @@
 /// A change of a service's endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
-    /// When it happened, or was detected.
+    /// Time at which the change happened or was detected, in seconds.
     pub occurred: Time,
-    /// When discovery publishes it: later if a partition is in between.
+    /// Time at which discovery publishes the change, in seconds: the end of a partition in between, if
+    /// there is one.
     pub published: Time,
     /// The machine that changed.
     pub machine: usize,
@@ -96,7 +98,7 @@
     pub outages: Vec<Option<Outage>>,
     /// The partition of a region, if there is one.
     pub partition: Option<Partition>,
-    /// The services that are simulated: all that are called, or those that the phase is about.
+    /// The simulated services: all called services, or the services that the phase affects.
     pub services: Vec<usize>,
 }
 
@@ -104,9 +106,9 @@
     /// Draws the faults of a phase.
     #[must_use]
     pub fn new(phase: Phase, plan: &Plan, topology: &Topology) -> Self {
-        let rng = &mut SmallRng::seed_from_u64(random::seed(&[plan.seed, 1, phase as u64]));
+        let rng = &mut SmallRng::seed_from_u64(random::derive_seed(&[plan.seed, 1, phase as u64]));
         let outages = vec![None; topology.machines.len()];
-        let mut faults = Self { outages, partition: None, services: topology.called() };
+        let mut faults = Self { outages, partition: None, services: topology.called_services() };
         match phase {
             Phase::Ordinary => {
                 faults.scatter_outages(OutageKind::Restart, plan.restarts, plan.window, plan, rng);
@@ -114,8 +116,8 @@
             }
             Phase::Rack => {
                 let machines = &topology.machines;
-                let hit = machines[rng.random_range(0..machines.len())];
-                let in_rack = |m: usize| machines[m].zone == hit.zone && machines[m].rack == hit.rack;
+                let failed = machines[rng.random_range(0..machines.len())];
+                let in_rack = |m: usize| machines[m].zone == failed.zone && machines[m].rack == failed.rack;
                 faults.crash_machines(in_rack, plan, rng);
             }
             Phase::Zone => {
@@ -168,7 +170,7 @@
     /// Restarts half of the machines of the largest and of the most called service.
     fn restart_halves(&mut self, plan: &Plan, topology: &Topology, rng: &mut SmallRng) {
         let services = &topology.services;
-        let called = topology.called();
+        let called = topology.called_services();
         let largest = called.iter().copied().max_by_key(|s| (services[*s].machines.len(), usize::MAX - s));
         let most_called = called.iter().copied().max_by_key(|s| (services[*s].callers.len(), usize::MAX - s));
         self.services = largest.into_iter().collect();
@@ -182,7 +184,8 @@
         }
     }
 
-    /// The changes of a service's endpoint list in the order in which discovery publishes them.
+    /// Returns the changes of a service's endpoint list in the order in which discovery publishes the
+    /// changes.
     #[must_use]
     pub fn changes(&self, service: usize, topology: &Topology) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
@@ -213,13 +216,13 @@
         changes
     }
 
-    /// Whether a machine's backend is in service at a time.
+    /// Returns whether the backend of a machine is in service at a time.
     #[must_use]
     pub fn in_service(&self, machine: usize, at: Time) -> bool {
         self.outages[machine].is_none_or(|outage| !(outage.drain..outage.up).contains(&at))
     }
 
-    /// Whether two zones cannot reach each other at a time.
+    /// Returns whether two zones cannot reach each other at a time.
     #[must_use]
     pub fn partitioned(&self, zone: usize, other: usize, at: Time, topology: &Topology) -> bool {
         self.partition.is_some_and(|partition| {
@@ -228,7 +231,7 @@
         })
     }
 
-    /// The first time from `at` on at which a zone can reach discovery.
+    /// Returns the first time from `at` on at which a zone can reach discovery, in seconds.
     #[must_use]
     pub fn discovery_reachable_from(&self, zone: usize, at: Time, topology: &Topology) -> Time {
         match self.partition {
--- a/crates/fleet-bench/src/fleet/memory.rs
+++ b/crates/fleet-bench/src/fleet/memory.rs
@@ -8,15 +8,16 @@
 use crate::report::{Table, Value};
 use balancer::{Balancer, EndpointUpdate, Event};
 
-/// Balancers of a role that exist at once while their memory is measured.
+/// Number of balancers of a role that exist at once while the memory is measured.
 const BALANCERS_PER_ROLE: usize = 200;
 
-/// Table of the memory of a balancer of each role that has its endpoint list: the growth of the
-/// process for each of many balancers.
+/// Measures the memory of a balancer of each role that has received its endpoint list: the growth of the
+/// process by many balancers, divided by their number.
 ///
 /// # Errors
-/// The system does not report the memory of this process.
-pub fn table(plan: &Plan, topology: &Topology, roles: &Roles) -> Result<Table, Error> {
+///
+/// Returns [`Error::Failed`] if the system does not report the memory of this process.
+pub fn measure(plan: &Plan, topology: &Topology, roles: &Roles) -> Result<Table, Error> {
     let columns = ["role", "backends listed", "callers", "bytes per balancer"];
     let mut table = Table::new("Memory of one balancer with its endpoint list, before any call", &columns);
     // Kept to the end: the next role would reuse memory that is freed, and show no growth.
@@ -44,7 +45,7 @@
     Ok(table)
 }
 
-/// Resident memory of this process, in bytes.
+/// Returns the resident memory of this process, in bytes.
 fn resident_bytes() -> Result<u64, Error> {
     let memory = procfs::process::Process::myself().and_then(|process| process.statm());
     let memory = memory.map_err(|e| Error::Failed(format!("memory of this process: {e}")))?;
--- a/crates/fleet-bench/src/fleet/observations.rs
+++ b/crates/fleet-bench/src/fleet/observations.rs
@@ -1,4 +1,4 @@
-//! What is observed of one caller during a phase.
+//! Observations of one caller during a phase.
 
 use super::counts::Counts;
 use super::recording::Recording;
@@ -19,7 +19,7 @@
 }
 
 impl StateSize {
-    /// The maximum of each size.
+    /// Returns the maximum of each size.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -35,16 +35,16 @@
 pub struct SubsetMember {
     /// The index of the sample.
     pub sample: u32,
-    /// The index of the backend in its service.
+    /// The index of the backend in the service.
     pub backend: u32,
 }
 
 /// An attempt to a backend that was warming up.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartAttempt {
-    /// The index of the backend in its service.
+    /// The index of the backend in the service.
     pub backend: u32,
-    /// When it was sent.
+    /// Time of the send, in seconds.
     pub sent: Time,
 }
 
@@ -53,10 +53,10 @@
 pub struct CallerObservations {
     /// Counts of the window.
     pub counts: Counts,
-    /// For each endpoint change, the time from its occurrence until this caller was notified, in
-    /// seconds; none where the caller was not running all the time in between.
+    /// For each endpoint change, the time from the change until this caller was notified, in seconds;
+    /// `None` if the caller was not running all the time in between.
     pub update_delays: Vec<Option<f32>>,
-    /// The members of its subset at each sample.
+    /// The members of the balancer's subset at each sample.
     pub subset_members: Vec<SubsetMember>,
     /// The attempts to backends that were warming up.
     pub slow_start_attempts: Vec<SlowStartAttempt>,
@@ -64,6 +64,6 @@
     pub warm_up_attempts: Vec<u32>,
     /// The maxima over all samples.
     pub peak_state: StateSize,
-    /// The events of its balancer, if they were to be recorded.
+    /// The events of the balancer, if the caller is recorded.
     pub recording: Option<Recording>,
 }
--- a/crates/fleet-bench/src/fleet/phase.rs
+++ b/crates/fleet-bench/src/fleet/phase.rs
@@ -1,4 +1,4 @@
-//! Simulates a phase: all callers of all services in parallel, and what they observed together.
+//! Simulates a phase: all callers of all services in parallel, and the results of all callers together.
 
 use super::caller;
 use super::counts::Counts;
@@ -15,11 +15,12 @@
 /// Simulates a phase.
 ///
 /// # Errors
-/// The first error of a caller.
+///
+/// Returns the first error of a caller.
 pub fn simulate(context: PhaseContext<'_>, roles: &Roles) -> Result<PhaseResult, Error> {
     let PhaseContext { phase, topology, faults, .. } = context;
     let mut order = faults.services.clone();
-    // The longest work first, so that no thread is left with it at the end.
+    // The longest work first, so that at the end no thread works alone.
     order.sort_by(|a, b| topology.services[*b].rate.total_cmp(&topology.services[*a].rate).then(a.cmp(b)));
     let simulate = |service: &usize| simulate_service(&Scenario::new(context, *service), roles);
     let services = order.par_iter().with_max_len(1).map(simulate).collect::<Result<_, _>>()?;
@@ -59,10 +60,11 @@
     })
 }
 
-/// The callers that are recorded: some that have no outage, if the service has a role.
+/// Returns the indices of the callers that are recorded: some callers without an outage, if the service
+/// has a role.
 fn recorded_callers(scenario: &Scenario<'_>, roles: &Roles) -> Vec<usize> {
     let PhaseContext { plan, faults, .. } = scenario.context;
-    if !roles.include(scenario.service_index) {
+    if !roles.contains(scenario.service_index) {
         return Vec::new();
     }
     let callers = scenario.service().callers.iter().enumerate();
@@ -81,7 +83,7 @@
     mean
 }
 
-/// The propagation of an endpoint change; none if no caller was notified.
+/// Returns the propagation of an endpoint change; `None` if no caller was notified.
 fn propagation(callers: &[CallerObservations], change: usize) -> Option<Propagation> {
     let mut delays: Vec<f32> = callers.iter().filter_map(|caller| caller.update_delays[change]).collect();
     if delays.is_empty() {
--- a/crates/fleet-bench/src/fleet/plan.rs
+++ b/crates/fleet-bench/src/fleet/plan.rs
@@ -271,13 +271,13 @@
     }
 }
 
-fn check_count(name: &'static str, got: usize, most: usize) -> Result<(), Error> {
-    check_range(name, got as f64, 1.0, most as f64)
+fn check_count(name: &'static str, got: usize, max: usize) -> Result<(), Error> {
+    check_range(name, got as f64, 1.0, max as f64)
 }
 
-fn check_range(name: &'static str, got: f64, least: f64, most: f64) -> Result<(), Error> {
-    if (least..=most).contains(&got) {
+fn check_range(name: &'static str, got: f64, min: f64, max: f64) -> Result<(), Error> {
+    if (min..=max).contains(&got) {
         return Ok(());
     }
-    Err(Error::Range { name, least, most, got })
+    Err(Error::Range { name, min, max, got })
 }
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -1,5 +1,5 @@
-//! The processor time that a balancer takes, measured by replaying what some callers of each role
-//! recorded, without the simulation.
+//! Measures the processor time of a balancer, by a replay of the recorded events of some callers of each
+//! role without the simulation.
 
 use super::plan::Plan;
 use super::recording::{Record, Recording};
@@ -29,7 +29,7 @@
 /// Processor time of the events of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct EventTimes {
-    /// Their sum, in seconds.
+    /// Sum of the processor times, in seconds.
     total: f64,
     /// The number of events.
     count: usize,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Replays recordings, and measures what happens from the virtual time `measure_from` on.
+/// A replay of a recording, measured from the virtual time `measure_from` on.
 struct Replay<'a> {
     recording: &'a Recording,
     records: Peekable<Iter<'a, Record>>,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Replays all records and adds up their processor time: events of calls in batches, each
-    /// endpoint update by itself.
+    /// Replays all records and adds up the processor time: events of calls in batches, each endpoint
+    /// update separately.
     fn run(mut self, time: &mut ProcessorTime) {
         while let Some(record) = self.records.next() {
             match record {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Replays an event of a call and those that follow it.
+    /// Replays an event of a call and the events of calls that follow, as one batch.
     fn replay_batch(&mut self, at: Time, event: Event<'static>, time: &mut ProcessorTime) {
         let started = thread_time();
         self.handle(at, event);
@@ -116,8 +116,8 @@
     }
 }
 
-/// Table of the processor time of each role in each phase.
-pub fn table(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Table {
+/// Returns the table of the processor time of each role in each phase.
+pub fn measure(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
         "role",
--- a/crates/fleet-bench/src/fleet/random.rs
+++ b/crates/fleet-bench/src/fleet/random.rs
@@ -3,9 +3,9 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Derives the seed of an independent random stream from what the stream is for (`SplitMix64`).
+/// Derives the seed of an independent random stream from the numbers of its purpose (`SplitMix64`).
 #[must_use]
-pub fn seed(purpose: &[u64]) -> u64 {
+pub fn derive_seed(purpose: &[u64]) -> u64 {
     purpose.iter().fold(0, |state, part| {
         let mut z = (state ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -15,12 +15,12 @@
 }
 
 /// Draws from the standard normal distribution (Box and Muller).
-pub fn normal(rng: &mut SmallRng) -> f64 {
+pub fn draw_normal(rng: &mut SmallRng) -> f64 {
     let radius = (-2.0 * (1.0 - rng.random::<f64>()).ln()).sqrt();
     radius * (std::f64::consts::TAU * rng.random::<f64>()).cos()
 }
 
 /// Draws from the exponential distribution of mean 1.
-pub fn exponential(rng: &mut SmallRng) -> f64 {
+pub fn draw_exponential(rng: &mut SmallRng) -> f64 {
     -(1.0 - rng.random::<f64>()).ln()
 }
--- a/crates/fleet-bench/src/fleet/recording.rs
+++ b/crates/fleet-bench/src/fleet/recording.rs
@@ -1,4 +1,4 @@
-//! The events that a balancer handled, recorded so that they can be replayed without the simulation.
+//! The events of a balancer, recorded for a replay without the simulation.
 
 use balancer::{Endpoint, EndpointUpdate, Event, Settings, Time};
 
@@ -18,9 +18,9 @@
 }
 
 impl Record {
-    /// The record of an endpoint update.
+    /// Creates the record of an endpoint update.
     #[must_use]
-    pub fn endpoints(now: Time, update: EndpointUpdate<'_>) -> Self {
+    pub fn of_update(now: Time, update: EndpointUpdate<'_>) -> Self {
         match update {
             EndpointUpdate::Changes(list) => Self::Changes(now, list.to_vec()),
             EndpointUpdate::Full(list) => Self::Full(now, list.to_vec()),
@@ -35,14 +35,14 @@
 pub struct Recording {
     /// Seed of the balancer.
     pub seed: u64,
-    /// Its settings.
+    /// Settings of the balancer.
     pub settings: Settings,
     /// The records in order.
     pub records: Vec<Record>,
 }
 
 impl Recording {
-    /// An empty recording of a balancer with this seed and these settings.
+    /// Creates an empty recording of a balancer with this seed and these settings.
     #[must_use]
     pub fn new(seed: u64, settings: Settings) -> Self {
         Self { seed, settings, records: Vec::new() }
--- a/crates/fleet-bench/src/fleet/results.rs
+++ b/crates/fleet-bench/src/fleet/results.rs
@@ -16,7 +16,7 @@
 }
 
 impl PhaseResult {
-    /// The counts of all callers.
+    /// Returns the sum of the counts of all callers.
     #[must_use]
     pub fn total(&self) -> Counts {
         let mut total = Counts::default();
@@ -26,7 +26,7 @@
         total
     }
 
-    /// The result of one service, if it was simulated.
+    /// Returns the result of one service; `None` if the service was not simulated.
     #[must_use]
     pub fn service(&self, index: usize) -> Option<&ServiceResult> {
         self.services.iter().find(|result| result.service == index)
@@ -42,16 +42,16 @@
     pub crashed: usize,
 }
 
-/// What the callers of a service observed.
+/// Results of the callers of a service.
 #[derive(Debug)]
 pub struct ServiceResult {
     /// The index of the service.
     pub service: usize,
-    /// The counts of all its callers.
+    /// The sum of the counts of all callers.
     pub counts: Counts,
     /// The propagation of each endpoint change that some caller was notified of.
     pub propagations: Vec<Propagation>,
-    /// The coverage of its backends by the subsets of its callers.
+    /// The coverage of the backends by the subsets of the callers.
     pub coverage: Coverage,
     /// The peak load of each backend that warmed up.
     pub slow_starts: Vec<SlowStartPeak>,
@@ -65,11 +65,11 @@
 /// were notified, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Propagation {
-    /// Until half of the callers were.
+    /// Time until half of the callers were notified.
     pub half: f32,
-    /// Until 99% of them were.
+    /// Time until 99% of the callers were notified.
     pub percent_99: f32,
-    /// Until all were.
+    /// Time until all callers were notified.
     pub all: f32,
 }
 
@@ -82,12 +82,13 @@
     pub long_unassigned: usize,
 }
 
-/// The backends in service at a sample, without those that callers need not know yet.
+/// The backends in service at a sample, without started backends of which callers need not be notified
+/// yet.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CoverageSample {
-    /// All of them.
+    /// Number of all backends in service.
     pub in_service: usize,
-    /// Those in no caller's subset.
+    /// Number of backends in service that are in no caller's subset.
     pub unassigned: usize,
 }
 
@@ -98,12 +99,12 @@
     }
 }
 
-/// The peak load of a backend while it was warming up.
+/// The peak load of a backend in slow start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStartPeak {
     /// Attempts of all callers within one overload window.
     pub attempts: usize,
-    /// The same over the budget of that window.
+    /// The attempts divided by the budget of that window.
     pub budget_ratio: f64,
 }
 
--- a/crates/fleet-bench/src/fleet/roles.rs
+++ b/crates/fleet-bench/src/fleet/roles.rs
@@ -1,26 +1,26 @@
-//! The services whose callers are examined more closely.
+//! Roles: services whose callers are examined more closely.
 
 use super::topology::Topology;
 
 /// A service that stands for a kind of services.
 #[derive(Clone, Copy, Debug)]
 pub struct Role {
-    /// Its name in reports.
+    /// Name of the role in reports.
     pub name: &'static str,
     /// The service.
     pub service: usize,
 }
 
-/// All roles; one service may have several.
+/// All roles; a service may have several.
 #[derive(Debug)]
 pub struct Roles([Role; 3]);
 
 impl Roles {
-    /// Finds them among the services that are called.
+    /// Selects the service of each role among the called services.
     #[must_use]
     pub fn new(topology: &Topology) -> Self {
         let services = &topology.services;
-        let mut called = topology.called();
+        let mut called = topology.called_services();
         called.sort_by_key(|s| (services[*s].machines.len(), services[*s].callers.len(), *s));
         let at = |rank: usize| called.get(rank).copied().unwrap_or(0);
         let most_called = called.iter().max_by_key(|s| services[**s].callers.len());
@@ -31,14 +31,14 @@
         ])
     }
 
-    /// The roles in the order in which reports show them.
+    /// Returns the roles in the order of reports.
     pub fn iter(&self) -> impl Iterator<Item = Role> + '_ {
         self.0.iter().copied()
     }
 
-    /// Whether a service has a role.
+    /// Returns whether a service has a role.
     #[must_use]
-    pub fn include(&self, service: usize) -> bool {
+    pub fn contains(&self, service: usize) -> bool {
         self.iter().any(|role| role.service == service)
     }
 }
--- a/crates/fleet-bench/src/fleet/scenario.rs
+++ b/crates/fleet-bench/src/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! What all callers of one service have in common in one phase.
+//! State that all callers of one service have in common in one phase.
 
 use super::faults::{EndpointChange, Faults};
 use super::plan::{Phase, Plan};
@@ -17,25 +17,26 @@
     pub topology: &'a Topology,
     /// The faults of the phase.
     pub faults: &'a Faults,
-    /// When the run is aborted, in real time.
+    /// Real time at which the run is aborted.
     pub abort_at: Instant,
 }
 
-/// A phase as the callers of one service see it.
+/// A phase for the callers of one service.
 #[derive(Debug)]
 pub struct Scenario<'a> {
     /// The phase.
     pub context: PhaseContext<'a>,
-    /// The index of the service that is called.
+    /// The index of the called service.
     pub service_index: usize,
-    /// The changes of its endpoint list, in the order in which discovery publishes them.
+    /// The changes of the service's endpoint list, in the order in which discovery publishes the changes.
     pub changes: Vec<EndpointChange>,
-    /// For each of its backends, when discovery first publishes that it is not in service.
+    /// For each backend of the service, the time at which discovery first publishes that the backend is
+    /// not in service, in seconds.
     pub out_of_service_since: Vec<Option<Time>>,
 }
 
 impl<'a> Scenario<'a> {
-    /// The scenario of one service.
+    /// Creates the scenario of one service.
     #[must_use]
     pub fn new(context: PhaseContext<'a>, service_index: usize) -> Self {
         let changes = context.faults.changes(service_index, context.topology);
@@ -48,7 +49,7 @@
         Self { context, service_index, changes, out_of_service_since }
     }
 
-    /// The service that is called.
+    /// Returns the called service.
     #[must_use]
     pub fn service(&self) -> &'a Service {
         &self.context.topology.services[self.service_index]
--- a/crates/fleet-bench/src/fleet/settings.rs
+++ b/crates/fleet-bench/src/fleet/settings.rs
@@ -8,7 +8,7 @@
 pub const CLASS_EFFECTS: [Effect; 3] =
     [Effect::Safe, Effect::Idempotent { group: IdempotencyGroup::All, window: 5.0 }, Effect::Unsafe];
 
-/// The settings of the caller with this index among the callers of a service.
+/// Returns the settings of the caller with this index among the callers of a service.
 #[must_use]
 pub fn caller_settings(plan: &Plan, topology: &Topology, service: usize, caller_index: usize) -> Settings {
     let callers = &topology.services[service].callers;
--- a/crates/fleet-bench/src/fleet/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/slow_start.rs
@@ -1,4 +1,5 @@
-//! The load that all callers together put on a backend that is warming up, against its budget.
+//! Measures the load of all callers together on a backend in slow start, against the budget of the
+//! backend.
 
 use super::observations::CallerObservations;
 use super::plan::Plan;
@@ -6,7 +7,7 @@
 use super::scenario::Scenario;
 use balancer::Time;
 
-/// The peak load of each backend that began to warm up, and did so to the end within the phase.
+/// Measures the peak load of each backend whose slow start lies completely within the phase.
 pub fn measure(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<SlowStartPeak> {
     let plan = scenario.context.plan;
     let mut peaks = Vec::new();
@@ -23,7 +24,7 @@
     peaks
 }
 
-/// When callers sent attempts to each backend while it was warming up.
+/// Returns the times of the attempts to each backend in slow start, in seconds.
 fn attempt_times(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<Vec<Time>> {
     let mut sent: Vec<Vec<Time>> = vec![Vec::new(); scenario.service().machines.len()];
     for attempt in callers.iter().flat_map(|caller| &caller.slow_start_attempts) {
@@ -32,8 +33,9 @@
     sent
 }
 
-/// The full capacity of a backend in attempts per second: its load before the outage, which it has
-/// borne, or its even share of the service's calls if that is more, as it is as large as the others.
+/// Returns the full capacity of a backend in attempts per second: the load before the outage, which the
+/// backend has borne, or the even fraction of the service's calls if that is more, as all backends of a
+/// service have the same size.
 fn capacity(scenario: &Scenario<'_>, callers: &[CallerObservations], backend: usize) -> f64 {
     let service = scenario.service();
     let even_share = service.rate / service.machines.len() as f64;
@@ -42,7 +44,7 @@
     even_share.max(f64::from(attempts) / (0.5 * scenario.context.plan.warm_up))
 }
 
-/// The overload window with the highest load in relation to its budget.
+/// Finds the overload window with the highest load in relation to its budget.
 fn peak_load(plan: &Plan, started: Time, capacity: f64, sent: &[Time]) -> SlowStartPeak {
     let mut peak = SlowStartPeak::default();
     let mut first = 0;
@@ -61,8 +63,9 @@
     peak
 }
 
-/// Attempts that a backend may get in a window in which it fails by overload at `overload` attempts,
-/// with two standard deviations of random arrivals and a margin of two attempts for small numbers.
+/// Returns the number of attempts that a backend may get in a window, if `overload` attempts make the
+/// backend fail: with two standard deviations of random arrivals and a margin of two attempts for small
+/// numbers.
 fn budget(overload: f64) -> f64 {
     overload + 2.0 * overload.sqrt() + 2.0
 }
--- a/crates/fleet-bench/src/fleet/tables.rs
+++ b/crates/fleet-bench/src/fleet/tables.rs
@@ -17,7 +17,7 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// All tables of the phases.
+/// Returns all tables of the phases.
 pub fn phase_tables(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Vec<Table> {
     vec![
         simulated(topology, results),
--- a/crates/fleet-bench/src/fleet/tables/calls.rs
+++ b/crates/fleet-bench/src/fleet/tables/calls.rs
@@ -4,7 +4,7 @@
 use crate::fleet::results::PhaseResult;
 use crate::report::{Table, Value};
 
-/// The results of the calls of each phase.
+/// Returns the table of the calls and attempts of each phase.
 pub fn table(results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
--- a/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
+++ b/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
@@ -11,7 +11,7 @@
 /// Services that are shown for each phase.
 const MAX_SERVICES_SHOWN: usize = 3;
 
-/// The time until the callers are notified of an endpoint change.
+/// Returns the table of the time until the callers are notified of an endpoint change.
 pub fn propagation(results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
@@ -55,7 +55,7 @@
     times
 }
 
-/// The backends in service that are in no caller's subset.
+/// Returns the table of the backends in service that are in no caller's subset.
 pub fn coverage(plan: &Plan, results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
@@ -76,7 +76,7 @@
         let samples = coverage_samples(result);
         let at = |index: usize| samples.get(index).copied().unwrap_or_default();
         let start = last_sample_before_window(plan);
-        // The first of those with most unassigned backends.
+        // The first of the samples with most unassigned backends.
         let worst = (start..samples.len()).max_by_key(|i| (at(*i).unassigned, usize::MAX - i)).unwrap_or(0);
         let end = samples.len().saturating_sub(1);
         let long_unassigned = result.services.iter().map(|service| service.coverage.long_unassigned);
@@ -98,7 +98,7 @@
     table
 }
 
-/// The coverage of all services together at each sample.
+/// Adds up the coverage of all services at each sample.
 fn coverage_samples(result: &PhaseResult) -> Vec<CoverageSample> {
     let count = result.services.iter().map(|service| service.coverage.samples.len()).min().unwrap_or(0);
     let mut sums = vec![CoverageSample::default(); count];
@@ -114,7 +114,7 @@
     ((plan.warm_up / SAMPLE_INTERVAL).ceil() as usize).saturating_sub(1)
 }
 
-/// The services with most backends in no caller's subset when the window begins.
+/// Returns the table of the services with most backends in no caller's subset at the start of the window.
 pub fn least_covered(plan: &Plan, topology: &Topology, results: &[PhaseResult]) -> Table {
     let columns = ["phase", "service", "backends in service", "in no subset", "callers"];
     let mut table = Table::new("Services with most backends in no subset, at the start", &columns);
--- a/crates/fleet-bench/src/fleet/tables/roles.rs
+++ b/crates/fleet-bench/src/fleet/tables/roles.rs
@@ -7,7 +7,7 @@
 use crate::fleet::topology::Topology;
 use crate::report::{Table, Value};
 
-/// The state and the messages of each role, and of discovery.
+/// Returns the table of the state and the messages of each role, and of discovery.
 pub fn table(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
@@ -35,7 +35,7 @@
     table
 }
 
-/// The mean over the callers of a role; none if its service was not simulated.
+/// Returns the means over the callers of a role; `None` if the service of the role was not simulated.
 fn role_row(plan: &Plan, topology: &Topology, role: Role, result: &PhaseResult) -> Option<Vec<Value>> {
     let observed = result.service(role.service)?;
     let service = topology.services.get(role.service)?;
@@ -53,7 +53,7 @@
     Some(row)
 }
 
-/// What discovery sends to all callers.
+/// Returns the row of the messages of discovery to all callers.
 fn discovery_row(plan: &Plan, topology: &Topology, result: &PhaseResult) -> Vec<Value> {
     let services = || result.services.iter().map(|service| &topology.services[service.service]);
     let mut row = vec![
--- a/crates/fleet-bench/src/fleet/tables/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/tables/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::fleet::results::{PhaseResult, SlowStartPeak};
 use crate::report::{Table, Value};
 
-/// The peak load on backends that were warming up, against their budget.
+/// Returns the table of the peak load on backends in slow start, against their budget.
 pub fn table(results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
--- a/crates/fleet-bench/src/fleet/tables/topology.rs
+++ b/crates/fleet-bench/src/fleet/tables/topology.rs
@@ -3,10 +3,10 @@
 use crate::fleet::topology::Topology;
 use crate::report::{Table, Value};
 
-/// The sizes of the fleet.
+/// Returns the table of the sizes of the fleet.
 pub fn table(topology: &Topology) -> Table {
     let services = &topology.services;
-    let called = topology.called();
+    let called = topology.called_services();
     let callers: Vec<usize> = called.iter().map(|s| services[*s].callers.len()).collect();
     let sizes: Vec<usize> = services.iter().map(|service| service.machines.len()).collect();
     let max = |counts: &[usize]| counts.iter().copied().max().unwrap_or(0);
--- a/crates/fleet-bench/src/fleet/tables/values.rs
+++ b/crates/fleet-bench/src/fleet/tables/values.rs
@@ -2,13 +2,13 @@
 
 use crate::report::Value;
 
-/// A part in percent of the total; 0 of none.
+/// Returns a count in percent of the total; 0 if the total is 0.
 pub fn percent(part: f64, total: f64) -> Value {
     Value::from(if total > 0.0 { 100.0 * part / total } else { 0.0 })
 }
 
-/// The element at a fraction of a sorted slice, from 0 for the first to 1 for the last; none if the
-/// slice is empty.
+/// Returns the element at a fraction of a sorted slice, from 0 for the first to 1 for the last; `None` if
+/// the slice is empty.
 pub fn quantile<T>(sorted: &[T], fraction: f64) -> Option<&T> {
     let index = (fraction * sorted.len() as f64) as usize;
     sorted.get(index.min(sorted.len().saturating_sub(1)))
--- a/crates/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -2,7 +2,7 @@
 
 use super::parameters::{LognormalTime, TimeRange};
 use super::plan::Plan;
-use super::random::{normal, seed};
+use super::random::{derive_seed, draw_normal};
 use balancer::{BackendId, Endpoint, Status, Time};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -11,7 +11,7 @@
 
 /// Sigma of the lognormal call rates of proxies of different services.
 const RATE_SIGMA: f64 = 0.5;
-/// Sigma of the lognormal popularity of services, beside their size.
+/// Sigma of the lognormal factor by which the popularity of a service differs from its size.
 const POPULARITY_SIGMA: f64 = 0.7;
 /// Distribution of the services' mean service times, in seconds.
 const SERVICE_TIME: LognormalTime = LognormalTime { median: 0.010, sigma: 0.7 };
@@ -23,30 +23,30 @@
 /// The machine of a backend and its proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// The service of its backend.
+    /// The index of the service of the backend.
     pub service: usize,
-    /// Its zone, from 0.
+    /// The zone of the machine, from 0.
     pub zone: usize,
-    /// Its rack within the zone, from 0.
+    /// The rack of the machine within the zone, from 0.
     pub rack: usize,
-    /// The one service that its proxy calls; none in the lowest layer.
+    /// The index of the service that the proxy calls; `None` in the lowest layer.
     pub callee: Option<usize>,
-    /// Calls per second of its proxy.
+    /// Calls per second of the proxy.
     pub rate: f64,
 }
 
 /// A service.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Its distance from the clients, from 1.
+    /// Distance of the service from the clients, from 1.
     pub layer: usize,
-    /// Its machines: a range of [`Topology::machines`].
+    /// Machines of the service: a range of [`Topology::machines`].
     pub machines: Range<usize>,
-    /// The machines whose proxies call it; the index of a proxy is its instance index.
+    /// The machines whose proxies call the service; the position of a proxy is its instance index.
     pub callers: Vec<usize>,
     /// Mean service time, in seconds.
     pub service_time: Time,
-    /// Calls per second of all its callers.
+    /// Calls per second of all callers.
     pub rate: f64,
 }
 
@@ -65,9 +65,9 @@
     /// Draws the fleet of a plan.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
-        let rng = &mut SmallRng::seed_from_u64(seed(&[plan.seed, 0]));
-        let sizes = service_sizes(plan.backends, plan.services, plan.size_skew);
-        let layers = service_layers(plan.services, plan.depth, rng);
+        let rng = &mut SmallRng::seed_from_u64(derive_seed(&[plan.seed, 0]));
+        let sizes = compute_service_sizes(plan.backends, plan.services, plan.size_skew);
+        let layers = draw_service_layers(plan.services, plan.depth, rng);
         let mut topology = Self {
             machines: Vec::with_capacity(plan.backends),
             services: Vec::with_capacity(plan.services),
@@ -79,12 +79,12 @@
         for (service, &layer) in layers.iter().enumerate() {
             topology.add_service(layer, sizes[size_order[service]], plan, rng);
         }
-        topology.connect(plan.callees_per_service, rng);
+        topology.draw_call_graph(plan.callees_per_service, rng);
         topology.set_rates(plan.rate * plan.rate_scale, rng);
         topology
     }
 
-    /// Adds a service with its machines, spread evenly over the zones from a random one on.
+    /// Adds a service with its machines, spread evenly over the zones from a random zone on.
     fn add_service(&mut self, layer: usize, size: usize, plan: &Plan, rng: &mut SmallRng) {
         let service = self.services.len();
         let first_machine = self.machines.len();
@@ -96,7 +96,7 @@
             callee: None,
             rate: 0.0,
         }));
-        let service_time = SERVICE_TIME.median * (SERVICE_TIME.sigma * normal(rng)).exp();
+        let service_time = SERVICE_TIME.median * (SERVICE_TIME.sigma * draw_normal(rng)).exp();
         self.services.push(Service {
             layer,
             machines: first_machine..self.machines.len(),
@@ -106,14 +106,14 @@
         });
     }
 
-    /// Draws the call graph: each service calls a few of lower layers, popular ones more often, and
-    /// each of its machines calls one of these.
-    fn connect(&mut self, callees_per_service: usize, rng: &mut SmallRng) {
+    /// Draws the call graph: each service calls a few services of lower layers, popular ones more often,
+    /// and each machine of a service calls one of its callees.
+    fn draw_call_graph(&mut self, callees_per_service: usize, rng: &mut SmallRng) {
         // Larger services are called more, with a random factor.
         let popularity: Vec<f64> = self
             .services
             .iter()
-            .map(|service| service.machines.len() as f64 * (POPULARITY_SIGMA * normal(rng)).exp())
+            .map(|service| service.machines.len() as f64 * (POPULARITY_SIGMA * draw_normal(rng)).exp())
             .collect();
         let mut callees = self.draw_one_caller_each(rng);
         for (service, callees) in callees.iter_mut().enumerate() {
@@ -140,8 +140,8 @@
         callees
     }
 
-    /// Assigns to each machine of a service the callee of its proxy: the first machines get one
-    /// callee each, so that each callee has a caller, the others by popularity.
+    /// Assigns to each machine of a service the callee of its proxy. The first machines get one callee
+    /// each, so that each callee has a caller; the other machines draw a callee by popularity.
     fn assign_callees(&mut self, service: usize, callees: &[usize], popularity: &[f64], rng: &mut SmallRng) {
         for (i, machine) in self.services[service].machines.clone().enumerate() {
             let drawn = draw_weighted(callees, popularity, rng);
@@ -157,9 +157,9 @@
         (0..self.services.len()).filter(|index| selected(&self.services[*index])).collect()
     }
 
-    /// Draws the call rates of the proxies, so that they sum up to `total` calls per second.
+    /// Draws the call rates of the proxies, with a sum of `total` calls per second.
     fn set_rates(&mut self, total: f64, rng: &mut SmallRng) {
-        let factors: Vec<f64> = self.services.iter().map(|_| (RATE_SIGMA * normal(rng)).exp()).collect();
+        let factors: Vec<f64> = self.services.iter().map(|_| (RATE_SIGMA * draw_normal(rng)).exp()).collect();
         let callers = self.machines.iter().filter(|machine| machine.callee.is_some());
         let sum: f64 = callers.map(|machine| factors[machine.service]).sum();
         for machine in &mut self.machines {
@@ -170,19 +170,19 @@
         }
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone.
     #[must_use]
     pub fn region(&self, zone: usize) -> usize {
         zone / self.zones_per_region
     }
 
-    /// The services that some proxy calls.
+    /// Returns the indices of the services that some proxy calls.
     #[must_use]
-    pub fn called(&self) -> Vec<usize> {
+    pub fn called_services(&self) -> Vec<usize> {
         self.services_where(|service| !service.callers.is_empty())
     }
 
-    /// The endpoint of a machine's backend, in service since before the run.
+    /// Returns the endpoint of a machine's backend, in service since before the run.
     #[must_use]
     pub fn endpoint(&self, machine: usize) -> Endpoint {
         let zone = self.machines[machine].zone as u32;
@@ -190,14 +190,14 @@
         Endpoint { id, cell: zone, zone, weight: 1.0, status: Status::InService, started_at: None }
     }
 
-    /// The endpoint list of a service before the first fault.
+    /// Returns the endpoint list of a service before the first fault.
     #[must_use]
     pub fn endpoints(&self, service: usize) -> Vec<Endpoint> {
         self.services[service].machines.clone().map(|machine| self.endpoint(machine)).collect()
     }
 }
 
-/// Draws one of the services in proportion to its weight; none if the list is empty.
+/// Draws one of the services in proportion to its weight; returns `None` if the list is empty.
 fn draw_weighted(services: &[usize], weights: &[f64], rng: &mut SmallRng) -> Option<usize> {
     let sum: f64 = services.iter().map(|service| weights[*service]).sum();
     let mut remaining = rng.random::<f64>() * sum;
@@ -207,9 +207,10 @@
     })
 }
 
-/// Sizes of `services` services with `backends` backends in all, at least 2 each, the largest first:
-/// beyond the 2 they fall with the `skew`-th power of the rank, as sizes in large fleets do.
-fn service_sizes(backends: usize, services: usize, skew: f64) -> Vec<usize> {
+/// Returns the sizes of `services` services with `backends` backends in total, at least 2 each, the
+/// largest first. The backends beyond these 2 fall with the `skew`-th power of the rank, as sizes in
+/// large fleets do.
+fn compute_service_sizes(backends: usize, services: usize, skew: f64) -> Vec<usize> {
     let to_distribute = backends.saturating_sub(2 * services) as f64;
     let last_weight = (services as f64).powf(-skew);
     let weight = |rank: usize| ((rank + 1) as f64).powf(-skew) - last_weight;
@@ -226,8 +227,8 @@
     (0..services).map(size).collect()
 }
 
-/// The layer of each service, from 1: fewer services in deeper layers, and at least one in each.
-fn service_layers(services: usize, depth: usize, rng: &mut SmallRng) -> Vec<usize> {
+/// Draws the layer of each service, from 1: fewer services in deeper layers, and at least one in each.
+fn draw_service_layers(services: usize, depth: usize, rng: &mut SmallRng) -> Vec<usize> {
     let mut layers: Vec<usize> = (1..=depth.min(services)).collect();
     while layers.len() < services {
         // The smaller of two uniform draws has a density that falls linearly.
--- a/crates/fleet-bench/src/instance.rs
+++ b/crates/fleet-bench/src/instance.rs
@@ -16,11 +16,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Lifecycle {
-    /// It accepts requests.
+    /// The instance accepts requests.
     Serving,
-    /// It completes the requests that it has, and accepts no new ones.
+    /// The instance completes the requests in progress, and accepts no new ones.
     Draining,
-    /// It is gone. Only lists of changes contain it.
+    /// The instance is gone. Only lists of changes contain deleted instances.
     Deleted,
 }
 
@@ -28,28 +28,28 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
-    /// Its id.
+    /// Id of the instance.
     pub instance_id: String,
-    /// The address on which it listens.
+    /// Address on which the instance listens.
     pub host_port: SocketAddr,
-    /// Its zone.
+    /// Zone of the instance.
     pub zone: &'static str,
-    /// Its machine type.
+    /// Machine type of the instance.
     pub machine_type: &'static str,
-    /// Its cell.
+    /// Cell of the instance.
     pub cell: usize,
-    /// Its lifecycle state.
+    /// Lifecycle state of the instance.
     pub lifecycle: Lifecycle,
-    /// Its capacity relative to that of the others.
+    /// Capacity relative to that of the other instances.
     pub weight: f64,
-    /// Its last start, in milliseconds of Unix time; 0 stands for long ago.
+    /// Last start of the instance, in milliseconds of Unix time; 0 stands for long ago.
     pub started_at_ms: u64,
 }
 
 impl Instance {
     fn serving(number: usize, host_port: SocketAddr) -> Self {
         Self {
-            // Ids differ as much as those in the operators' example.
+            // The ids differ as much as the ids in the operators' example.
             instance_id: format!("s-{:08x}", (number as u32).wrapping_mul(ID_MULTIPLIER)),
             host_port,
             zone: ZONES[number % ZONES.len()],
@@ -62,12 +62,12 @@
     }
 }
 
-/// Serving instances at these addresses, spread over zones and cells.
-pub fn instances_at(addresses: impl Iterator<Item = SocketAddr>) -> Vec<Instance> {
+/// Creates serving instances at these addresses, spread over zones and cells.
+pub fn create_instances(addresses: impl Iterator<Item = SocketAddr>) -> Vec<Instance> {
     addresses.enumerate().map(|(number, address)| Instance::serving(number, address)).collect()
 }
 
-/// A list as it is sent: the full one or what has changed.
+/// A list on the wire: the full list, or the changed instances.
 #[derive(Debug, Serialize)]
 pub struct InstanceList<'a> {
     /// The version of the list.
@@ -79,7 +79,7 @@
 }
 
 impl<'a> InstanceList<'a> {
-    /// The full list in its first version, with which a proxy is started.
+    /// Creates the full list in its first version, with which a proxy is started.
     #[must_use]
     pub fn initial(instances: &'a [Instance]) -> Self {
         Self { generation: FIRST_VERSION, reset: true, instances: instances.iter().collect() }
--- a/crates/fleet-bench/src/latency.rs
+++ b/crates/fleet-bench/src/latency.rs
@@ -7,12 +7,13 @@
 /// Significant decimal digits of a recorded value.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of latencies in microseconds. Larger ones than its maximum count as the maximum.
+/// A histogram of latencies in microseconds. A latency above the maximum of the histogram counts as the
+/// maximum.
 #[derive(Debug)]
 pub struct LatencyHistogram(Histogram<u64>);
 
 impl LatencyHistogram {
-    /// An empty histogram that distinguishes latencies up to `max`.
+    /// Creates an empty histogram that distinguishes latencies up to `max`.
     ///
     /// # Errors
     ///
@@ -26,31 +27,31 @@
         self.0.saturating_record(latency.as_micros() as u64);
     }
 
-    /// How many latencies were recorded.
+    /// Returns the number of recorded latencies.
     #[must_use]
     pub fn len(&self) -> u64 {
         self.0.len()
     }
 
-    /// True if none was recorded.
+    /// Returns whether no latency was recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The latency at a quantile between 0 and 1, in milliseconds; NaN if none was recorded.
+    /// Returns the latency at a quantile between 0 and 1, in milliseconds; NaN if none was recorded.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if self.is_empty() { f64::NAN } else { self.0.value_at_quantile(quantile) as f64 / 1e3 }
     }
 
-    /// The largest latency, in milliseconds; 0 if none was recorded.
+    /// Returns the largest latency, in milliseconds; 0 if none was recorded.
     #[must_use]
     pub fn max_ms(&self) -> f64 {
         self.0.max() as f64 / 1e3
     }
 
-    /// How many latencies lie between two values in microseconds, both included.
+    /// Returns the number of latencies between two values in microseconds, both included.
     #[must_use]
     pub fn count_between_us(&self, low: u64, high: u64) -> u64 {
         self.0.count_between(low, high)
--- a/crates/fleet-bench/src/main.rs
+++ b/crates/fleet-bench/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// Scale tests of the proxy: each command measures one thing, bounded in count and time.
+/// Scale tests of the proxy; each command is bounded in count and time.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -22,17 +22,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// The decision module alone: processor time and state by size
+    /// Measures processor time and state of the decision module by the size of a deployment
     Slopes(slopes::Args),
-    /// Real proxies against a stub discovery server: what it costs to keep lists up to date
+    /// Measures the cost of up-to-date lists and settings with real proxies and a stub discovery server
     Control(control::Args),
-    /// A simulated fleet on virtual time: the real decision module, thousands of times
+    /// Simulates a fleet of thousands of balancers with faults on virtual time
     Fleet(fleet::Args),
-    /// The latency that the real proxy adds to a call
+    /// Measures the latency that the real proxy adds to a call
     Added(added::Args),
 }
 
-/// Runs the command and writes its report as JSON if a file is given.
+/// Runs the command, and writes the report as JSON if a file is given.
 fn run(cli: &Cli) -> Result<Report, Error> {
     let report = match &cli.command {
         Command::Slopes(args) => slopes::run(args),
--- a/crates/fleet-bench/src/plan.rs
+++ b/crates/fleet-bench/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what a command runs, from an experiment file and from arguments that override it.
+//! Plans: the experiment file of a command, and the arguments that override its values.
 
 use crate::error::Error;
 use serde::de::DeserializeOwned;
@@ -9,10 +9,10 @@
 /// The longest run that a plan may take, in seconds.
 const MAX_RUN_SECONDS: f64 = 3_600.0;
 
-/// Arguments of every command: the source of its plan.
+/// Arguments of every command: the source of the plan.
 #[derive(clap::Args, Clone, Debug, Default)]
 pub struct Source {
-    /// Experiment file (TOML) with the plan; other arguments override it
+    /// Experiment file (TOML) with the plan; other arguments override its values
     #[arg(long, value_name = "FILE")]
     pub experiment: Option<PathBuf>,
     /// Seed of all random draws
@@ -21,18 +21,19 @@
 }
 
 impl Source {
-    /// Reads the plan of a command from the experiment file. Without one it is the default.
+    /// Reads the plan of a command from the experiment file, or returns the default plan without a file.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::File`] if the file cannot be read, and [`Error::Experiment`] if it is not a
+    /// Returns [`Error::File`] if the file cannot be read, and [`Error::Experiment`] if the file is not a
     /// plan of this command.
     pub fn read<P: DeserializeOwned + Default>(&self) -> Result<P, Error> {
         self.experiment.as_deref().map_or_else(|| Ok(P::default()), read)
     }
 }
 
-/// Unknown keys are an error: a misspelt one would silently measure something else.
+/// Reads an experiment file. An unknown key is an error, as a misspelt key would silently measure
+/// something else.
 fn read<P: DeserializeOwned>(path: &Path) -> Result<P, Error> {
     let text =
         std::fs::read_to_string(path).map_err(|error| Error::File { path: path.to_path_buf(), error })?;
@@ -50,18 +51,18 @@
     /// The source of the plan
     #[command(flatten)]
     pub source: Source,
-    /// A small plan, of less than half a minute
+    /// Run a small plan, which takes less than half a minute
     #[arg(long, conflicts_with = "experiment")]
     pub quick: bool,
-    /// Sizes of the list
+    /// Sizes of the endpoint list
     #[arg(long, value_delimiter = ',', value_name = "N,...")]
     pub listed: Option<Vec<usize>>,
-    /// The proxy's program, if it is not beside this one
+    /// Program of the proxy [default: `balancer-proxy` beside this program]
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
 }
 
-/// Replaces a value of a plan by that of an argument, if it was given.
+/// Replaces a value of a plan by the value of an argument, if the argument was given.
 pub fn override_with<T: Clone>(value: &mut T, argument: Option<&T>) {
     if let Some(argument) = argument {
         value.clone_from(argument);
@@ -72,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Argument`] with the first value that is not.
+/// Returns [`Error::Argument`] with the first value that is out of range.
 pub fn check_range<T: PartialOrd + Display>(
     name: &'static str,
     expected: &'static str,
@@ -89,7 +90,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Argument`] if it takes longer.
+/// Returns [`Error::Argument`] if the plan takes longer.
 pub fn check_run_time(seconds: f64) -> Result<(), Error> {
     if seconds > MAX_RUN_SECONDS {
         let got = format!("{seconds:.0} s");
--- a/crates/fleet-bench/src/proxy.rs
+++ b/crates/fleet-bench/src/proxy.rs
@@ -1,5 +1,5 @@
-//! Real proxies as child processes: started with their own configuration, measured through procfs,
-//! and killed when they are dropped.
+//! Real proxies as child processes, started with their own configuration, measured through procfs, and
+//! killed on drop.
 
 mod config;
 
@@ -29,12 +29,12 @@
 const LOG_FILE: &str = "log";
 const READY_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n";
 
-/// The path of the proxy's program: `named`, or the one beside this program.
+/// Returns the path of the proxy's program: `named`, or `balancer-proxy` beside this program.
 ///
 /// # Errors
 ///
 /// Returns [`Error::ProgramMissing`] if there is no such file.
-pub fn program_path(named: Option<&Path>) -> Result<PathBuf, Error> {
+pub fn find_program(named: Option<&Path>) -> Result<PathBuf, Error> {
     let path = match named {
         Some(path) => path.to_path_buf(),
         None => std::env::current_exe()?.with_file_name("balancer-proxy"),
@@ -42,7 +42,7 @@
     if path.is_file() { Ok(path) } else { Err(Error::ProgramMissing { path }) }
 }
 
-/// How a proxy is started.
+/// Options of the start of a proxy.
 pub struct ProxyOptions<'a> {
     /// The program.
     pub program: &'a Path,
@@ -52,11 +52,11 @@
     pub management: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// The content of its configuration file.
+    /// Content of the configuration file.
     pub config: ProxyConfig<'a>,
 }
 
-/// A proxy process. Dropping it kills the process and removes its directory.
+/// A proxy process. Dropping the value kills the process and removes its directory.
 pub struct ProxyProcess {
     command: Command,
     child: Child,
@@ -67,7 +67,7 @@
 }
 
 impl ProxyProcess {
-    /// Starts a proxy without waiting until it is ready.
+    /// Starts a proxy without a wait for its readiness.
     ///
     /// # Errors
     ///
@@ -94,29 +94,29 @@
         Ok(Self { command, child, process, directory, listen, management })
     }
 
-    /// The address to which clients connect.
+    /// Returns the address to which clients connect.
     #[must_use]
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
 
-    /// The path of its configuration file.
+    /// Returns the path of the configuration file.
     #[must_use]
     pub fn config_path(&self) -> PathBuf {
         self.directory.path().join(CONFIG_FILE)
     }
 
-    /// Sends SIGHUP, by which it reads its configuration file again.
+    /// Sends SIGHUP, on which the proxy reads its configuration file again.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Io`] if the process is gone.
     pub fn reload(&self) -> Result<(), Error> {
-        // Its end has not been waited for, so the id is still its own.
+        // The child has not been waited for, so that its id is not yet in use by another process.
         Ok(kill_process(Pid::from_child(&self.child), Signal::HUP).map_err(std::io::Error::from)?)
     }
 
-    /// Kills it by SIGKILL. Its files remain.
+    /// Kills the process by SIGKILL. The files of the process remain.
     ///
     /// # Errors
     ///
@@ -127,7 +127,7 @@
         Ok(())
     }
 
-    /// Starts a killed proxy again with the same options, without waiting until it is ready.
+    /// Starts a killed proxy again with the same options, without a wait for its readiness.
     ///
     /// # Errors
     ///
@@ -137,11 +137,11 @@
         Ok(())
     }
 
-    /// Waits until it is ready.
+    /// Waits until the proxy is ready.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::ProxyEnded`] or [`Error::ProxyNotReady`] if it does not become ready, and
+    /// Returns [`Error::ProxyEnded`] or [`Error::ProxyNotReady`] if the proxy does not become ready, and
     /// [`Error::Interrupted`] once a signal has arrived.
     pub fn wait_until_ready(&mut self, shutdown: &ShutdownSignal) -> Result<(), Error> {
         let deadline = Instant::now() + READY_TIMEOUT;
@@ -169,7 +169,7 @@
         log.lines().last().unwrap_or("its log is empty").to_string()
     }
 
-    /// Reads what the process uses.
+    /// Reads the usage of the process.
     ///
     /// # Errors
     ///
@@ -223,7 +223,8 @@
     read_to_end(stream)
 }
 
-/// Makes a management call, which the proxy executes once the client has closed its sending side.
+/// Makes a management call, which the proxy executes once the client has closed the sending side of the
+/// connection.
 fn management_call(address: SocketAddr, call: &str) -> std::io::Result<String> {
     let mut stream = connect(address)?;
     stream.write_all(call.as_bytes())?;
--- a/crates/fleet-bench/src/proxy/config.rs
+++ b/crates/fleet-bench/src/proxy/config.rs
@@ -5,17 +5,17 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// How a proxy obtains its instance list.
+/// Mode in which a proxy obtains its instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistryMode {
-    /// It is started with the list and watches it.
+    /// The proxy is started with the list and watches for changes.
     Automatic,
-    /// It has to request the list by itself.
+    /// The proxy polls for the list by itself.
     Subscribe,
 }
 
 impl RegistryMode {
-    /// The name in the settings and in reports.
+    /// Returns the name of the mode in the settings and in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -25,17 +25,18 @@
     }
 }
 
-/// What the configuration of one proxy depends on.
+/// Parameters of the configuration of one proxy.
 pub struct ProxyConfig<'a> {
-    /// Its index among the proxies of the run.
+    /// Index of the proxy among the proxies of the run.
     pub index: usize,
-    /// The number of proxies in its tier, whether or not they run: they divide the list into subsets.
+    /// Number of proxies in the tier, whether or not the others run, by which the list is divided into
+    /// subsets.
     pub tier_size: usize,
-    /// The seed of its random numbers.
+    /// Seed of the proxy's random numbers.
     pub seed: u64,
-    /// How it obtains its instance list.
+    /// Mode in which the proxy obtains its instance list.
     pub registry_mode: RegistryMode,
-    /// The list with which it is started.
+    /// The list with which the proxy is started.
     pub instances: &'a InstanceList<'a>,
 }
 
@@ -49,17 +50,17 @@
 }
 
 impl ProxyConfig<'_> {
-    /// The proxy's name.
+    /// Returns the name of the proxy.
     #[must_use]
     pub fn name(&self) -> String {
         format!("n{}", self.index)
     }
 
-    /// The content of the configuration file.
+    /// Returns the content of the configuration file.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Json`] if it cannot be serialized.
+    /// Returns [`Error::Json`] if the content cannot be serialized.
     pub fn to_json(&self) -> Result<Vec<u8>, Error> {
         let file = ConfigFile {
             name: self.name(),
@@ -71,7 +72,7 @@
         serde_json::to_vec(&file).map_err(|error| Error::Json { what: "configuration", error })
     }
 
-    /// The settings of a service in a later tier, where each caller has its own proxy.
+    /// Returns the settings of a service in a later tier, where each caller has its own proxy.
     fn settings(&self) -> Value {
         let class = |name: &str, effect: &str| {
             json!({"name": name, "effect": effect, "group": "all", "window": 5.0, "on-time": 0.5,
--- a/crates/fleet-bench/src/report.rs
+++ b/crates/fleet-bench/src/report.rs
@@ -58,10 +58,10 @@
     }
 }
 
-/// Rows of values under columns whose names contain their units, as in `"call, us"`.
+/// Rows of values under columns whose names contain their units, as in `"request, us"`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// Its title.
+    /// Title of the table.
     pub name: String,
     /// The names of the columns.
     pub columns: Vec<String>,
@@ -70,7 +70,7 @@
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(name: &str, columns: &[&str]) -> Self {
         let columns = columns.iter().map(ToString::to_string).collect();
@@ -82,7 +82,7 @@
         self.rows.push(row.into_iter().collect());
     }
 
-    /// The table as text, with columns of numbers aligned to the right.
+    /// Formats the table as text, with columns of numbers aligned to the right.
     fn formatted(&self) -> FormattedTable {
         let mut formatted = FormattedTable::new();
         formatted.load_preset(presets::NOTHING).set_header(&self.columns);
@@ -107,8 +107,8 @@
 pub struct Report {
     /// The command.
     pub command: String,
-    /// The commit of the tree in which it ran, with `-dirty` if that had changes; empty if git does
-    /// not return one.
+    /// Commit of the tree in which the command ran, with `-dirty` if the tree had changes; empty if git
+    /// does not return a commit.
     pub commit: String,
     /// The seed of all random draws.
     pub seed: u64,
@@ -116,12 +116,12 @@
     pub arguments: serde_json::Value,
     /// The results.
     pub tables: Vec<Table>,
-    /// What a reader has to know: what was not measured, and when the machine was too busy.
+    /// Notes for the reader: figures that were not measured, and times when the machine was too busy.
     pub notes: Vec<String>,
 }
 
 impl Report {
-    /// An empty report of a command that runs this plan.
+    /// Creates an empty report of a command that runs this plan.
     ///
     /// # Errors
     ///
@@ -160,7 +160,7 @@
     }
 }
 
-/// The present commit, as in [`Report::commit`].
+/// Returns the present commit, in the form of [`Report::commit`].
 fn commit() -> String {
     let git = |arguments: &[&str]| {
         let output = Command::new("git").args(arguments).output().ok()?;
--- a/crates/fleet-bench/src/request_head.rs
+++ b/crates/fleet-bench/src/request_head.rs
@@ -1,4 +1,4 @@
-//! Heads of HTTP/1.1 requests, as far as the stub servers need them.
+//! Heads of HTTP/1.1 requests, in the detail that the stub servers need.
 
 use std::io;
 use tokio::io::AsyncReadExt;
@@ -14,7 +14,7 @@
 pub struct RequestHead {
     /// Path and query.
     pub path: String,
-    /// True if it has the client's request id.
+    /// Whether the request has the request id of a client.
     pub has_request_id: bool,
     /// Size of the head, in bytes.
     pub head_bytes: usize,
@@ -23,7 +23,7 @@
 }
 
 impl RequestHead {
-    /// Removes the next head from `buffer`, reading from the stream until it is complete. Returns
+    /// Removes the next head from `buffer`, and reads from the stream until the head is complete. Returns
     /// `None` at the end of the connection.
     ///
     /// # Errors
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Parses the head at the beginning of the buffer; `None` if it is not complete.
+    /// Parses the head at the beginning of the buffer; returns `None` if the head is not complete.
     fn parse(buffer: &[u8]) -> io::Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
--- a/crates/fleet-bench/src/rollout.rs
+++ b/crates/fleet-bench/src/rollout.rs
@@ -1,5 +1,5 @@
-//! Settings rollouts: the file of each proxy is replaced and SIGHUP sent, then its `stats` are polled
-//! until the new version is in force. The same is repeated with faults that may occur meanwhile.
+//! Settings rollouts: the settings file of each proxy is replaced, SIGHUP is sent, and the `stats` of the
+//! proxy are polled until the new version is in force. Further scenarios repeat the rollout with faults.
 
 mod managed_proxy;
 mod plan;
@@ -20,7 +20,7 @@
 use scenario::{InvalidFile, KillTime, Measurement, UNOBSERVED_CHANGES_PER_SECOND};
 use std::time::Duration;
 
-/// Beyond what any latency of a rollout can be.
+/// Upper bound of the latency of any rollout.
 const MAX_LATENCY: Duration = Duration::from_secs(600);
 
 const COLUMNS: [&str; 11] = [
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// Returns [`Error::RolloutTimeout`] if a proxy does not reach the newest version in time, and
-/// [`Error::RejectedFiles`] if proxies reject other files than they should.
+/// [`Error::RejectedFiles`] if proxies reject an unexpected number of files.
 pub fn run(
     plan: &Plan,
     shutdown: &ShutdownSignal,
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-/// What a row of the report is about.
+/// A scenario, which is a row of the report.
 struct Scenario {
     name: &'static str,
     changes: usize,
@@ -90,12 +90,14 @@
     fn run_without_faults(&mut self, plan: &Plan) -> Result<(), Error> {
         let changes = plan.changes;
         let per_second = plan.changes_per_second;
-        self.run(&Scenario::new("paced", changes), |proxies| scenario::paced(proxies, changes, per_second))?;
+        self.run(&Scenario::new("paced", changes), |proxies| {
+            scenario::roll_out_paced(proxies, changes, per_second)
+        })?;
         let unobserved = (changes as f64 / per_second * UNOBSERVED_CHANGES_PER_SECOND).ceil() as usize;
         self.run(&Scenario::new("20/s, not observed", unobserved), |proxies| {
-            scenario::unobserved(proxies, unobserved)
+            scenario::roll_out_unobserved(proxies, unobserved)
         })?;
-        self.run(&Scenario::new("one burst", changes), |proxies| scenario::burst(proxies, changes))
+        self.run(&Scenario::new("one burst", changes), |proxies| scenario::roll_out_burst(proxies, changes))
     }
 
     fn run_invalid_files(&mut self) -> Result<(), Error> {
@@ -105,7 +107,7 @@
         ];
         for (name, invalid) in invalid_files {
             let scenario = Scenario { name, changes: 1, rejected_per_proxy: 1 };
-            self.run(&scenario, |proxies| scenario::after_invalid_file(proxies, invalid))?;
+            self.run(&scenario, |proxies| scenario::roll_out_after_invalid_file(proxies, invalid))?;
         }
         Ok(())
     }
@@ -124,7 +126,7 @@
             ("tenth killed, file replaced after restart", KillTime::RestartedBeforeFile),
         ];
         for (name, kill_time) in kill_times {
-            self.run(&Scenario::new(name, 1), |proxies| scenario::with_killed(proxies, kill_time))?;
+            self.run(&Scenario::new(name, 1), |proxies| scenario::roll_out_with_kills(proxies, kill_time))?;
         }
         Ok(())
     }
@@ -133,12 +135,12 @@
     fn run(
         &mut self,
         scenario: &Scenario,
-        play: impl FnOnce(&mut ProxySet<'a>) -> Result<Measurement, Error>,
+        run: impl FnOnce(&mut ProxySet<'a>) -> Result<Measurement, Error>,
     ) -> Result<(), Error> {
         tracing::info!("settings: {}", scenario.name);
         let machine = MachineLoad::now()?;
         self.proxies.reset_stats()?;
-        let measurement = play(&mut self.proxies)?;
+        let measurement = run(&mut self.proxies)?;
         let files = self.proxies.file_counts()?;
         let machine_stalled = MachineLoad::now()?.stall_since(&machine);
         let expected = scenario.rejected_per_proxy * self.proxies.len() as u64;
--- a/crates/fleet-bench/src/rollout/managed_proxy.rs
+++ b/crates/fleet-bench/src/rollout/managed_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy whose settings file is replaced while it runs.
+//! A proxy whose settings file is replaced while the proxy runs.
 
 use crate::error::Error;
 use crate::proxy::ProxyProcess;
@@ -10,7 +10,7 @@
 /// Interval between two reads of a proxy's `stats`.
 pub const STATS_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What `stats` reports about settings.
+/// The settings section of a proxy's `stats`.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub struct SettingsStats {
     /// The version in force, if the file has one.
@@ -24,7 +24,7 @@
 }
 
 impl SettingsStats {
-    /// What happened since earlier stats. The version is the present one.
+    /// Returns the counts since earlier stats, with the present version.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -37,11 +37,11 @@
 
 /// A proxy with the content of its configuration file.
 pub struct ManagedProxy<'a> {
-    /// Its index among the proxies of the rollout.
+    /// Index of the proxy among the proxies of the rollout.
     pub index: usize,
     /// The process.
     pub process: &'a mut ProxyProcess,
-    /// The stats at the start of a scenario, or of the process if that is later.
+    /// The stats at the start of a scenario, or of the process if the process started later.
     pub initial_stats: SettingsStats,
     config: Value,
 }
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::File`] or [`Error::Json`] if it cannot be read.
+    /// Returns [`Error::File`] or [`Error::Json`] if the file cannot be read.
     pub fn new(index: usize, process: &'a mut ProxyProcess) -> Result<Self, Error> {
         let path = process.config_path();
         let text = std::fs::read(&path).map_err(|error| Error::File { path, error })?;
@@ -60,8 +60,8 @@
         Ok(Self { index, process, initial_stats: SettingsStats::default(), config })
     }
 
-    /// The configuration file with this settings version. Each version also changes a limit on which
-    /// no measurement depends.
+    /// Returns the configuration file with this settings version. Each version also changes a limit on
+    /// which no measurement depends.
     pub fn config_with_version(&mut self, version: u64) -> String {
         let settings = &mut self.config["settings"];
         settings["version"] = json!(version);
@@ -73,7 +73,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::File`] if it cannot be written.
+    /// Returns [`Error::File`] if the file cannot be written.
     pub fn write_config(&self, text: &str) -> Result<(), Error> {
         let path = self.process.config_path();
         let temporary = path.with_extension("next");
@@ -85,13 +85,13 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::File`] if it cannot be written.
+    /// Returns [`Error::File`] if the file cannot be written.
     pub fn write_version(&mut self, version: u64) -> Result<(), Error> {
         let text = self.config_with_version(version);
         self.write_config(&text)
     }
 
-    /// Replaces the configuration file and has the proxy reload it.
+    /// Replaces the configuration file and sends the signal to reload.
     ///
     /// # Errors
     ///
@@ -105,13 +105,13 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] if the system does not kill it.
+    /// Returns [`Error::Io`] if the system does not kill the process.
     pub fn kill(&mut self) -> Result<(), Error> {
         self.initial_stats = SettingsStats::default();
         self.process.kill()
     }
 
-    /// Reads what the proxy reports about its settings.
+    /// Reads the settings section of the proxy's `stats`.
     ///
     /// # Errors
     ///
--- a/crates/fleet-bench/src/rollout/plan.rs
+++ b/crates/fleet-bench/src/rollout/plan.rs
@@ -7,26 +7,26 @@
 /// Arguments of rollouts.
 #[derive(clap::Args, Debug)]
 pub struct RolloutArgs {
-    /// Changes of settings; if any, they are run and the lists are not
+    /// Number of settings changes; above 0 the rollouts are run in place of the lists
     #[arg(long, value_name = "N")]
     pub settings_changes: Option<usize>,
-    /// Proxies whose settings change
+    /// Number of proxies whose settings change
     #[arg(long, value_name = "N")]
     pub settings_proxies: Option<usize>,
-    /// Changes of settings a second
+    /// Settings changes per second
     #[arg(long, alias = "settings-pace", value_name = "RATE")]
     pub settings_rate: Option<f64>,
 }
 
-/// Which rollouts are run.
+/// The plan of the rollouts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
-    /// Changes, 0 to 1,000; with 0 there are no rollouts.
+    /// Number of settings changes, 0 to 1,000; with 0 there are no rollouts.
     pub changes: usize,
-    /// Proxies, 1 to 200.
+    /// Number of proxies, 1 to 200.
     pub proxies: usize,
-    /// Changes per second, 0.1 to 100.
+    /// Settings changes per second, 0.1 to 100.
     #[serde(rename = "rate", alias = "pace")]
     pub changes_per_second: f64,
 }
@@ -39,7 +39,7 @@
 }
 
 impl Plan {
-    /// Whether rollouts are run.
+    /// Returns whether rollouts are run.
     #[must_use]
     pub fn is_enabled(&self) -> bool {
         self.changes > 0
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Range`] with the first value that is not.
+    /// Returns [`Error::Range`] with the first value that is out of range.
     pub fn check(&self) -> Result<(), Error> {
         let changes = self.changes as f64;
         check_bounds("settings-changes", 0.0, 1_000.0, changes)?;
@@ -67,6 +67,6 @@
     }
 }
 
-fn check_bounds(name: &'static str, least: f64, most: f64, got: f64) -> Result<(), Error> {
-    if (least..=most).contains(&got) { Ok(()) } else { Err(Error::Range { name, least, most, got }) }
+fn check_bounds(name: &'static str, min: f64, max: f64, got: f64) -> Result<(), Error> {
+    if (min..=max).contains(&got) { Ok(()) } else { Err(Error::Range { name, min, max, got }) }
 }
--- a/crates/fleet-bench/src/rollout/proxy_set.rs
+++ b/crates/fleet-bench/src/rollout/proxy_set.rs
@@ -19,7 +19,7 @@
 }
 
 impl<'a> ProxySet<'a> {
-    /// These proxies, which must be ready.
+    /// Creates a set of these proxies, which must be ready.
     ///
     /// # Errors
     ///
@@ -31,19 +31,19 @@
         Ok(Self { shutdown, proxies, version: 0 })
     }
 
-    /// The number of proxies.
+    /// Returns the number of proxies.
     #[must_use]
     pub fn len(&self) -> usize {
         self.proxies.len()
     }
 
-    /// The newest version.
+    /// Returns the newest version of the settings.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Interrupts all waits.
+    /// Returns the signal that interrupts all waits.
     #[must_use]
     pub fn shutdown(&self) -> &'a ShutdownSignal {
         self.shutdown
@@ -175,7 +175,7 @@
     }
 }
 
-/// What became of settings files, summed over all proxies.
+/// Counts of settings files, summed over all proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct FileCounts {
     /// Files that came into force.
--- a/crates/fleet-bench/src/rollout/scenario.rs
+++ b/crates/fleet-bench/src/rollout/scenario.rs
@@ -12,14 +12,13 @@
 /// The proxies complete the work of the previous scenario within this time.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// One in this many proxies is killed.
-const KILLED_ONE_IN: usize = 10;
+const PROXIES_PER_KILL: usize = 10;
 
-/// What a scenario has shown.
+/// Results of a scenario.
 pub struct Measurement {
     /// The time until the version was in force, for each change and proxy.
     pub latencies: Vec<Duration>,
-    /// Processor time per applied change in milliseconds, if it was measured. Noise may make it
-    /// negative.
+    /// Processor time per applied change in milliseconds, if measured; noise may make the value negative.
     pub processor_ms: Option<f64>,
 }
 
@@ -29,7 +28,7 @@
     }
 }
 
-/// When a tenth of the proxies is killed.
+/// Time at which a tenth of the proxies is killed.
 #[derive(Clone, Copy)]
 pub enum KillTime {
     /// Immediately after the signal. The restarted proxy finds the new file.
@@ -49,12 +48,16 @@
     OlderVersion,
 }
 
-/// Several changes at a constant rate, each observed until it is in force.
+/// Rolls out several changes at a constant rate, and observes each until the change is in force.
 ///
 /// # Errors
 ///
 /// Returns an error if a proxy fails or a signal has arrived.
-pub fn paced(proxies: &mut ProxySet<'_>, changes: usize, per_second: f64) -> Result<Measurement, Error> {
+pub fn roll_out_paced(
+    proxies: &mut ProxySet<'_>,
+    changes: usize,
+    per_second: f64,
+) -> Result<Measurement, Error> {
     let interval = Duration::from_secs_f64(1.0 / per_second);
     let mut latencies = Vec::new();
     let start = Instant::now();
@@ -65,13 +68,14 @@
     Ok(latencies.into())
 }
 
-/// Several changes at a high rate without reading `stats`, as a response to that costs more processor
-/// time than a change. The processor time is compared with that of an idle time of the same length.
+/// Rolls out several changes at a high rate without reading `stats`, as a response to `stats` costs more
+/// processor time than a change. The processor time is compared with that of an idle time of the same
+/// length.
 ///
 /// # Errors
 ///
 /// Returns an error if a proxy fails or a signal has arrived.
-pub fn unobserved(proxies: &mut ProxySet<'_>, changes: usize) -> Result<Measurement, Error> {
+pub fn roll_out_unobserved(proxies: &mut ProxySet<'_>, changes: usize) -> Result<Measurement, Error> {
     let interval = Duration::from_secs_f64(1.0 / UNOBSERVED_CHANGES_PER_SECOND);
     let duration = interval * changes as u32;
     proxies.shutdown().sleep(SETTLE_TIME)?;
@@ -93,8 +97,8 @@
     Ok(Measurement { latencies: Vec::new(), processor_ms: Some(1e3 * (seconds / applied as f64)) })
 }
 
-/// Processor time between `idle` and `after`, less that of an idle time, which is between `before` and
-/// `idle`. Summed over all proxies.
+/// Returns the processor time between `idle` and `after` in seconds, less that of the idle time between
+/// `before` and `idle`, summed over all proxies.
 fn processor_seconds_beyond_idle(
     before: &[ProcessUsage],
     idle: &[ProcessUsage],
@@ -108,12 +112,12 @@
     sum
 }
 
-/// Several changes without a pause.
+/// Rolls out several changes without a pause.
 ///
 /// # Errors
 ///
 /// Returns an error if a proxy fails or a signal has arrived.
-pub fn burst(proxies: &mut ProxySet<'_>, changes: usize) -> Result<Measurement, Error> {
+pub fn roll_out_burst(proxies: &mut ProxySet<'_>, changes: usize) -> Result<Measurement, Error> {
     let first = proxies.version() + 1;
     let last = proxies.advance_version(changes);
     let change_to_each =
@@ -121,12 +125,15 @@
     Ok(proxies.roll_out(change_to_each)?.into())
 }
 
-/// One change after an invalid file, which must be rejected and leave the old version in force.
+/// Rolls out one change after an invalid file, which must be rejected and leave the old version in force.
 ///
 /// # Errors
 ///
 /// Returns an error if a proxy fails or a signal has arrived.
-pub fn after_invalid_file(proxies: &mut ProxySet<'_>, invalid: InvalidFile) -> Result<Measurement, Error> {
+pub fn roll_out_after_invalid_file(
+    proxies: &mut ProxySet<'_>,
+    invalid: InvalidFile,
+) -> Result<Measurement, Error> {
     let version = proxies.version();
     proxies.act_and_wait(
         &format!("one file rejected and settings version {version}"),
@@ -147,16 +154,16 @@
     text.chars().take(text.chars().count() / 2).collect()
 }
 
-/// One change, while a tenth of the proxies is killed and restarted.
+/// Rolls out one change, while a tenth of the proxies is killed and restarted.
 ///
 /// # Errors
 ///
 /// Returns an error if a proxy fails or a signal has arrived.
-pub fn with_killed(proxies: &mut ProxySet<'_>, kill_time: KillTime) -> Result<Measurement, Error> {
+pub fn roll_out_with_kills(proxies: &mut ProxySet<'_>, kill_time: KillTime) -> Result<Measurement, Error> {
     let version = proxies.advance_version(1);
     let shutdown = proxies.shutdown();
     let latencies = proxies.roll_out(|proxy| {
-        if proxy.index % KILLED_ONE_IN != 0 {
+        if proxy.index % PROXIES_PER_KILL != 0 {
             return proxy.change_to(version);
         }
         match kill_time {
--- a/crates/fleet-bench/src/shutdown.rs
+++ b/crates/fleet-bench/src/shutdown.rs
@@ -9,8 +9,8 @@
 /// A sleep checks for a signal at this interval.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Set by Ctrl-C or SIGTERM. The run then returns an error, and the processes that it started end as
-/// their owners are dropped.
+/// A flag that Ctrl-C and SIGTERM set. A run that finds the flag set returns an error, and the processes
+/// of the run end as their owners are dropped.
 #[derive(Clone, Debug)]
 pub struct ShutdownSignal(Arc<AtomicBool>);
 
--- a/crates/fleet-bench/src/slopes.rs
+++ b/crates/fleet-bench/src/slopes.rs
@@ -1,8 +1,8 @@
-//! The cost of each of the balancer's events, by itself, against the sizes of a deployment.
+//! Measures the cost of each event of the balancer, separately, against the sizes of a deployment.
 //!
-//! Each axis varies one size of the base case. All cases of an axis are measured in turn, round by
-//! round, so that a temporary load on the machine affects all of them; the line of an axis is fitted
-//! through the medians over the rounds.
+//! Each axis varies one size of the base case. All cases of an axis are measured in turn, round by round,
+//! so that a temporary load on the machine affects all of them; the line of an axis is fitted through the
+//! medians over the rounds.
 
 mod case;
 mod event_queue;
@@ -27,7 +27,7 @@
     /// Source of the plan
     #[command(flatten)]
     pub source: Source,
-    /// Few and short rounds, to check that the command runs; the figures are rough
+    /// Measure few and short rounds, to check that the command runs; the figures are rough
     #[arg(long)]
     pub quick: bool,
     /// Number of rounds over the cases of each axis
@@ -39,7 +39,7 @@
 }
 
 impl Args {
-    /// The plan of the experiment file, with the values of the arguments in place of its own.
+    /// Reads the plan of the experiment file, and replaces its values by those of the arguments.
     fn plan(&self) -> Result<Plan, Error> {
         let mut plan: Plan = self.source.read()?;
         if self.quick {
@@ -56,7 +56,8 @@
 /// Measures all axes of a plan.
 ///
 /// # Errors
-/// The plan cannot be read or measured.
+///
+/// Returns an error if the plan cannot be read or is out of range.
 pub fn run(args: &Args) -> Result<Report, Error> {
     let plan = args.plan()?;
     let mut report = Report::new("slopes", plan.seed, &plan)?;
@@ -76,7 +77,7 @@
     Ok(report)
 }
 
-/// The note of an axis that was cut short by the time limit.
+/// Returns the note of an axis that the time limit cut short.
 fn time_limit_note(axis: &AxisSamples) -> Option<String> {
     if axis.complete {
         return None;
@@ -85,7 +86,7 @@
     Some(format!("{name}: time limit reached after {rounds} rounds of {} cases", axis.cases.len()))
 }
 
-/// What a reader has to know about the figures.
+/// Returns the notes that a reader of the figures needs.
 fn reading_notes() -> [String; 2] {
     [
         "Times are processor time of the thread by the clock of the system, read before and after each \
@@ -98,7 +99,7 @@
     ]
 }
 
-/// The load average of the machine over one, five and fifteen minutes.
+/// Returns the load average of the machine over one, five and fifteen minutes.
 fn load_average() -> String {
     LoadAverage::current()
         .map_or_else(|_| "unknown".to_string(), |load| format!("{} {} {}", load.one, load.five, load.fifteen))
--- a/crates/fleet-bench/src/slopes/case.rs
+++ b/crates/fleet-bench/src/slopes/case.rs
@@ -1,16 +1,16 @@
-//! The size of one deployment, and what its balancer is configured with.
+//! The size of one deployment, and the configuration of its balancer.
 
 use balancer::{BackendId, Endpoint, RequestClass, Settings, Tenant, Time};
 
-/// Latency objective of all classes, in seconds. The balancer's estimates reach back over a multiple
-/// of it, and it takes no response time beyond a quarter of it as normal.
+/// Latency objective of all classes, in seconds. The balancer estimates over a multiple of the objective,
+/// and takes no response time above a quarter of the objective as usual.
 const LATENCY_OBJECTIVE: Time = 0.4;
 /// Time-out of a request, in seconds.
 pub const REQUEST_TIMEOUT: Time = 2.0 * LATENCY_OBJECTIVE;
 /// Response time of most requests, in seconds.
 pub const RESPONSE_TIME: Time = 0.05;
-/// Response time of the slow requests, in seconds. As they are few, the first retry timer fires
-/// half-way to it.
+/// Response time of the slow requests, in seconds. As slow requests are few, the first retry timer fires
+/// half-way to the response.
 pub const SLOW_RESPONSE_TIME: Time = 0.1;
 /// One request of this many is slow.
 pub const SLOW_REQUEST_INTERVAL: u64 = 16;
@@ -21,7 +21,7 @@
 /// Quota of a tenant over the rate of all requests: quotas are counted, and none is exhausted.
 const QUOTA_OVER_RATE: f64 = 10.0;
 
-/// The size of one deployment, as one balancer sees it.
+/// The size of one deployment, from the view of one balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Case {
     /// Backends listed.
@@ -39,14 +39,14 @@
 }
 
 impl Case {
-    /// The request rate per second that keeps the mean number of requests open, by Little's law.
+    /// Returns the request rate per second that keeps the mean number of requests open, by Little's law.
     #[must_use]
     pub fn request_rate(&self) -> f64 {
         let slow = 1.0 / SLOW_REQUEST_INTERVAL as f64;
         self.open_requests as f64 / (SLOW_RESPONSE_TIME * slow + RESPONSE_TIME * (1.0 - slow))
     }
 
-    /// The settings of the balancer. Nothing else in this command names a setting.
+    /// Returns the settings of the balancer. All settings of this command are made here.
     #[must_use]
     pub fn settings(&self) -> Settings {
         let class = |i: usize| RequestClass {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The complete endpoint list.
+    /// Returns the complete endpoint list.
     #[must_use]
     pub fn endpoints(&self) -> Vec<Endpoint> {
         let endpoint = |i: u32| Endpoint {
--- a/crates/fleet-bench/src/slopes/event_times.rs
+++ b/crates/fleet-bench/src/slopes/event_times.rs
@@ -3,7 +3,7 @@
 use crate::stats;
 use crate::thread_clock::thread_time;
 
-/// Readings of the clock from which its cost is taken.
+/// Number of readings of the clock from which the cost of a reading is estimated.
 const CLOCK_SAMPLES: usize = 2001;
 
 /// The events whose costs are measured separately.
@@ -58,20 +58,21 @@
         self.open_at_arrivals += open;
     }
 
-    /// Mean processor time of an event of this kind, in microseconds. NaN if there was none.
+    /// Returns the mean processor time of an event of this kind, in microseconds; NaN without such an
+    /// event.
     #[must_use]
     pub fn mean_microseconds(&self, kind: EventKind) -> f64 {
         let cost = self.costs[kind as usize];
         1e6 * cost.seconds / cost.count as f64
     }
 
-    /// Processor time of all events per request, in microseconds.
+    /// Returns the processor time of all events per request, in microseconds.
     #[must_use]
     pub fn microseconds_per_request(&self) -> f64 {
         1e6 * self.costs.iter().map(|cost| cost.seconds).sum::<f64>() / self.requests()
     }
 
-    /// Mean number of open requests over the arrivals.
+    /// Returns the mean number of open requests over the arrivals.
     #[must_use]
     pub fn mean_open_requests(&self) -> f64 {
         self.open_at_arrivals as f64 / self.requests()
@@ -82,9 +83,9 @@
     }
 }
 
-/// The processor time that one measurement of processor time takes, in seconds: the median of many.
+/// Measures the processor time of one reading of the clock, in seconds: the median of many.
 #[must_use]
-pub fn clock_cost() -> f64 {
+pub fn measure_clock_cost() -> f64 {
     let mut costs: Vec<f64> = (0..CLOCK_SAMPLES).map(|_| -thread_time() + thread_time()).collect();
     stats::median(&mut costs)
 }
--- a/crates/fleet-bench/src/slopes/measurement.rs
+++ b/crates/fleet-bench/src/slopes/measurement.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// What is measured of each case, with its unit: processor times first.
+/// Measures of each case, with their units: processor times first.
 pub const MEASURES: [&str; 12] = [
     "request, us",
     "response, us",
@@ -30,7 +30,7 @@
 pub struct CaseSamples {
     /// The case's value on the axis.
     pub value: usize,
-    /// For each of the [`MEASURES`], its sample of each round; NaN where there was no such event.
+    /// Samples of each of the [`MEASURES`], one for each round; NaN in a round without such an event.
     pub measures: [Vec<f64>; MEASURES.len()],
     /// Mean number of open requests in the last round.
     pub open_requests: f64,
@@ -61,7 +61,7 @@
 }
 
 impl TimeLimit {
-    /// A limit in seconds that begins now.
+    /// Creates a limit in seconds that begins now.
     #[must_use]
     pub fn starting_now(seconds: u64) -> Self {
         Self { started: Instant::now(), limit: Duration::from_secs(seconds) }
@@ -72,8 +72,8 @@
     }
 }
 
-/// Measures an axis: all cases in turn, round by round, so that a load on the machine affects all of
-/// them alike.
+/// Measures an axis: all cases in turn, round by round, so that a load on the machine affects all
+/// cases alike.
 #[must_use]
 pub fn measure_axis(axis: &Axis, plan: &Plan, limit: TimeLimit) -> AxisSamples {
     let mut cases: Vec<CaseMeasurement> = Vec::new();
@@ -95,7 +95,7 @@
     AxisSamples { name: axis.name, cases, rounds, complete }
 }
 
-/// A case that is being measured.
+/// The measurement of one case.
 struct CaseMeasurement {
     case: AxisCase,
     simulation: Simulation,
@@ -124,11 +124,11 @@
             times.mean_microseconds(EventKind::LateTimer),
             times.microseconds_per_request(),
             // In pairs, so that the draining backend is back in service at the end.
-            mean(plan.changes.next_multiple_of(2), || simulation.endpoint_change()),
-            mean(plan.lists, || simulation.full_list()),
-            mean(plan.lists, || simulation.first_list(plan.seed)),
+            mean(plan.changes.next_multiple_of(2), || simulation.measure_endpoint_change()),
+            mean(plan.lists, || simulation.measure_full_list()),
+            mean(plan.lists, || simulation.measure_first_list(plan.seed)),
             // In pairs, so that the extra instance is gone at the end.
-            mean(plan.lists.next_multiple_of(2), || simulation.settings_change()),
+            mean(plan.lists.next_multiple_of(2), || simulation.measure_settings_change()),
         ];
         for (measure, sample) in self.samples.measures.iter_mut().zip(samples) {
             measure.push(sample);
@@ -136,7 +136,7 @@
     }
 
     /// Ends the measurement with the size of the state: of a balancer that only has its endpoint list,
-    /// and of the measured one.
+    /// and of the measured balancer.
     fn finish(mut self, plan: &Plan) -> CaseSamples {
         let idle = Simulation::new(self.case.case, plan.seed).state_bytes();
         let loaded = self.simulation.state_bytes();
@@ -147,7 +147,7 @@
     }
 }
 
-/// The mean of repeated measurements.
+/// Returns the mean of repeated measurements.
 fn mean(times: usize, mut measure: impl FnMut() -> f64) -> f64 {
     (0..times).map(|_| measure()).sum::<f64>() / times as f64
 }
