--- a/crates/fleet-bench/src/slopes/plan.rs
+++ b/crates/fleet-bench/src/slopes/plan.rs
@@ -16,7 +16,7 @@
     /// Backends listed.
     pub backends: usize,
     /// Minimum size of a balancer's subset: backends over balancers, rounded up. The number of
-    /// balancers follows from it. As each open request needs a member, the subset is at least
+    /// balancers follows from this size. As each open request needs a member, the subset is at least
     /// [`Self::open_requests`].
     pub subset: usize,
     /// Request classes.
@@ -49,7 +49,7 @@
     }
 }
 
-/// The number of balancers with which each has a subset of this size.
+/// Returns the number of balancers with which each has a subset of this size.
 fn instances(backends: usize, subset: usize) -> usize {
     backends.div_ceil(subset.max(1)).max(1)
 }
@@ -90,7 +90,7 @@
     }
 }
 
-/// What is run.
+/// The plan of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
@@ -106,7 +106,7 @@
     pub lists: usize,
     /// Simulated before the first round, in seconds of virtual time.
     pub warm_up: f64,
-    /// No round begins after this real time, in seconds.
+    /// Real time after which no round begins, in seconds.
     pub time_limit: u64,
     /// The base case.
     pub base: Base,
@@ -131,7 +131,7 @@
 }
 
 impl Plan {
-    /// The same plan with few and short rounds: its figures are rough.
+    /// Returns the same plan with few and short rounds, whose figures are rough.
     #[must_use]
     pub fn quick(self) -> Self {
         Self { rounds: 3, requests: 200, changes: 4, lists: 2, ..self }
@@ -140,7 +140,9 @@
     /// Rejects a plan that cannot be measured.
     ///
     /// # Errors
-    /// The first value out of its bounds, under its name in the experiment file.
+    ///
+    /// Returns [`Error::Argument`] with the first value out of its bounds, under its name in the experiment
+    /// file.
     pub fn validate(&self) -> Result<(), Error> {
         check_range("rounds", "1 to 1000", 1..=1000, self.rounds)?;
         check_range("requests", "16 to 10000", 16..=MAX_SIZE, self.requests)?;
@@ -155,7 +157,7 @@
         axes.iter().flat_map(|axis| &axis.cases).try_for_each(|point| validate_case(&point.case))
     }
 
-    /// Each axis with its cases.
+    /// Returns each axis with its cases.
     #[must_use]
     pub fn axes(&self) -> Vec<Axis> {
         let base = self.base.case();
@@ -206,12 +208,12 @@
     Err(Error::Argument { name, expected, got: got.to_string() })
 }
 
-/// An axis: one size varies, the others are those of the base case.
+/// An axis: one size varies, the other sizes are those of the base case.
 #[derive(Clone, Debug)]
 pub struct Axis {
-    /// Its name in reports.
+    /// Name of the axis in reports.
     pub name: &'static str,
-    /// Its cases.
+    /// Cases of the axis.
     pub cases: Vec<AxisCase>,
 }
 
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -1,10 +1,10 @@
-//! One balancer in operation on virtual time: requests arrive at an even rate and get responses, timers
-//! fire when they are due, and cancelled attempts are reported back. The processor time of each event
-//! is measured by itself.
+//! Simulates one balancer in operation on virtual time: requests arrive at an even rate and get
+//! responses, timers fire when due, and cancelled attempts are reported to the balancer. The processor
+//! time of each event is measured separately.
 
 use super::case::{Case, REQUEST_TIMEOUT, RESPONSE_TIME, SLOW_REQUEST_INTERVAL, SLOW_RESPONSE_TIME};
 use super::event_queue::{EventQueue, PendingEvent};
-use super::event_times::{EventKind, EventTimes, clock_cost};
+use super::event_times::{EventKind, EventTimes, measure_clock_cost};
 use super::open_requests::{Attempt, OpenRequests};
 use crate::thread_clock::thread_time;
 use balancer::{
@@ -38,7 +38,7 @@
     open: OpenRequests,
     queue: EventQueue,
     times: EventTimes,
-    /// For each backend: whether it got an attempt in the current stretch.
+    /// Whether each backend got an attempt in the current stretch.
     used: Vec<bool>,
     /// Whether the current settings have one instance more than the case.
     extra_instance: bool,
@@ -46,7 +46,7 @@
 }
 
 impl Simulation {
-    /// A balancer that has received its endpoint list.
+    /// Creates a simulation whose balancer has received its endpoint list.
     #[must_use]
     pub fn new(case: Case, seed: u64) -> Self {
         let mut simulation = Self {
@@ -62,13 +62,13 @@
             times: EventTimes::default(),
             used: vec![false; case.backends],
             extra_instance: false,
-            clock_cost: clock_cost(),
+            clock_cost: measure_clock_cost(),
         };
-        simulation.full_list();
+        simulation.measure_full_list();
         simulation
     }
 
-    /// Bytes that the balancer takes: itself, and what it frees when it is dropped.
+    /// Returns the size of the balancer in bytes: the struct, and the memory freed by its drop.
     #[must_use]
     pub fn state_bytes(self) -> f64 {
         let balancer = self.balancer;
@@ -76,7 +76,7 @@
         size_of::<Balancer>() as f64 - freed as f64
     }
 
-    /// The number of backends that got an attempt in the last stretch.
+    /// Returns the number of backends that got an attempt in the last stretch.
     #[must_use]
     pub fn backends_used(&self) -> usize {
         self.used.iter().filter(|used| **used).count()
@@ -88,18 +88,18 @@
         self.serve((duration * self.case.request_rate()).ceil() as usize);
     }
 
-    /// Simulates a stretch of this many requests, and returns their cost.
+    /// Simulates a stretch of this many requests, and returns the cost of the stretch.
     pub fn serve(&mut self, requests: usize) -> EventTimes {
         self.times = EventTimes::default();
         self.used.fill(false);
-        self.clock_cost = clock_cost();
+        self.clock_cost = measure_clock_cost();
         self.advance(requests);
         std::mem::take(&mut self.times)
     }
 
-    /// Processor time of an update of one endpoint, in microseconds: alternately a backend begins to
-    /// drain, and the same backend is back in service.
-    pub fn endpoint_change(&mut self) -> f64 {
+    /// Measures the processor time of an update of one endpoint, in microseconds: alternately a backend
+    /// begins to drain, and the same backend is back in service.
+    pub fn measure_endpoint_change(&mut self) -> f64 {
         let draining = self.endpoints.iter().position(|endpoint| endpoint.status != Status::InService);
         let index = draining.unwrap_or_else(|| self.rng.random_range(0..self.endpoints.len()));
         let endpoint = &mut self.endpoints[index];
@@ -111,8 +111,8 @@
         1e6 * seconds
     }
 
-    /// Processor time of a complete endpoint list without any change, in microseconds.
-    pub fn full_list(&mut self) -> f64 {
+    /// Measures the processor time of a complete endpoint list without any change, in microseconds.
+    pub fn measure_full_list(&mut self) -> f64 {
         let endpoints = std::mem::take(&mut self.endpoints);
         let seconds = self.handle(Event::Endpoints(EndpointUpdate::Full(&endpoints)));
         self.endpoints = endpoints;
@@ -120,8 +120,9 @@
         1e6 * seconds
     }
 
-    /// Processor time of the first complete endpoint list of a new balancer, in microseconds.
-    pub fn first_list(&mut self, seed: u64) -> f64 {
+    /// Measures the processor time of the first complete endpoint list of a new balancer, in
+    /// microseconds.
+    pub fn measure_first_list(&mut self, seed: u64) -> f64 {
         let mut balancer = Balancer::new(0.0, seed, self.case.settings());
         let started = thread_time();
         balancer.handle(0.0, Event::Endpoints(EndpointUpdate::Full(&self.endpoints)), &mut self.actions);
@@ -130,9 +131,9 @@
         1e6 * (seconds - self.clock_cost)
     }
 
-    /// Processor time of new settings, in microseconds: alternately with one instance more, and with
-    /// the original number.
-    pub fn settings_change(&mut self) -> f64 {
+    /// Measures the processor time of new settings, in microseconds: alternately with one instance more,
+    /// and with the original number.
+    pub fn measure_settings_change(&mut self) -> f64 {
         self.extra_instance = !self.extra_instance;
         let mut settings = self.case.settings();
         settings.instance_count += usize::from(self.extra_instance);
@@ -193,7 +194,7 @@
         self.perform_actions(Some(id));
     }
 
-    /// A backend responds to an attempt, unless its request has ended with the other attempt.
+    /// Responds to an attempt, unless the request has ended with its other attempt.
     fn respond(&mut self, id: RequestId, index: usize) {
         let Some(attempt) = self.open.attempt(id, index) else {
             return;
@@ -217,15 +218,15 @@
         }))
     }
 
-    /// Passes an event to the balancer, and returns its processor time in seconds.
+    /// Passes an event to the balancer, and returns the processor time of the event in seconds.
     fn handle(&mut self, event: Event<'_>) -> f64 {
         let started = thread_time();
         self.balancer.handle(self.now, event, &mut self.actions);
         thread_time() - started - self.clock_cost
     }
 
-    /// Carries out the balancer's actions, and those that follow from them. `request` is the request
-    /// whose event they follow.
+    /// Carries out the actions of the balancer, and the actions that follow from these. `request` is the
+    /// request whose event led to the actions.
     fn perform_actions(&mut self, request: Option<RequestId>) {
         let mut actions = std::mem::take(&mut self.actions);
         let mut cancelled = Vec::new();
--- a/crates/fleet-bench/src/slopes/tables.rs
+++ b/crates/fleet-bench/src/slopes/tables.rs
@@ -13,7 +13,7 @@
 }
 
 impl Quartiles {
-    /// The quartiles of the finite samples; NaN of none.
+    /// Returns the quartiles of the finite samples; NaN without such samples.
     fn of(samples: &[f64]) -> Self {
         let mut sorted: Vec<f64> = samples.iter().copied().filter(|sample| sample.is_finite()).collect();
         sorted.sort_by(f64::total_cmp);
@@ -33,7 +33,7 @@
 }
 
 impl Tables {
-    /// The tables without rows.
+    /// Creates the tables without rows.
     #[must_use]
     pub fn new() -> Self {
         let measures: Vec<&str> = ["axis", "value"].into_iter().chain(MEASURES).collect();
@@ -69,19 +69,19 @@
         self.medians.row(head.clone().into_iter().chain(medians).chain(load));
         let spreads = quartiles.map(|quartiles| Value::from(quartiles.third - quartiles.first));
         self.spreads.row(head.clone().into_iter().chain(spreads));
-        // On a shared machine the minimum is what other load has disturbed least.
+        // On a shared machine the minimum is the sample that other load has disturbed least.
         let minima = case.measures.each_ref().map(|samples| minimum(samples));
         self.minima.row(head.into_iter().chain(minima.map(Value::from)));
     }
 
-    /// The tables in the order of the report.
+    /// Returns the tables in the order of the report.
     #[must_use]
     pub fn into_vec(self) -> Vec<Table> {
         vec![self.lines, self.medians, self.spreads, self.minima]
     }
 }
 
-/// The minimum of the samples that are numbers; NaN of none.
+/// Returns the minimum of the samples that are numbers; NaN without such samples.
 fn minimum(samples: &[f64]) -> f64 {
     samples.iter().copied().fold(f64::NAN, f64::min)
 }
@@ -112,12 +112,12 @@
     medians: LinearFit,
     /// The slopes of the lines through the samples of each round.
     round_slopes: Quartiles,
-    /// Their intercepts.
+    /// The intercepts of these lines.
     round_intercepts: Quartiles,
 }
 
 impl LineFit {
-    /// Fits a measure, by its index; none with too few cases.
+    /// Fits a measure, given by its index; returns `None` with too few cases.
     fn new(cases: &[CaseSamples], measure: usize) -> Option<Self> {
         let medians = fit(cases, |case| Some(Quartiles::of(&case.measures[measure]).median))?;
         let rounds = cases.iter().map(|case| case.measures[measure].len()).max().unwrap_or(0);
@@ -147,12 +147,12 @@
     }
 }
 
-/// Fits a line through the cases, without those that have no finite sample.
+/// Fits a line through the cases that have a finite sample.
 fn fit(cases: &[CaseSamples], sample: impl Fn(&CaseSamples) -> Option<f64>) -> Option<LinearFit> {
     let point = |case: &CaseSamples| {
         let sample = sample(case).filter(|sample| sample.is_finite())?;
         Some((case.value as f64, sample))
     };
     let points: Vec<(f64, f64)> = cases.iter().filter_map(point).collect();
-    stats::linear_fit(&points)
+    stats::fit_line(&points)
 }
--- a/crates/fleet-bench/src/stats.rs
+++ b/crates/fleet-bench/src/stats.rs
@@ -15,7 +15,7 @@
 
 /// Fits a line to `(x, y)` points. Returns `None` for fewer than three points, or if all x are equal.
 #[must_use]
-pub fn linear_fit(points: &[(f64, f64)]) -> Option<LinearFit> {
+pub fn fit_line(points: &[(f64, f64)]) -> Option<LinearFit> {
     let count = points.len() as f64;
     if points.len() < 3 {
         return None;
@@ -38,7 +38,7 @@
     })
 }
 
-/// Sorts the samples and returns their median; 0 if there are none.
+/// Sorts the samples and returns their median; 0 if there are no samples.
 #[must_use]
 pub fn median(samples: &mut [f64]) -> f64 {
     samples.sort_by(f64::total_cmp);
--- a/crates/fleet-bench/src/thread_clock.rs
+++ b/crates/fleet-bench/src/thread_clock.rs
@@ -2,8 +2,9 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Processor time of this thread so far, in seconds, from the system's clock for it. It leaves out
-/// what other threads take on a busy machine, though not what they evict from its caches.
+/// Returns the processor time of this thread so far, in seconds, from the system's clock of the thread.
+/// Other threads on a busy machine do not count, though they may evict this thread's data from the
+/// caches.
 #[must_use]
 pub fn thread_time() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
--- a/crates/fleet-bench/src/usage.rs
+++ b/crates/fleet-bench/src/usage.rs
@@ -1,14 +1,14 @@
-//! What a process uses and how busy the machine is, read from procfs.
+//! Usage of a process and load of the machine, read from procfs.
 
 use crate::error::Error;
 use procfs::process::Process;
 use procfs::{CpuPressure, Current, LoadAverage, ProcError};
 use std::time::{Duration, Instant};
 
-/// What a process has used and holds, at one time.
+/// The usage of a process at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessUsage {
-    /// When it was read.
+    /// Time of the reading.
     pub at: Instant,
     /// Processor time since the start of the process.
     pub processor_time: Duration,
@@ -58,7 +58,8 @@
         Self::read(&Process::myself()?)
     }
 
-    /// Average processor time between an earlier reading and this one, as a fraction of a core.
+    /// Returns the average processor time between an earlier reading and this one, as a fraction of a
+    /// core.
     #[must_use]
     pub fn cores_since(&self, earlier: &Self) -> f64 {
         let spent = self.processor_time.saturating_sub(earlier.processor_time);
@@ -66,7 +67,7 @@
     }
 }
 
-/// How busy the machine is, by all that runs on it.
+/// The load of the machine by all processes.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineLoad {
     at: Instant,
@@ -90,14 +91,15 @@
         Ok(read()?)
     }
 
-    /// The fraction of the time since an earlier reading in which a task waited for a processor.
+    /// Returns the fraction of the time since an earlier reading in which a task waited for a processor.
     #[must_use]
     pub fn stall_since(&self, earlier: &Self) -> f64 {
         let stalled = self.stalled.saturating_sub(earlier.stalled);
         stalled.as_secs_f64() / self.at.duration_since(earlier.at).as_secs_f64()
     }
 
-    /// The note of a report that compares the load at its start, which is `self`, with the present.
+    /// Returns the note of a report that compares the load at its start, which is `self`, with the
+    /// present load.
     ///
     /// # Errors
     ///
--- a/crates/fleet-bench/tests/added.rs
+++ b/crates/fleet-bench/tests/added.rs
@@ -1,11 +1,11 @@
-//! A complete small run of `fleet-bench added`, and the parts of which it is made.
+//! A complete small run of `fleet-bench added`, and tests of its components.
 
 mod common;
 
 use common::{assert_nothing_left, report_of, table};
 use fleet_bench::added::Observation;
 use fleet_bench::backend::Backends;
-use fleet_bench::draw::arrivals;
+use fleet_bench::draw::draw_arrivals;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use serde_json::{Map, Value};
@@ -16,7 +16,7 @@
 const VERDICTS: [&str; 4] =
     ["within budget", "over budget", "over budget: calls piled up", "inconclusive: machine too busy"];
 
-/// The report of a small run with this seed, as JSON and as text.
+/// Returns the report of a small run with this seed, as JSON and as text.
 fn small_run(seed: &str) -> (Value, String) {
     let directory = tempfile::tempdir().unwrap();
     let arguments =
@@ -30,7 +30,7 @@
     row[column].as_f64().unwrap()
 }
 
-/// The number of calls in each row.
+/// Returns the number of calls in each row.
 fn call_counts(report: &Value) -> Vec<Value> {
     table(report, "Calls").iter().map(|row| row["calls"].clone()).collect()
 }
@@ -80,11 +80,11 @@
 
 #[test]
 fn arrivals_follow_their_rate() {
-    let times = arrivals(&mut SmallRng::seed_from_u64(3), 100.0, 100.0);
+    let times = draw_arrivals(&mut SmallRng::seed_from_u64(3), 100.0, 100.0);
 
     assert!((9_600..10_400).contains(&times.len()), "{}", times.len());
     assert!(times.is_sorted() && times[times.len() - 1].as_secs_f64() < 100.0);
-    assert!(arrivals(&mut SmallRng::seed_from_u64(3), 0.0, 100.0).is_empty());
+    assert!(draw_arrivals(&mut SmallRng::seed_from_u64(3), 0.0, 100.0).is_empty());
 }
 
 #[test]
--- a/crates/fleet-bench/tests/command_line.rs
+++ b/crates/fleet-bench/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! Messages and exit status for invalid arguments and files, and the parts that all commands share.
+//! Messages and exit status for invalid arguments and files, and the modules that all commands share.
 
 use fleet_bench::report::{Report, Table, Value};
 use fleet_bench::stats;
@@ -56,10 +56,10 @@
 fn a_linear_fit_finds_the_line_through_its_points() {
     let exact: Vec<_> = (0..5).map(|x| (f64::from(x), 3.0 + 2.0 * f64::from(x))).collect();
 
-    let fit = stats::linear_fit(&exact).unwrap();
+    let fit = stats::fit_line(&exact).unwrap();
 
     assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9);
     assert!(fit.slope_error < 1e-9 && fit.intercept_error < 1e-9);
-    assert_eq!(stats::linear_fit(&[(1.0, 1.0), (2.0, 2.0)]), None);
-    assert_eq!(stats::linear_fit(&[(1.0, 1.0); 4]), None);
+    assert_eq!(stats::fit_line(&[(1.0, 1.0), (2.0, 2.0)]), None);
+    assert_eq!(stats::fit_line(&[(1.0, 1.0); 4]), None);
 }
--- a/crates/fleet-bench/tests/common/mod.rs
+++ b/crates/fleet-bench/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// The path of the proxy's program, which is built if it is absent: Cargo does not build programs of
+/// Returns the path of the proxy's program, which is built if absent: Cargo does not build programs of
 /// other packages for these tests.
 pub fn proxy_program() -> PathBuf {
     let program = Path::new(env!("CARGO_BIN_EXE_fleet-bench")).with_file_name("balancer-proxy");
@@ -22,7 +22,7 @@
     program
 }
 
-/// A command that starts proxies, which keep their files below this directory.
+/// Creates a command that starts proxies, whose files are below this directory.
 pub fn fleet_bench(directory: &Path, arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-bench"));
     command.args(arguments).arg("--program").arg(proxy_program()).env("TMPDIR", directory);
@@ -38,7 +38,7 @@
     (serde_json::from_slice(&std::fs::read(json.path()).unwrap()).unwrap(), text)
 }
 
-/// The rows of a report's table, with their values by the names of the columns.
+/// Returns the rows of a report's table, with the values by the names of the columns.
 pub fn table(report: &Value, name: &str) -> Vec<Map<String, Value>> {
     let tables = report["tables"].as_array().unwrap();
     let table = tables.iter().find(|table| table["name"].as_str().unwrap().starts_with(name)).unwrap();
@@ -50,7 +50,7 @@
     table["rows"].as_array().unwrap().iter().map(by_column).collect()
 }
 
-/// The number of running processes that keep their files below this directory.
+/// Returns the number of running processes whose files are below this directory.
 pub fn processes_of(directory: &Path) -> usize {
     let variable = format!("TMPDIR={}/", directory.display());
     let processes = std::fs::read_dir("/proc").unwrap().filter_map(Result::ok);
--- a/crates/fleet-bench/tests/control.rs
+++ b/crates/fleet-bench/tests/control.rs
@@ -1,4 +1,4 @@
-//! A complete small run of `fleet-bench control`, its end by a signal, and invalid arguments.
+//! A complete small run of `fleet-bench control`, the end of a run by a signal, and invalid arguments.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Longer than the start of the proxies takes, also on a busy machine.
+/// Timeout of the start of the proxies, which is generous for a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn number(row: &Map<String, Value>, column: &str) -> f64 {
--- a/crates/fleet-bench/tests/discovery.rs
+++ b/crates/fleet-bench/tests/discovery.rs
@@ -1,13 +1,13 @@
 //! The stub discovery server against the operators' protocol, on loopback sockets.
 
 use fleet_bench::discovery::{Availability, Change, Discovery, Transfer};
-use fleet_bench::instance::{Instance, instances_at};
+use fleet_bench::instance::{Instance, create_instances};
 use serde_json::Value;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Longer than any step takes, also on a busy machine.
+/// Timeout of each step, which is generous for a busy machine.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client that polls the list.
@@ -48,7 +48,7 @@
     }
 }
 
-/// Id and lifecycle state of each entry.
+/// Returns the id and the lifecycle state of each entry.
 fn entries(list: &Value) -> Vec<(String, String)> {
     let entries = list["instances"].as_array().unwrap().iter();
     let text = |value: &Value| value.as_str().unwrap().to_string();
@@ -59,12 +59,12 @@
     entries(list).into_iter().map(|(_, state)| state).collect()
 }
 
-/// Three serving instances.
+/// Creates three serving instances.
 fn three_instances() -> Vec<Instance> {
-    instances_at((7_000..7_003).map(|port| SocketAddr::from(([127, 0, 0, 1], port))))
+    create_instances((7_000..7_003).map(|port| SocketAddr::from(([127, 0, 0, 1], port))))
 }
 
-/// A server that lists three instances, and a client of the only proxy.
+/// Starts a server that lists three instances, and connects a client as the only proxy.
 fn start() -> (Discovery, PollClient) {
     let discovery = Discovery::start(three_instances(), 1).unwrap();
     let client = PollClient::connect(discovery.addresses()[0]);
--- a/crates/fleet-bench/tests/earlier_files.rs
+++ b/crates/fleet-bench/tests/earlier_files.rs
@@ -10,7 +10,7 @@
 
 const REPORTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity");
 
-/// A parameter or a value of one that has another name than in earlier versions.
+/// A parameter, or the value of a parameter, that has another name than in earlier versions.
 struct Renamed {
     earlier: &'static str,
     present: &'static str,
@@ -48,13 +48,13 @@
 const SLOPES_PARAMETERS: [Renamed; 2] =
     [renamed("open", "open_requests"), renamed("open_alone", "open_requests_full_subset")];
 
-/// The present name for an earlier one, which may be the same.
+/// Returns the present name for an earlier name, which may be the same.
 fn present_name(name: &str, renamed: &[Renamed]) -> String {
     let found = renamed.iter().find(|renamed| renamed.earlier == name);
     found.map_or(name, |renamed| renamed.present).to_string()
 }
 
-/// The same arguments with the present names of parameters and values.
+/// Returns the same arguments with the present names of parameters and values.
 fn with_present_names(arguments: &Value, renamed: &[Renamed]) -> Value {
     match arguments {
         Value::Object(entries) => {
@@ -79,7 +79,7 @@
 }
 
 /// Asserts that a plan with earlier names is read, from JSON and from an experiment file, with all of its
-/// values; parameters that the plan does not have are those of the default plan.
+/// values; a parameter that the plan does not have keeps its default.
 fn assert_plan_is_read<P>(arguments: &Value, renamed: &[Renamed])
 where
     P: DeserializeOwned + Serialize + Default,
@@ -148,7 +148,7 @@
 
 #[test]
 fn plans_of_stored_reports_are_read_by_their_commands() {
-    // One value is out of range, so that the command ends after it has read the plan.
+    // One value is out of range, so that the command ends after the plan is read.
     let cases = [
         ("control.json", "away", "outage-seconds: expected 0.5 to 600 s, got 0.1"),
         ("rollout.json", "away", "outage-seconds: expected 0.5 to 600 s, got 0.1"),
@@ -171,7 +171,7 @@
 
 #[test]
 fn earlier_command_line_options_are_read() {
-    // A value is out of range, so that the command ends after it has read its arguments.
+    // One value is out of range, so that the command ends after the arguments are read.
     let cases: [(&[&str], &str); 4] = [
         (&["fleet", "--cross-zone", "101"], "cross_zone_cost: expected 0 to 100, got 101"),
         (&["fleet", "--limit", "0.5"], "real_time_limit: expected 1 to 86400, got 0.5"),
--- a/crates/fleet-bench/tests/fleet.rs
+++ b/crates/fleet-bench/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet at a small size: its report shows what was simulated, with any number of threads.
+//! Reports of a small simulated fleet, and the checker of the rules.
 
 use balancer::{Effect, RequestId};
 use fleet_bench::fleet::checker::{Checker, NewCall, Rule, Violation};
@@ -25,7 +25,7 @@
     .unwrap()
 }
 
-/// The number in a table's cell; table, row and column are given by the beginnings of their names.
+/// Returns the number in a cell; the names of table, row and column are given by their beginnings.
 fn figure(report: &Report, table: &str, row: &str, column: &str) -> f64 {
     let table = report.tables.iter().find(|t| t.name.starts_with(table)).unwrap();
     let column = table.columns.iter().position(|c| c.starts_with(column)).unwrap();
--- a/crates/fleet-bench/tests/rollout.rs
+++ b/crates/fleet-bench/tests/rollout.rs
@@ -8,14 +8,16 @@
 use std::os::unix::fs::PermissionsExt;
 use std::process::Command;
 
-/// What a row of the table must show for three proxies.
+/// Expected figures of a row of the table for three proxies.
 struct ExpectedRow {
+    /// Number of changes.
     changes: u32,
-    /// Bounds of the files that each proxy applies. Of changes in quick succession it applies at least
-    /// the last. A file that it finds at its start does not count.
+    /// Lower bound of the files that each proxy applies. Of changes in quick succession a proxy applies
+    /// at least the last; the file at the start of a proxy does not count.
     min_applied: f64,
+    /// Upper bound of the files that each proxy applies.
     max_applied: f64,
-    /// Files that all proxies together reject.
+    /// Number of files that all proxies together reject.
     rejected: u32,
 }
 
@@ -68,7 +70,7 @@
 fn a_proxy_that_does_not_apply_new_settings_fails_the_run() {
     let directory = tempfile::tempdir().unwrap();
     let program = directory.path().join("stale-proxy");
-    // The real proxy, but with a copy of its file, which is never replaced.
+    // The real proxy reads a copy of its configuration file, which the rollout does not replace.
     let script = format!(
         "#!/bin/sh\ncp \"$RELAY_CONFIG\" \"$TMPDIR/first\"\nRELAY_CONFIG=\"$TMPDIR/first\" exec '{}'\n",
         proxy_program().display()
--- a/crates/fleet-bench/tests/slopes.rs
+++ b/crates/fleet-bench/tests/slopes.rs
@@ -7,7 +7,7 @@
     [axes]\nbackends = [17, 40, 90]\nsubset = []\ninstances = []\nclasses = []\n\
     tenants = [0, 10, 20]\nopen_requests = [6, 20]\nopen_requests_full_subset = []\n";
 
-/// Runs the command with an experiment file of this content, and reads its JSON report if there is one.
+/// Runs the command with an experiment file of this content, and reads the JSON report if there is one.
 fn run_slopes(plan: &str, arguments: &[&str]) -> (Output, Option<Report>) {
     let folder = tempfile::tempdir().unwrap();
     let (experiment, json) = (folder.path().join("plan.toml"), folder.path().join("report.json"));
@@ -18,10 +18,10 @@
     (output, std::fs::read(&json).ok().map(|text| serde_json::from_slice(&text).unwrap()))
 }
 
-/// A column of a table, by the beginning of its name.
+/// Returns the values of the first column whose name begins so.
 fn column<'a>(table: &'a Table, name: &str) -> Vec<&'a Value> {
-    let place = table.columns.iter().position(|c| c.starts_with(name)).unwrap();
-    table.rows.iter().map(|row| &row[place]).collect()
+    let index = table.columns.iter().position(|c| c.starts_with(name)).unwrap();
+    table.rows.iter().map(|row| &row[index]).collect()
 }
 
 fn numbers(table: &Table, name: &str) -> Vec<f64> {
