--- a/crates/balancer-proxy/src/control/discovery/client.rs
+++ b/crates/balancer-proxy/src/control/discovery/client.rs
@@ -1,8 +1,8 @@
 //! One HTTP call to discovery at a time, on a connection that is reused while it works.
 
 use crate::control::endpoint_list::RawEndpointList;
+use crate::upstream::attempt_body::AttemptBody;
 use crate::upstream::connection::{Connection, connect};
-use crate::upstream::request_body::AttemptBody;
 use http_body_util::{BodyExt, Limited};
 use hyper::Request;
 use hyper::client::conn::TrySendError;
--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -161,7 +161,7 @@
             tokio::select! {
                 biased;
                 response = &mut receiver => return Ok(response.unwrap_or(FinalResponse::Failed)),
-                end = body.finished() => end?,
+                end = body.wait_until_complete() => end?,
             }
             self.engine.complete_body(id);
             accounting.request_complete();
--- a/crates/balancer-proxy/src/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -72,7 +72,7 @@
     /// Returns how much of an attempt has been written, or `None` if the attempt has ended.
     pub(super) fn write_progress(&self, id: AttemptId) -> Option<WriteProgress> {
         let attempt = self.by_id.get(&id)?;
-        if attempt.written.get() { Some(WriteProgress::Complete) } else { Some(WriteProgress::Incomplete) }
+        if attempt.written.is_set() { Some(WriteProgress::Complete) } else { Some(WriteProgress::Incomplete) }
     }
 
     /// Aborts and removes an attempt. Returns `None` if the attempt has ended before.
--- a/crates/balancer-proxy/src/engine/attempts/tests.rs
+++ b/crates/balancer-proxy/src/engine/attempts/tests.rs
@@ -22,7 +22,7 @@
         attempts.insert(ID, RunningAttempt::new(SENT, written.clone(), task.abort_handle()));
 
         let before_write = attempts.write_progress(ID);
-        written.set(true);
+        written.set();
         let after_write = attempts.write_progress(ID);
         attempts.remove(ID);
         let after_end = attempts.write_progress(ID);
--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use crate::limits::Budget;
 use crate::settings::ProxySettings;
-use crate::upstream::pool::ConnectionPool;
+use crate::upstream::pool::{ConnectionPool, ConnectionTimeouts};
 use crate::watch_event::{ListedEndpoint, WatchEvent};
 use balancer::{BackendId, Status, Time};
 use std::collections::HashMap;
@@ -46,7 +46,7 @@
     /// Applies the timeouts of these settings to all pools.
     pub(super) fn set_timeouts(&self, settings: &ProxySettings) {
         for pool in self.pools.values() {
-            pool.set_timeouts(settings.connect_timeout, settings.idle_timeout);
+            pool.set_timeouts(connection_timeouts(settings));
         }
     }
 
@@ -54,18 +54,16 @@
     /// already is in maintenance keeps its deadline.
     pub(super) fn start_maintenance(&mut self, backend: BackendId, send_deadline: Time) {
         let deadline = *self.maintenance_deadlines.entry(backend).or_insert(send_deadline);
-        self.set_maintenance_deadline(backend, Some(deadline));
+        if let Some(pool) = self.pools.get(&backend) {
+            pool.start_maintenance(deadline);
+        }
     }
 
     /// Ends the maintenance of a backend.
     pub(super) fn end_maintenance(&mut self, backend: BackendId) {
         self.maintenance_deadlines.remove(&backend);
-        self.set_maintenance_deadline(backend, None);
-    }
-
-    fn set_maintenance_deadline(&self, backend: BackendId, deadline: Option<Time>) {
         if let Some(pool) = self.pools.get(&backend) {
-            pool.set_maintenance_deadline(deadline);
+            pool.end_maintenance();
         }
     }
 
@@ -92,29 +90,33 @@
     fn mark_unlisted_removed(&self, listed: &[ListedEndpoint], send_deadline: Time) {
         for (id, pool) in &self.pools {
             if !listed.iter().any(|listed| listed.endpoint.id == *id) {
-                pool.mark_removed(send_deadline);
+                pool.set_removed(send_deadline);
             }
         }
     }
 
     fn mark_removed(&self, backend: BackendId, send_deadline: Time) {
         if let Some(pool) = self.pools.get(&backend) {
-            pool.mark_removed(send_deadline);
+            pool.set_removed(send_deadline);
         }
     }
 
     fn upsert(&mut self, listed: &ListedEndpoint, send_deadline: Time, settings: &ProxySettings) {
         let ListedEndpoint { endpoint, address } = listed;
-        let drain_deadline = (endpoint.status != Status::InService).then_some(send_deadline);
         let maintenance_deadline = self.maintenance_deadlines.get(&endpoint.id).copied();
         let pool = self.pools.entry(endpoint.id).or_insert_with(|| {
-            let connections = self.connections.clone();
-            let pool =
-                ConnectionPool::new(*address, connections, settings.connect_timeout, settings.idle_timeout);
-            pool.set_maintenance_deadline(maintenance_deadline);
+            let timeouts = connection_timeouts(settings);
+            let pool = ConnectionPool::new(*address, self.connections.clone(), timeouts);
+            if let Some(deadline) = maintenance_deadline {
+                pool.start_maintenance(deadline);
+            }
             Rc::new(pool)
         });
-        pool.update(*address, drain_deadline);
+        if endpoint.status == Status::InService {
+            pool.set_in_service(*address);
+        } else {
+            pool.set_draining(*address, send_deadline);
+        }
     }
 
     /// Closes the idle connections to a backend, and the connections in use as soon as they become idle.
@@ -162,6 +164,11 @@
     }
 }
 
+/// Returns the timeouts of connections by these settings.
+fn connection_timeouts(settings: &ProxySettings) -> ConnectionTimeouts {
+    ConnectionTimeouts { connect: settings.connect_timeout, idle: settings.idle_timeout }
+}
+
 /// Returns the endpoints that an event lists.
 fn listed_endpoints(event: &WatchEvent) -> &[ListedEndpoint] {
     match event {
--- a/crates/balancer-proxy/src/upstream/attempt.rs
+++ b/crates/balancer-proxy/src/upstream/attempt.rs
@@ -1,13 +1,13 @@
 //! Attempts of requests and health checks: each is one exchange with a backend, and ends with an
 //! outcome for the decision module.
 
+use super::attempt_body::AttemptBody;
 use super::connection::{Connection, ConnectionOrigin};
 use super::exchange::{BuildRequest, ExchangeError, ReceivedBody, ReceivedResponse, exchange};
 use super::exchange_progress::ExchangeContext;
 use super::forwarded_request::ForwardedRequest;
 use super::load_report;
 use super::pool::{CheckedOutConnection, ConnectionLease, ConnectionPool};
-use super::request_body::AttemptBody;
 use super::response_body::{BackendResponse, ResponseContent, StreamedResponseBody};
 use super::shared_flag::SharedFlag;
 use crate::clock::Clock;
@@ -17,82 +17,87 @@
 use hyper::{Request, StatusCode, Uri};
 use std::rc::Rc;
 
-/// Response header with the value 1: the backend rejected the request before running it.
+/// Response header by which, with the value 1, a backend states that it rejected the request before
+/// running it.
 const REJECTED_HEADER: &str = "x-turned-away";
 /// Response header with the load report of the backend.
-pub const LOAD_REPORT_HEADER: &str = "x-pressure";
+pub(crate) const LOAD_REPORT_HEADER: &str = "x-pressure";
 /// The `Host` of health checks.
 const HEALTH_CHECK_HOST: &str = "backend";
-/// The timeout of a health check, in connect timeouts.
-const HEALTH_CHECK_CONNECT_TIMEOUTS: u32 = 4;
+/// The timeout of a health check, as a multiple of the connect timeout.
+const HEALTH_CHECK_TIMEOUT_MULTIPLE: u32 = 4;
 
-/// How an attempt or a health check ended.
+/// The result of an attempt or of a health check.
 pub struct AttemptResult {
-    /// The outcome.
+    /// The outcome that the decision module is given.
     pub outcome: Outcome,
-    /// The response, of an attempt that succeeded.
+    /// The response, if the outcome is a success.
     pub response: Option<BackendResponse>,
     /// The load report that came with the response.
     pub report: Option<LoadReport>,
 }
 
 impl AttemptResult {
-    /// The result of an attempt that got no response.
-    #[must_use]
-    pub fn without_response(outcome: Outcome) -> Self {
+    /// Creates the result of an attempt that got no response.
+    pub(crate) fn without_response(outcome: Outcome) -> Self {
         Self { outcome, response: None, report: None }
     }
 }
 
-/// What an attempt needs. Times are those of `clock`, in seconds.
+/// The parameters of an attempt. Times are those of `clock`, in seconds.
 pub struct AttemptParameters {
-    /// The connections to the backend.
+    /// The pool of the connections to the backend.
     pub pool: Rc<ConnectionPool>,
     /// The request to forward.
     pub request: Rc<ForwardedRequest>,
     /// The clock of the deadlines.
     pub clock: Clock,
-    /// When the engine stops waiting for the response. The backend is sent the time that remains; the
-    /// attempt does not end at this time by itself.
+    /// The time at which the engine stops waiting for the response. The backend is sent the time that
+    /// remains; the attempt does not end at this time by itself.
     pub response_deadline: Time,
-    /// The last byte of the request is not written after this, if there is such a limit.
+    /// The time after which the last byte of the request is not written, if there is such a limit.
     pub write_deadline: Option<Time>,
-    /// Set once the complete request has been written: from then on a failure may hide a request
-    /// that runs, and is reported as a reset. If the attempt is dropped before, it never runs.
+    /// Set once the complete request has been written. From then on the request may run even if the
+    /// attempt fails, so that a failure is reported as a reset. If the attempt is dropped before, the
+    /// request never runs.
     pub written: SharedFlag,
-    /// Where a request that has been written is counted.
+    /// The metrics in which a request that has been written is counted.
     pub metrics: Rc<Metrics>,
 }
 
-/// Makes one attempt. The engine ends it at its response deadline by dropping it.
+/// Makes one attempt. The engine ends the attempt at its response deadline by dropping the future.
 pub async fn attempt(parameters: AttemptParameters) -> AttemptResult {
     let AttemptParameters { pool, request, clock, response_deadline, write_deadline, written, metrics } =
         parameters;
     let build_request = |final_data: &SharedFlag| request.build(response_deadline - clock.now(), final_data);
-    let options = ExchangeContext {
+    let context = ExchangeContext {
         request_written: written,
         write_deadline: write_deadline.map(|deadline| clock.instant_at(deadline)),
         metrics: Some(metrics),
     };
-    run(&pool, &clock, &build_request, &options).await
+    run(&pool, &clock, &build_request, &context).await
 }
 
-/// Makes one health check: a GET of `path`.
-pub async fn health_check(pool: Rc<ConnectionPool>, path: &'static str, clock: Clock) -> AttemptResult {
+/// Makes one health check, which is a GET of `path`.
+pub(crate) async fn health_check(
+    pool: Rc<ConnectionPool>,
+    path: &'static str,
+    clock: Clock,
+) -> AttemptResult {
     let build_request = |final_data: &SharedFlag| {
-        final_data.set(true);
+        final_data.set();
         let mut request = Request::new(AttemptBody::empty());
         *request.uri_mut() = Uri::from_static(path);
         request.headers_mut().insert(HOST, HeaderValue::from_static(HEALTH_CHECK_HOST));
         Some(request)
     };
-    let timeout = HEALTH_CHECK_CONNECT_TIMEOUTS * pool.connect_timeout();
-    let options = ExchangeContext::default();
-    let result = tokio::time::timeout(timeout, run(&pool, &clock, &build_request, &options)).await;
+    let timeout = HEALTH_CHECK_TIMEOUT_MULTIPLE * pool.connect_timeout();
+    let context = ExchangeContext::default();
+    let result = tokio::time::timeout(timeout, run(&pool, &clock, &build_request, &context)).await;
     result.unwrap_or(AttemptResult::without_response(Outcome::Timeout))
 }
 
-/// An exchange that got a response, and the connection that may still carry the rest of it.
+/// An exchange that got a response, with its connection, which may still carry the rest of the body.
 struct CompletedExchange {
     response: ReceivedResponse,
     connection: Connection,
@@ -103,21 +108,21 @@
     pool: &Rc<ConnectionPool>,
     clock: &Clock,
     build_request: BuildRequest<'_>,
-    options: &ExchangeContext,
+    context: &ExchangeContext,
 ) -> AttemptResult {
-    match exchange_with_backend(pool, clock, build_request, options).await {
+    match exchange_with_backend(pool, clock, build_request, context).await {
         Ok(completed) => completed.into_result(),
         Err(outcome) => AttemptResult::without_response(outcome),
     }
 }
 
 /// Makes an exchange on a connection of the pool. If the connection ends before the request has been
-/// written, the next one is used.
+/// written, the exchange is made on the next connection.
 async fn exchange_with_backend(
     pool: &Rc<ConnectionPool>,
     clock: &Clock,
     build_request: BuildRequest<'_>,
-    options: &ExchangeContext,
+    context: &ExchangeContext,
 ) -> Result<CompletedExchange, Outcome> {
     let generation = pool.generation();
     let mut has_new_connection_failed = false;
@@ -128,12 +133,12 @@
         if !pool.may_send(clock) {
             return Err(Outcome::NoConnection);
         }
-        match exchange(&mut connection, origin, build_request, options).await {
+        match exchange(&mut connection, origin, build_request, context).await {
             Ok(response) => return Ok(CompletedExchange { response, connection, lease }),
             Err(ExchangeError::NoValidResponse) => return Err(Outcome::Reset),
             Err(ExchangeError::BodyConsumed) => return Err(Outcome::NoConnection),
-            // A reused connection may have been closed while it was idle. A new one is replaced only
-            // once: after two failures a third connection would fail in the same way.
+            // A reused connection may have been closed while it was idle. A new connection is replaced
+            // only once: after two failures a third connection would fail in the same way.
             Err(ExchangeError::NotSent) => {
                 let is_new = origin == ConnectionOrigin::New;
                 if is_new && has_new_connection_failed {
@@ -146,11 +151,12 @@
 }
 
 impl CompletedExchange {
-    /// Classifies the response, and releases its connection: now, or when its body has been streamed.
+    /// Classifies the response, and releases its connection: now, or once the body has been streamed.
     fn into_result(self) -> AttemptResult {
         let Self { response: ReceivedResponse { head, body }, connection, lease } = self;
-        let outcome = outcome_of(head.status, &head.headers);
-        let report = head.headers.get(LOAD_REPORT_HEADER).and_then(|v| load_report::parse(v.as_bytes()));
+        let outcome = classify(head.status, &head.headers);
+        let report = head.headers.get(LOAD_REPORT_HEADER);
+        let report = report.and_then(|value| load_report::parse(value.as_bytes()));
         let content = match body {
             ReceivedBody::Buffered(complete) => {
                 lease.release(connection);
@@ -165,8 +171,8 @@
     }
 }
 
-/// The outcome that a response with this status and these headers stands for.
-fn outcome_of(status: StatusCode, headers: &HeaderMap) -> Outcome {
+/// Returns the outcome for which a response with this status and these headers stands.
+fn classify(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_marked_rejected = headers.get(REJECTED_HEADER).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Success,
--- a/crates/balancer-proxy/src/upstream/body_chunks.rs
+++ b/crates/balancer-proxy/src/upstream/body_chunks.rs
@@ -5,51 +5,49 @@
 
 /// The chunks of a body that have arrived and are buffered, in order.
 #[derive(Debug, Default)]
-pub struct BodyChunks {
+pub(super) struct BodyChunks {
     chunks: VecDeque<Bytes>,
+    /// The length of all chunks together, in bytes.
     bytes: usize,
 }
 
 impl BodyChunks {
     /// Appends a chunk.
-    pub fn push(&mut self, chunk: Bytes) {
+    pub(super) fn push(&mut self, chunk: Bytes) {
         self.bytes += chunk.len();
         self.chunks.push_back(chunk);
     }
 
-    /// The length of all chunks together, in bytes.
-    #[must_use]
-    pub fn bytes(&self) -> usize {
+    /// Returns the length of all chunks together, in bytes.
+    pub(super) fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// The number of chunks.
-    #[must_use]
-    pub fn count(&self) -> usize {
+    /// Returns the number of chunks.
+    pub(super) fn count(&self) -> usize {
         self.chunks.len()
     }
 
-    /// The chunk with this index, counted from the first one that is buffered.
-    #[must_use]
-    pub fn get(&self, index: usize) -> Option<&Bytes> {
+    /// Returns the chunk with this index, counted from 0 at the first buffered chunk.
+    pub(super) fn get(&self, index: usize) -> Option<&Bytes> {
         self.chunks.get(index)
     }
 
     /// Removes the first chunk and returns it.
-    pub fn pop_front(&mut self) -> Option<Bytes> {
+    pub(super) fn pop_front(&mut self) -> Option<Bytes> {
         let chunk = self.chunks.pop_front()?;
         self.bytes -= chunk.len();
         Some(chunk)
     }
 
     /// Removes all chunks.
-    pub fn clear(&mut self) {
+    pub(super) fn clear(&mut self) {
         self.chunks.clear();
         self.bytes = 0;
     }
 
     /// Removes all chunks and returns them as one.
-    pub fn take_concatenated(&mut self) -> Bytes {
+    pub(super) fn take_concatenated(&mut self) -> Bytes {
         let mut complete = BytesMut::with_capacity(self.bytes);
         for chunk in &self.chunks {
             complete.extend_from_slice(chunk);
@@ -58,3 +56,6 @@
         complete.freeze()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/upstream/connection.rs
+++ b/crates/balancer-proxy/src/upstream/connection.rs
@@ -1,8 +1,8 @@
-//! An HTTP connection to a backend. It makes progress only while its owner polls it, so that
-//! dropping it ends the exchange and closes the socket at once.
+//! An HTTP connection to a backend. The connection makes progress only while its owner polls it, so that
+//! dropping the connection ends the exchange and closes the socket at once.
 
+use super::attempt_body::AttemptBody;
 use super::exchange_progress::{RequestWriteState, ResponseActivity};
-use super::request_body::AttemptBody;
 use super::socket::BackendSocket;
 use crate::limits::MAX_HEAD_BYTES;
 use hyper::body::Incoming;
@@ -18,21 +18,22 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Why a request got no response head. It contains the request if nothing of it has been sent.
-pub type SendError = TrySendError<Request<AttemptBody>>;
+/// The reason why a request got no response head. The error contains the request if no byte of it has
+/// been sent.
+pub(crate) type SendError = TrySendError<Request<AttemptBody>>;
 
 /// Whether a connection has been used before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ConnectionOrigin {
-    /// Just established.
+pub(super) enum ConnectionOrigin {
+    /// The connection has just been established.
     New,
-    /// Used before: the peer may have closed it since, or may still write to it.
+    /// The connection has been used before: the peer may have closed it since, or may still write to it.
     Reused,
 }
 
-/// A connection that is driven by its owner: nothing is read or written except while the owner
-/// waits for something on it.
-pub struct Connection {
+/// A connection that is driven by its owner: bytes are read and written only while the owner waits for
+/// a future on the connection.
+pub(crate) struct Connection {
     sender: http1::SendRequest<AttemptBody>,
     driver: Driver,
     activity: ResponseActivity,
@@ -42,8 +43,9 @@
 /// Connects to `address` within `timeout`.
 ///
 /// # Errors
-/// If the connection is refused or fails, or the timeout elapses.
-pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Connection> {
+///
+/// Returns an error if the connection is refused or fails, or if the timeout elapses.
+pub(crate) async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<Connection> {
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address)).await??;
     stream.set_nodelay(true)?;
     let activity = ResponseActivity::default();
@@ -58,13 +60,14 @@
 }
 
 impl Connection {
-    /// Waits for `future` while the connection is driven. None if the connection ends first.
-    pub async fn drive<F: Future>(&mut self, future: F) -> Option<F::Output> {
+    /// Drives the connection until `future` is ready. Returns `None` if the connection ends first.
+    pub(crate) async fn drive<F: Future>(&mut self, future: F) -> Option<F::Output> {
         self.driver.drive(future).await
     }
 
-    /// Sends a request and waits for the head of the response. None if the connection ends first.
-    pub async fn send(
+    /// Sends a request and waits for the head of the response. Returns `None` if the connection ends
+    /// first.
+    pub(crate) async fn send(
         &mut self,
         request: Request<AttemptBody>,
     ) -> Option<Result<Response<Incoming>, SendError>> {
@@ -72,43 +75,44 @@
     }
 
     /// Drives the connection once, and returns whether it has ended.
-    pub fn poll_ended(&mut self, cx: &mut Context<'_>) -> bool {
+    pub(super) fn poll_ended(&mut self, cx: &mut Context<'_>) -> bool {
         self.driver.poll(cx);
         self.driver.ended
     }
 
-    /// Returns the connection if it can carry another request and the peer has not closed it. Does
-    /// not wait: a response that has arrived must not be delayed by its connection.
-    #[must_use]
-    pub fn into_reusable(mut self) -> Option<Self> {
+    /// Returns the connection if it can carry another request and the peer has not closed it. Does not
+    /// wait, as the connection must not delay a response that has arrived.
+    pub(crate) fn into_reusable(mut self) -> Option<Self> {
         let ended = self.poll_ended(&mut Context::from_waker(Waker::noop()));
         (!ended && self.sender.is_ready()).then_some(self)
     }
 
-    /// When data of the current response last arrived.
+    /// Returns the record of the arrival of the current response.
     pub(super) fn activity(&self) -> &ResponseActivity {
         &self.activity
     }
 
-    /// How much of the current request has been written.
+    /// Returns the write progress of the current request.
     pub(super) fn progress(&self) -> &Rc<RequestWriteState> {
         &self.progress
     }
 }
 
-/// Reads and writes for a connection.
+/// Reads and writes the bytes of a connection.
 struct Driver {
     connection: Pin<Box<http1::Connection<TokioIo<BackendSocket>, AttemptBody>>>,
-    /// Recorded because the sender reports that it is ready even after the end: a connection that the
-    /// backend closed right after its response would otherwise be cached and reused.
+    /// Set once the connection has ended. The sender reports that it is ready even after the end; without
+    /// this flag, a connection that the backend closed right after its response would be reused.
     ended: bool,
 }
 
 impl Driver {
+    /// Drives the connection once.
     fn poll(&mut self, cx: &mut Context<'_>) {
         self.ended = self.ended || self.connection.as_mut().poll(cx).is_ready();
     }
 
+    /// Drives the connection until `future` is ready. Returns `None` if the connection ends first.
     async fn drive<F: Future>(&mut self, future: F) -> Option<F::Output> {
         let mut future = pin!(future);
         std::future::poll_fn(|cx| {
--- a/crates/balancer-proxy/src/upstream/exchange.rs
+++ b/crates/balancer-proxy/src/upstream/exchange.rs
@@ -1,10 +1,10 @@
 //! One exchange of a request and its response on a connection, up to the point where the response
 //! is complete or must be streamed.
 
+use super::attempt_body::AttemptBody;
 use super::body_chunks::BodyChunks;
 use super::connection::{Connection, ConnectionOrigin};
-use super::exchange_progress::ExchangeContext;
-use super::request_body::AttemptBody;
+use super::exchange_progress::{EarlyData, ExchangeContext};
 use super::shared_flag::SharedFlag;
 use crate::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use bytes::Bytes;
@@ -17,42 +17,43 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A response of unknown length is buffered for at most this long and then streamed: the latency of
-/// a long response is that of its first bytes.
+/// Longest time for which a response of unknown length is buffered before it is streamed. A client of a
+/// slow long response then gets the first bytes after this time.
 const MAX_BUFFERING_TIME: Duration = Duration::from_millis(250);
 
-/// Builds the request of an exchange, once for each connection that it is written to. None if its body
-/// can't be sent any more. The flag is to be set once the end of the body has been handed out.
-pub type BuildRequest<'a> = &'a dyn Fn(&SharedFlag) -> Option<Request<AttemptBody>>;
+/// Builds the request of an exchange, once for each connection to which the request is written. Returns
+/// `None` if the body cannot be sent any more. The request sets the flag once the end of its body has
+/// been handed out.
+pub(super) type BuildRequest<'a> = &'a dyn Fn(&SharedFlag) -> Option<Request<AttemptBody>>;
 
 /// A response with any status.
-pub struct ReceivedResponse {
-    /// Its status and headers.
-    pub head: Parts,
-    /// Its body.
-    pub body: ReceivedBody,
+pub(super) struct ReceivedResponse {
+    /// The status and headers.
+    pub(super) head: Parts,
+    /// The body, as far as it has been received.
+    pub(super) body: ReceivedBody,
 }
 
 /// The body of a response, as far as it has been received.
-pub enum ReceivedBody {
+pub(super) enum ReceivedBody {
     /// The complete body.
     Buffered(Bytes),
     /// A body that is too long to be buffered.
     Streamed {
-        /// Its beginning, as received so far.
+        /// The beginning of the body, as received so far.
         received: BodyChunks,
-        /// The source of the rest.
+        /// The source of the rest of the body.
         incoming: Incoming,
     },
 }
 
-/// Why there is no response.
+/// The reason why an exchange has no response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum ExchangeError {
+pub(super) enum ExchangeError {
     /// The last byte of the request was not written: the request never ran, and can be sent again.
     #[error("the connection ended before the request had been written")]
     NotSent,
-    /// The request never ran, but its body has been consumed and can't be sent again.
+    /// The request never ran, but its body has been consumed and cannot be sent again.
     #[error("the body of the request is consumed")]
     BodyConsumed,
     /// The request may have run.
@@ -60,31 +61,35 @@
     NoValidResponse,
 }
 
-/// Sends a request and waits for its response. The response must be complete, or too long to be
-/// buffered; one that stalls half way, or that could be parsed in two ways, is invalid. On a reused
+/// Sends a request and waits for its response, which is received completely or up to the length that is
+/// buffered. A response that stalls half way, or that could be parsed in two ways, is invalid. On a reused
 /// connection, data that arrives before the request has been written belongs to an earlier exchange.
 ///
 /// # Errors
-/// [`ExchangeError`] says whether the request may have run. The connection is unusable after any.
-pub async fn exchange(
+///
+/// Returns an [`ExchangeError`] that says whether the request may have run. The connection is unusable
+/// after an error.
+pub(super) async fn exchange(
     connection: &mut Connection,
     origin: ConnectionOrigin,
     build_request: BuildRequest<'_>,
-    options: &ExchangeContext,
+    context: &ExchangeContext,
 ) -> Result<ReceivedResponse, ExchangeError> {
     let activity = connection.activity().clone();
     activity.clear();
     let progress = connection.progress().clone();
-    progress.begin(options);
+    progress.start_request(context);
     let mut request = build_request(progress.final_data()).ok_or(ExchangeError::BodyConsumed)?;
     let is_buffered = matches!(request.body(), AttemptBody::Buffered(_));
-    progress.reject_early_data(origin == ConnectionOrigin::Reused && is_buffered);
+    let is_early_data_invalid = origin == ConnectionOrigin::Reused && is_buffered;
+    let early_data = if is_early_data_invalid { EarlyData::Invalid } else { EarlyData::PartOfResponse };
+    progress.set_early_data(early_data);
     // Informational (1xx) responses precede the final one, perhaps by a long time.
     let informational_activity = activity.clone();
     hyper::ext::on_informational(&mut request, move |_| informational_activity.clear());
     let result = tokio::select! {
-        result = send_and_receive(connection, request, &options.request_written) => result,
-        () = activity.stalled() => Err(ExchangeError::NoValidResponse),
+        result = send_and_receive(connection, request, &context.request_written) => result,
+        () = activity.wait_for_stall() => Err(ExchangeError::NoValidResponse),
     };
     match result {
         Err(ExchangeError::NotSent) if build_request(progress.final_data()).is_none() => {
@@ -101,7 +106,7 @@
 ) -> Result<ReceivedResponse, ExchangeError> {
     let response = match connection.send(request).await {
         Some(Ok(response)) => response,
-        _ if request_written.get() => return Err(ExchangeError::NoValidResponse),
+        _ if request_written.is_set() => return Err(ExchangeError::NoValidResponse),
         _ => return Err(ExchangeError::NotSent),
     };
     if !is_valid(&response) {
@@ -112,7 +117,7 @@
     Ok(ReceivedResponse { head, body })
 }
 
-/// The response is a final one of an unambiguous and allowed length.
+/// Returns whether the response is a final one of an unambiguous and allowed length.
 fn is_valid(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let is_ambiguous = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
@@ -120,7 +125,8 @@
     !is_ambiguous && !is_too_long && !response.status().is_informational()
 }
 
-/// Receives a body, as far as it is buffered. None if it breaks off.
+/// Receives a body, completely or up to the length that is buffered. Returns `None` if the body breaks
+/// off.
 async fn receive_body(connection: &mut Connection, mut incoming: Incoming) -> Option<ReceivedBody> {
     let announced_bytes = incoming.size_hint().exact();
     let mut received = BodyChunks::default();
--- a/crates/balancer-proxy/src/upstream/exchange_progress.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_progress.rs
@@ -1,5 +1,5 @@
-//! The state that an exchange shares with the socket of its connection: when data of the response
-//! last arrived, and how much of the request has been written.
+//! The state that an exchange shares with the socket of its connection: the time at which data of the
+//! response last arrived, and the write progress of the request.
 
 use super::shared_flag::SharedFlag;
 use crate::metrics::Metrics;
@@ -9,29 +9,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A response that has begun and of which nothing more arrives for this long counts as invalid.
+/// A response that has started, and of which nothing more arrives for this long, counts as invalid.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a response is checked for such a stall.
+/// Interval between two checks for a stalled response.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// When data of the current response last arrived; unset until its first byte. It is behind a
-/// mutex because hyper requires its callback for informational responses to be `Send`.
+/// The time at which data of the current response last arrived; `None` until the first byte arrives. The
+/// time is behind a mutex because hyper requires its callback for informational responses to be `Send`.
 #[derive(Clone, Default)]
-pub struct ResponseActivity(Arc<Mutex<Option<Instant>>>);
+pub(super) struct ResponseActivity(Arc<Mutex<Option<Instant>>>);
 
 impl ResponseActivity {
-    /// Data has just arrived.
-    pub fn record(&self) {
+    /// Records that data has just arrived.
+    pub(super) fn record(&self) {
         self.replace(Some(Instant::now()));
     }
 
-    /// The response has not begun yet.
-    pub fn clear(&self) {
+    /// Records that the response has not started yet.
+    pub(super) fn clear(&self) {
         self.replace(None);
     }
 
-    /// Returns once a response that has begun stalls.
-    pub async fn stalled(&self) {
+    /// Returns once a response that has started stalls.
+    pub(super) async fn wait_for_stall(&self) {
         while !self.is_stalled() {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
         }
@@ -48,62 +48,70 @@
     }
 }
 
-/// How an exchange is observed and bounded from outside.
+/// The means by which the caller of an exchange observes and bounds the exchange.
 #[derive(Clone, Default)]
-pub struct ExchangeContext {
-    /// Set once the complete request has been written. The engine shares it: when it ends the
-    /// attempt, the flag decides whether the request may run.
-    pub request_written: SharedFlag,
-    /// The last byte of the request is not written after this.
-    pub write_deadline: Option<Instant>,
-    /// Where a request that has been written is counted.
-    pub metrics: Option<Rc<Metrics>>,
+pub(super) struct ExchangeContext {
+    /// Set once the complete request has been written. The engine shares this flag: when the engine ends
+    /// the attempt, the flag decides whether the request may run.
+    pub(super) request_written: SharedFlag,
+    /// The time after which the last byte of the request is not written, if there is such a limit.
+    pub(super) write_deadline: Option<Instant>,
+    /// The metrics in which a request that has been written is counted, if it is to be counted.
+    pub(super) metrics: Option<Rc<Metrics>>,
 }
 
-/// How much of the current request has been written.
+/// The meaning of data that arrives before the request has been written completely.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(super) enum EarlyData {
+    /// The data belongs to the response.
+    #[default]
+    PartOfResponse,
+    /// The data belongs to an earlier exchange, and makes the connection unusable.
+    Invalid,
+}
+
+/// The write progress of the current request of a connection.
 #[derive(Default)]
-pub struct RequestWriteState {
-    options: RefCell<ExchangeContext>,
-    /// The end of the body has been handed out: the next write contains the last byte.
+pub(super) struct RequestWriteState {
+    context: RefCell<ExchangeContext>,
+    /// Set once the end of the body has been handed out: the next write contains the last byte.
     final_data: SharedFlag,
-    /// Data that arrives before the request has been written is an error.
-    rejects_early_data: Cell<bool>,
+    early_data: Cell<EarlyData>,
 }
 
 impl RequestWriteState {
-    /// A new request is about to be written.
-    pub fn begin(&self, options: &ExchangeContext) {
-        options.request_written.set(false);
-        self.final_data.set(false);
-        self.options.replace(options.clone());
+    /// Resets the progress for a new request.
+    pub(super) fn start_request(&self, context: &ExchangeContext) {
+        context.request_written.clear();
+        self.final_data.clear();
+        self.context.replace(context.clone());
     }
 
-    /// Sets whether data that arrives before the request has been written is an error. Otherwise it
-    /// belongs to the response.
-    pub fn reject_early_data(&self, reject: bool) {
-        self.rejects_early_data.set(reject);
+    /// Sets the meaning of data that arrives before the request has been written completely.
+    pub(super) fn set_early_data(&self, early_data: EarlyData) {
+        self.early_data.set(early_data);
     }
 
-    /// Set by the body of the request once its end has been handed out.
-    pub fn final_data(&self) -> &SharedFlag {
+    /// Returns the flag that the body of the request sets once its end has been handed out.
+    pub(super) fn final_data(&self) -> &SharedFlag {
         &self.final_data
     }
 
-    /// Data that arrives now can't belong to the response.
-    pub fn is_too_early(&self) -> bool {
-        self.rejects_early_data.get() && !self.options.borrow().request_written.get()
+    /// Returns whether data that arrives now cannot belong to the response.
+    pub(super) fn is_too_early(&self) -> bool {
+        self.early_data.get() == EarlyData::Invalid && !self.context.borrow().request_written.is_set()
     }
 
-    /// The deadline for writing the last byte has passed.
-    pub fn is_write_deadline_exceeded(&self) -> bool {
-        self.options.borrow().write_deadline.is_some_and(|deadline| Instant::now() >= deadline)
+    /// Returns whether the deadline for writing the last byte has passed.
+    pub(super) fn is_write_deadline_exceeded(&self) -> bool {
+        self.context.borrow().write_deadline.is_some_and(|deadline| Instant::now() >= deadline)
     }
 
-    /// The complete request has been written. It is counted once.
-    pub fn finish(&self) {
-        let mut options = self.options.borrow_mut();
-        options.request_written.set(true);
-        if let Some(metrics) = options.metrics.take() {
+    /// Records that the complete request has been written, and counts the request once.
+    pub(super) fn finish_request(&self) {
+        let mut context = self.context.borrow_mut();
+        context.request_written.set();
+        if let Some(metrics) = context.metrics.take() {
             metrics.attempt_written();
         }
     }
--- a/crates/balancer-proxy/src/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -1,6 +1,7 @@
 //! A request in the form in which attempts send it to backends.
 
-use super::request_body::{AttemptBody, StreamedRequestBody};
+use super::attempt_body::AttemptBody;
+use super::request_body::StreamedRequestBody;
 use super::shared_flag::SharedFlag;
 use balancer::Time;
 use bytes::Bytes;
@@ -10,6 +11,7 @@
 
 /// Request header with the time that remains for the response, in whole milliseconds.
 const REMAINING_TIME_HEADER: &str = "x-remaining-ms";
+const MILLISECONDS_PER_SECOND: Time = 1000.0;
 
 /// A request as it is forwarded to backends.
 #[derive(Debug)]
@@ -31,40 +33,45 @@
     Buffered(Bytes),
     /// A body that is still being received.
     Streamed {
-        /// The body.
+        /// The body, as far as it has been received.
         body: Rc<StreamedRequestBody>,
-        /// Its length in bytes, if the client announced it.
+        /// The length of the complete body in bytes, if the client announced the length.
         length: Option<u64>,
     },
 }
 
 impl ForwardedRequest {
-    /// The request for an attempt that ends in `remaining_time` seconds. `final_data` is set once
-    /// the end of its body has been handed out. None if the body can't be sent any more.
-    #[must_use]
-    pub fn build(&self, remaining_time: Time, final_data: &SharedFlag) -> Option<Request<AttemptBody>> {
+    /// Builds the request for an attempt that ends in `remaining_time` seconds. The body of the request
+    /// sets `final_data` once its end has been handed out. Returns `None` if the body cannot be sent any
+    /// more.
+    pub(super) fn build(
+        &self,
+        remaining_time: Time,
+        final_data: &SharedFlag,
+    ) -> Option<Request<AttemptBody>> {
         let mut request = Request::new(self.attempt_body(final_data)?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let remaining_ms = (remaining_time.max(0.0) * 1000.0) as u64;
-        request.headers_mut().insert(REMAINING_TIME_HEADER, HeaderValue::from(remaining_ms));
+        let remaining_ms = HeaderValue::from(whole_milliseconds(remaining_time));
+        request.headers_mut().insert(REMAINING_TIME_HEADER, remaining_ms);
         if let ForwardedBody::Streamed { length: Some(length), .. } = self.body {
             request.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(length));
         }
         Some(request)
     }
 
-    /// Part of the body has been forwarded and is no longer buffered: it can't be sent again.
-    #[must_use]
-    pub fn is_consumed(&self) -> bool {
+    /// Returns whether a part of the body has been forwarded and is no longer buffered, so that the body
+    /// cannot be sent again.
+    pub(crate) fn is_consumed(&self) -> bool {
         matches!(&self.body, ForwardedBody::Streamed { body, .. } if body.is_consumed())
     }
 
+    /// Returns the body for one attempt, or `None` if the body cannot be sent any more.
     fn attempt_body(&self, final_data: &SharedFlag) -> Option<AttemptBody> {
         match &self.body {
             ForwardedBody::Buffered(complete) => {
-                final_data.set(true);
+                final_data.set();
                 let content = (!complete.is_empty()).then(|| complete.clone());
                 Some(AttemptBody::Buffered(content))
             }
@@ -75,3 +82,9 @@
         }
     }
 }
+
+/// Rounds a time in seconds down to whole milliseconds, from 0 for a negative time. The conversion
+/// saturates, so that an infinite time is the longest that the type holds.
+fn whole_milliseconds(seconds: Time) -> u64 {
+    (seconds.max(0.0) * MILLISECONDS_PER_SECOND) as u64
+}
--- a/crates/balancer-proxy/src/upstream/load_report.rs
+++ b/crates/balancer-proxy/src/upstream/load_report.rs
@@ -7,20 +7,24 @@
 const SERVICE_TIME_FIELDS: [&str; 2] = ["avg_ms", "latency_ms"];
 /// Accepted names of the rate of requests, per second.
 const REQUEST_RATE_FIELDS: [&str; 2] = ["rps", "qps"];
+const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Parses a load report. Fields that are unknown or not valid are skipped; None if `json` is not a
-/// JSON object.
-#[must_use]
-pub fn parse(json: &[u8]) -> Option<LoadReport> {
+/// Parses a load report. Fields that are unknown or not valid are skipped; returns `None` if `json` is
+/// not a JSON object.
+pub(crate) fn parse(json: &[u8]) -> Option<LoadReport> {
     let fields: Map<String, Value> = serde_json::from_slice(json).ok()?;
+    let service_time_ms = non_negative_field(&fields, SERVICE_TIME_FIELDS);
     Some(LoadReport {
-        service_time: non_negative(&fields, SERVICE_TIME_FIELDS).map(|ms| ms / 1000.0),
-        requests_per_second: non_negative(&fields, REQUEST_RATE_FIELDS),
+        service_time: service_time_ms.map(|milliseconds| milliseconds / MILLISECONDS_PER_SECOND),
+        requests_per_second: non_negative_field(&fields, REQUEST_RATE_FIELDS),
     })
 }
 
-/// The first number with one of these names, unless it is negative.
-fn non_negative(fields: &Map<String, Value>, names: [&str; 2]) -> Option<f64> {
+/// Returns the number in the first of these fields that holds one, unless the number is negative.
+fn non_negative_field(fields: &Map<String, Value>, names: [&str; 2]) -> Option<f64> {
     let value = names.iter().find_map(|name| fields.get(*name)?.as_f64())?;
     (value >= 0.0).then_some(value)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/upstream/mod.rs
+++ b/crates/balancer-proxy/src/upstream/mod.rs
@@ -2,16 +2,17 @@
 //! that are streamed in both directions.
 
 pub mod attempt;
-pub mod body_chunks;
-pub mod connection;
-pub mod exchange;
-pub mod exchange_progress;
+pub(crate) mod attempt_body;
+mod body_chunks;
+pub(crate) mod connection;
+mod exchange;
+mod exchange_progress;
 pub mod forwarded_request;
-pub mod load_report;
+pub(crate) mod load_report;
 pub mod pool;
-pub mod request_body;
-pub mod response_body;
-pub mod send_deadlines;
+pub(crate) mod request_body;
+pub(crate) mod response_body;
+mod send_deadlines;
 pub mod shared_flag;
-pub mod socket;
-pub mod transfer_pace;
+mod socket;
+mod transfer_pace;
--- a/crates/balancer-proxy/src/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! The connections to one backend. The pool owns those that are idle, establishes new ones, and knows
-//! the deadlines after which nothing more may be sent to the backend.
+//! The connections to one backend. The pool owns the idle connections, establishes new ones, and knows
+//! the deadlines after which no request may be sent to the backend.
 
 use super::connection::{Connection, ConnectionOrigin, connect};
 use super::send_deadlines::SendDeadlines;
@@ -14,23 +14,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fraction of the idle timeout of backends up to which an idle connection is reused. Near the
-/// timeout, the backend may close the connection while a request is on its way, which is then lost.
+/// Fraction of the idle timeout of backends up to which an idle connection is reused. Near the timeout,
+/// the backend may close the connection while a request is on its way, and the request is then lost.
 const REUSE_FRACTION: f64 = 0.7;
 
-/// A connection is reused only when it has been idle for this long. What a backend writes after the
-/// end of a response arrives in that time and makes the connection unusable, so that it is not
+/// A connection is reused only when it has been idle for this long. Data that a backend writes after the
+/// end of a response arrives in that time and makes the connection unusable, so that the data is not
 /// mistaken for the response to the next request.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(25);
 
+/// The timeouts of the connections to backends.
+#[derive(Clone, Copy, Debug)]
+pub struct ConnectionTimeouts {
+    /// The time within which a connection must be established.
+    pub connect: Duration,
+    /// The time after which a backend closes an idle connection.
+    pub idle: Duration,
+}
+
 struct IdleConnection {
     connection: Connection,
     permit: Permit,
+    /// The time at which the connection became idle.
     since: Instant,
 }
 
 impl IdleConnection {
-    /// The connection, if the backend has not closed it meanwhile.
+    /// Returns the idle connection if the backend has not closed it meanwhile.
     fn into_reusable(self) -> Option<Self> {
         let connection = self.connection.into_reusable()?;
         Some(Self { connection, ..self })
@@ -40,122 +50,122 @@
 /// The connections to one backend. Times are those of the proxy's clock, in seconds.
 pub struct ConnectionPool {
     address: Cell<SocketAddr>,
-    /// In the order in which they became idle.
+    /// The idle connections, in the order in which they became idle.
     idle: RefCell<Vec<IdleConnection>>,
     send_deadlines: SendDeadlines,
-    /// Increases when all present connections are to be closed: one of an earlier generation is not
-    /// cached when it becomes idle.
+    /// The number of times that all connections were to be closed. A connection of an earlier generation
+    /// is closed when it becomes idle.
     generation: Cell<u64>,
+    /// The budget for the connections to all backends together.
     budget: Rc<Budget>,
-    connect_timeout: Cell<Duration>,
-    max_idle_time: Cell<Duration>,
+    timeouts: Cell<ConnectionTimeouts>,
 }
 
 impl ConnectionPool {
-    /// A pool for the backend at `address`. Each connection takes a permit of `budget`. A backend
-    /// closes its connections after they have been idle for `idle_timeout`.
+    /// Creates a pool for the backend at `address`. Each connection takes a permit of `budget`.
     #[must_use]
-    pub fn new(
-        address: SocketAddr,
-        budget: Rc<Budget>,
-        connect_timeout: Duration,
-        idle_timeout: Duration,
-    ) -> Self {
+    pub fn new(address: SocketAddr, budget: Rc<Budget>, timeouts: ConnectionTimeouts) -> Self {
         Self {
             address: Cell::new(address),
             idle: RefCell::default(),
             send_deadlines: SendDeadlines::default(),
             generation: Cell::new(0),
             budget,
-            connect_timeout: Cell::new(connect_timeout),
-            max_idle_time: Cell::new(idle_timeout.mul_f64(REUSE_FRACTION)),
+            timeouts: Cell::new(timeouts),
         }
     }
 
-    /// Changes the timeouts, see [`ConnectionPool::new`].
-    pub fn set_timeouts(&self, connect_timeout: Duration, idle_timeout: Duration) {
-        self.connect_timeout.set(connect_timeout);
-        self.max_idle_time.set(idle_timeout.mul_f64(REUSE_FRACTION));
+    /// Changes the timeouts.
+    pub(crate) fn set_timeouts(&self, timeouts: ConnectionTimeouts) {
+        self.timeouts.set(timeouts);
     }
 
-    /// The time within which a connection must be established.
-    #[must_use]
-    pub fn connect_timeout(&self) -> Duration {
-        self.connect_timeout.get()
+    /// Returns the time within which a connection must be established.
+    pub(super) fn connect_timeout(&self) -> Duration {
+        self.timeouts.get().connect
     }
 
-    /// Applies an entry of the endpoint list: the address and, if the backend is draining, the time
-    /// when sends must end.
-    pub fn update(&self, address: SocketAddr, drain_deadline: Option<Time>) {
-        if self.address.replace(address) != address || drain_deadline.is_some() {
+    /// Records that the endpoint list has the backend in service at `address`.
+    pub(crate) fn set_in_service(&self, address: SocketAddr) {
+        if self.address.replace(address) != address {
             self.retire_connections();
         }
-        self.send_deadlines.set_drain(drain_deadline);
+        self.send_deadlines.set_in_service();
+    }
+
+    /// Records that the endpoint list has the backend draining at `address`: sends must end by
+    /// `deadline`.
+    pub fn set_draining(&self, address: SocketAddr, deadline: Time) {
+        self.address.set(address);
+        self.retire_connections();
+        self.send_deadlines.set_draining(deadline);
     }
 
-    /// The backend is removed from the endpoint list: sends must end by `deadline`.
-    pub fn mark_removed(&self, deadline: Time) {
+    /// Records that the backend is removed from the endpoint list: sends must end by `deadline`.
+    pub(crate) fn set_removed(&self, deadline: Time) {
         self.retire_connections();
         self.send_deadlines.set_removed(deadline);
     }
 
-    /// Sets when sends must end because the backend is in maintenance; None if it is not.
-    pub fn set_maintenance_deadline(&self, deadline: Option<Time>) {
-        self.send_deadlines.set_maintenance(deadline);
+    /// Records that the backend is in maintenance: sends must end by `deadline`.
+    pub(crate) fn start_maintenance(&self, deadline: Time) {
+        self.send_deadlines.start_maintenance(deadline);
     }
 
-    /// The backend is removed, and its grace period is over.
-    #[must_use]
-    pub fn can_be_forgotten(&self, clock: &Clock) -> bool {
+    /// Records that the backend is not in maintenance.
+    pub(crate) fn end_maintenance(&self) {
+        self.send_deadlines.end_maintenance();
+    }
+
+    /// Returns whether the backend is removed and its grace period is over.
+    pub(crate) fn can_be_forgotten(&self, clock: &Clock) -> bool {
         self.send_deadlines.is_expired(clock.now())
     }
 
-    /// No deadline for sends to the backend has passed.
-    #[must_use]
-    pub fn may_send(&self, clock: &Clock) -> bool {
+    /// Returns whether a request may be sent to the backend now, as no deadline for sends has passed.
+    pub(super) fn may_send(&self, clock: &Clock) -> bool {
         self.send_deadlines.allow_send(clock.now())
     }
 
-    /// Closes the idle connections, and those in use as soon as they become idle.
-    pub fn retire_connections(&self) {
+    /// Closes the idle connections, and the connections in use as soon as they become idle.
+    pub(crate) fn retire_connections(&self) {
         self.generation.set(self.generation.get() + 1);
         self.idle.borrow_mut().clear();
     }
 
     /// Closes connections that have been idle for too long or were closed by the backend.
-    pub fn sweep_idle(&self) {
+    pub(crate) fn sweep_idle(&self) {
         let reusable = self.idle.take().into_iter().filter_map(IdleConnection::into_reusable);
         let fresh = reusable.filter(|idle| self.is_fresh(idle)).collect();
         self.idle.replace(fresh);
     }
 
-    /// The connection has not been idle for too long.
+    /// Returns whether the connection has not been idle for too long to be reused.
     fn is_fresh(&self, idle: &IdleConnection) -> bool {
-        idle.since.elapsed() < self.max_idle_time.get()
+        idle.since.elapsed() < self.timeouts.get().idle.mul_f64(REUSE_FRACTION)
     }
 
-    /// Since when the connection that has been idle longest has been so.
-    #[must_use]
-    pub fn idle_since(&self) -> Option<Instant> {
+    /// Returns the time at which the connection that has been idle longest became idle.
+    pub(crate) fn idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.since)
     }
 
-    /// Closes the connection that has been idle longest, if there is one.
-    pub fn close_oldest_idle(&self) {
+    /// Closes the connection that has been idle longest, if a connection is idle.
+    pub(crate) fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
             idle.remove(0);
         }
     }
 
-    /// The present generation of connections.
+    /// Returns the current generation of connections.
     pub(super) fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Checks out the idle connection that was used last, or else establishes a new one. After use
-    /// it is cached if the pool then still has this `generation`. None if the budget is used up or no
-    /// connection can be established.
+    /// Checks out the idle connection that was used last, or else establishes a new one. After its use,
+    /// the connection becomes idle if the pool still has this `generation`. Returns `None` if the budget
+    /// is used up or no connection can be established.
     pub(super) async fn check_out(self: &Rc<Self>, generation: u64) -> Option<CheckedOutConnection> {
         if let Some(IdleConnection { connection, permit, .. }) = self.take_idle() {
             let lease = ConnectionLease { pool: self.clone(), permit, generation };
@@ -167,8 +177,8 @@
         Some(CheckedOutConnection { connection, lease, origin: ConnectionOrigin::New })
     }
 
-    /// Removes the idle connection that was used last and can be reused. Those found unusable are
-    /// closed.
+    /// Removes and returns the idle connection that was used last and can be reused. Unusable connections
+    /// that are found on the way are closed.
     fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(index) = idle.iter().rposition(|idle| idle.since.elapsed() >= MIN_IDLE_TIME) {
@@ -182,14 +192,14 @@
         None
     }
 
-    /// Establishes a connection. Where a single connection attempt is slow, a second one usually is
-    /// not: it is started after half of the timeout, and the first of the two to end is used. This
-    /// avoids requests that must wait for their next retransmission timer because they got no
-    /// connection. Its cost is that a backend that is slow to accept gets up to twice as many
-    /// connections.
+    /// Establishes a connection. If the first connection attempt takes half of the timeout, a second one
+    /// is started, and the result of whichever ends first is used: where a single connection attempt is
+    /// slow, the next one usually is not. Without the second attempt, a request would get no connection
+    /// and wait for its next retransmission timer. The cost is that a backend that is slow to accept gets
+    /// up to twice as many connections.
     async fn connect(&self) -> io::Result<Connection> {
         let address = self.address.get();
-        let timeout = self.connect_timeout.get();
+        let timeout = self.connect_timeout();
         let mut first = pin!(connect(address, timeout));
         if let Ok(connected) = tokio::time::timeout(timeout / 2, first.as_mut()).await {
             return connected;
@@ -202,27 +212,23 @@
     }
 }
 
-/// A connection in use, and its place in the pool.
+/// A connection in use, with its lease.
 pub(super) struct CheckedOutConnection {
-    /// The connection.
-    pub connection: Connection,
-    /// Returns the connection to its pool.
-    pub lease: ConnectionLease,
-    /// Whether the connection was used before.
-    pub origin: ConnectionOrigin,
+    pub(super) connection: Connection,
+    pub(super) lease: ConnectionLease,
+    pub(super) origin: ConnectionOrigin,
 }
 
-/// The place of a connection in its pool while the connection is in use. Dropping it returns the
-/// permit to the budget.
-pub struct ConnectionLease {
+/// The right to use a connection of a pool. A lease that is dropped returns its permit to the budget.
+pub(super) struct ConnectionLease {
     pool: Rc<ConnectionPool>,
     permit: Permit,
     generation: u64,
 }
 
 impl ConnectionLease {
-    /// Makes the connection idle, or closes it if it can't be reused.
-    pub fn release(self, connection: Connection) {
+    /// Returns the connection to the pool as idle, or closes a connection that cannot be reused.
+    pub(super) fn release(self, connection: Connection) {
         let Self { pool, permit, generation } = self;
         if let Some(connection) = connection.into_reusable()
             && pool.generation.get() == generation
@@ -231,3 +237,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-proxy/src/upstream/pool/tests.rs
@@ -0,0 +1,133 @@
+//! Tests of a connection pool with a listener on a loopback address.
+
+use super::{CheckedOutConnection, ConnectionPool, ConnectionTimeouts, MIN_IDLE_TIME};
+use crate::limits::Budget;
+use crate::upstream::connection::ConnectionOrigin;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Far beyond what any step takes, on a busy machine too.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// Runs a test with a listener that establishes connections and never accepts them.
+fn run_with_listener<F: Future<Output = ()>>(test: impl FnOnce(SocketAddr) -> F) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(test(address));
+}
+
+fn pool_at(address: SocketAddr, budget: &Rc<Budget>) -> Rc<ConnectionPool> {
+    let timeouts = ConnectionTimeouts { connect: TEST_TIMEOUT, idle: TEST_TIMEOUT };
+    Rc::new(ConnectionPool::new(address, budget.clone(), timeouts))
+}
+
+/// Checks out a connection of the current generation.
+async fn check_out(pool: &Rc<ConnectionPool>) -> CheckedOutConnection {
+    pool.check_out(pool.generation()).await.expect("a connection")
+}
+
+/// Releases a connection after its use.
+fn release(checked_out: CheckedOutConnection) {
+    checked_out.lease.release(checked_out.connection);
+}
+
+/// Waits until connections that were released just now can be reused.
+async fn wait_until_reusable() {
+    tokio::time::sleep(2 * MIN_IDLE_TIME).await;
+}
+
+#[test]
+fn reuses_an_idle_connection_once_it_has_been_idle_for_the_least_time() {
+    run_with_listener(|address| async move {
+        let pool = pool_at(address, &Budget::new(4));
+        let first = check_out(&pool).await;
+        assert_eq!(first.origin, ConnectionOrigin::New);
+        release(first);
+
+        wait_until_reusable().await;
+        let second = check_out(&pool).await;
+
+        assert_eq!(second.origin, ConnectionOrigin::Reused);
+        assert!(pool.idle_since().is_none());
+    });
+}
+
+#[test]
+fn closes_a_connection_in_use_that_was_retired_meanwhile() {
+    run_with_listener(|address| async move {
+        let budget = Budget::new(1);
+        let pool = pool_at(address, &budget);
+        let in_use = check_out(&pool).await;
+        assert!(budget.is_full());
+
+        pool.retire_connections();
+        release(in_use);
+
+        assert!(pool.idle_since().is_none());
+        assert!(!budget.is_full());
+    });
+}
+
+#[test]
+fn closes_idle_connections_when_the_address_changes_and_not_when_it_stays() {
+    run_with_listener(|address| async move {
+        let pool = pool_at(address, &Budget::new(4));
+        release(check_out(&pool).await);
+
+        pool.set_in_service(address);
+        let idle_at_same_address = pool.idle_since();
+        pool.set_in_service(SocketAddr::from(([127, 0, 0, 1], 1)));
+
+        assert!(idle_at_same_address.is_some());
+        assert!(pool.idle_since().is_none());
+    });
+}
+
+#[test]
+fn opens_no_connection_beyond_the_budget() {
+    run_with_listener(|address| async move {
+        let pool = pool_at(address, &Budget::new(1));
+        let in_use = check_out(&pool).await;
+
+        let second = pool.check_out(pool.generation()).await;
+
+        assert!(second.is_none());
+        drop(in_use);
+    });
+}
+
+#[test]
+fn closes_the_connection_that_has_been_idle_longest_first() {
+    run_with_listener(|address| async move {
+        let budget = Budget::new(2);
+        let pool = pool_at(address, &budget);
+        let (first, second) = (check_out(&pool).await, check_out(&pool).await);
+        release(first);
+        let first_idle_since = pool.idle_since();
+        wait_until_reusable().await;
+        release(second);
+
+        pool.close_oldest_idle();
+
+        assert!(pool.idle_since() > first_idle_since);
+        assert!(!budget.is_full());
+    });
+}
+
+#[test]
+fn a_sweep_closes_connections_that_have_been_idle_for_too_long() {
+    run_with_listener(|address| async move {
+        let pool = pool_at(address, &Budget::new(4));
+        release(check_out(&pool).await);
+
+        pool.sweep_idle();
+        let idle_within_timeout = pool.idle_since();
+        pool.set_timeouts(ConnectionTimeouts { connect: TEST_TIMEOUT, idle: Duration::ZERO });
+        pool.sweep_idle();
+
+        assert!(idle_within_timeout.is_some());
+        assert!(pool.idle_since().is_none());
+    });
+}
--- a/crates/balancer-proxy/src/upstream/response_body.rs
+++ b/crates/balancer-proxy/src/upstream/response_body.rs
@@ -1,5 +1,6 @@
-//! Responses of backends. Those that are too long to be buffered are streamed, as fast as the client
-//! reads; a streamed body owns its connection, and releases it to the pool at its end.
+//! Responses of backends. A response that is too long to be buffered is streamed at the pace of the
+//! client; the body of a streamed response owns its connection, and releases the connection to the pool
+//! at its end.
 
 use super::body_chunks::BodyChunks;
 use super::connection::Connection;
@@ -14,19 +15,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep};
 
-/// A backend from which nothing arrives for this long will not complete its response.
+/// Time without data from a backend after which the backend is not expected to complete its response.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The body of a response that is still being received from its backend.
 pub struct StreamedResponseBody {
+    /// The chunks that were received before the body was streamed, and are not returned yet.
     buffered: BodyChunks,
     incoming: Incoming,
-    /// The connection, until the body has ended.
+    /// The connection of the body, until the body has ended.
     leased: Option<LeasedConnection>,
-    /// In bytes, if known.
+    /// The length of the complete body in bytes, if known.
     length: Option<u64>,
     /// The length of the chunks returned so far, in bytes.
     returned_bytes: u64,
+    /// Ends [`IDLE_TIMEOUT`] after the last arrival of data.
     idle_timer: Pin<Box<Sleep>>,
 }
 
@@ -36,9 +39,9 @@
 }
 
 impl StreamedResponseBody {
-    /// The body that begins with `received`. The rest is received as `incoming`, over `connection`.
-    #[must_use]
-    pub fn new(
+    /// Creates the body that begins with `received`, and whose rest is received as `incoming` over
+    /// `connection`.
+    pub(super) fn new(
         received: BodyChunks,
         incoming: Incoming,
         connection: Connection,
@@ -54,13 +57,12 @@
         }
     }
 
-    /// The length in bytes, if known.
-    #[must_use]
-    pub fn length(&self) -> Option<u64> {
+    /// Returns the length of the complete body in bytes, if known.
+    fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// The next chunk; None at the end.
+    /// Receives the next chunk, or `None` at the end.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamError>>> {
         if let Some(chunk) = self.buffered.pop_front() {
             self.returned_bytes += chunk.len() as u64;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Counts a chunk that was received.
+    /// Counts a chunk that was received, and releases the connection after the last one.
     fn accept(&mut self, chunk: Bytes) -> Result<Bytes, StreamError> {
         self.returned_bytes += chunk.len() as u64;
         // A client does not poll beyond a known length: this is the last call.
@@ -107,7 +109,7 @@
         Ok(chunk)
     }
 
-    /// The body is complete: its connection may carry another request.
+    /// Releases the connection, which may carry another request, as the body is complete.
     fn release(&mut self) {
         if let Some(LeasedConnection { connection, lease }) = self.leased.take() {
             lease.release(connection);
@@ -125,18 +127,17 @@
 
 /// A response of a backend.
 pub struct BackendResponse {
-    /// The body.
+    /// The content of the body.
     pub content: ResponseContent,
-    /// The length of the body in bytes, if known.
+    /// The length of the complete body in bytes, if known.
     pub length: Option<u64>,
     /// The headers.
     pub headers: HeaderMap,
 }
 
 impl BackendResponse {
-    /// A response with this body and these headers.
-    #[must_use]
-    pub fn new(content: ResponseContent, headers: HeaderMap) -> Self {
+    /// Creates a response with this body and these headers.
+    pub(super) fn new(content: ResponseContent, headers: HeaderMap) -> Self {
         let length = match &content {
             ResponseContent::Buffered(complete) => Some(complete.len() as u64),
             ResponseContent::Streamed(body) => body.length(),
@@ -144,8 +145,7 @@
         Self { content, length, headers }
     }
 
-    /// The body, if it is buffered.
-    #[must_use]
+    /// Returns the body if it is buffered.
     pub fn buffered(&self) -> Option<&Bytes> {
         match &self.content {
             ResponseContent::Buffered(complete) => Some(complete),
--- a/crates/balancer-proxy/src/upstream/send_deadlines.rs
+++ b/crates/balancer-proxy/src/upstream/send_deadlines.rs
@@ -1,49 +1,63 @@
-//! Until when requests may be sent to a backend that is draining, removed or in maintenance.
+//! The times after which no request may be sent to a backend that is draining, removed or in maintenance.
 
 use balancer::Time;
 use std::cell::Cell;
 
 /// The deadlines for sends to one backend. Times are those of the proxy's clock, in seconds.
 #[derive(Debug, Default)]
-pub struct SendDeadlines {
-    /// Set while the backend is draining or removed.
+pub(super) struct SendDeadlines {
+    /// The deadline of the drain, while the backend is draining or removed.
     drain: Cell<Option<Time>>,
-    /// Set while the backend is in maintenance.
+    /// The deadline of the maintenance, while the backend is in maintenance.
     maintenance: Cell<Option<Time>>,
-    /// The backend is no longer in the endpoint list, or is marked there as removed.
+    /// Set while the endpoint list lacks the backend or marks it as removed.
     is_removed: Cell<bool>,
 }
 
 impl SendDeadlines {
-    /// The backend is in the endpoint list: in service if there is no `deadline`, else draining.
-    pub fn set_drain(&self, deadline: Option<Time>) {
-        // A repeated notification of the same drain must not extend the grace period.
-        let earliest = deadline.map(|deadline| self.drain.get().unwrap_or(deadline));
-        self.drain.set(earliest);
+    /// Records that the endpoint list has the backend in service.
+    pub(super) fn set_in_service(&self) {
+        self.drain.set(None);
         self.is_removed.set(false);
     }
 
-    /// The backend is removed: sends must end by `deadline`, or earlier if it was draining before.
-    pub fn set_removed(&self, deadline: Time) {
-        self.set_drain(Some(deadline));
+    /// Records that the endpoint list has the backend draining: sends must end by `deadline`. A drain
+    /// that was recorded before keeps its deadline, as a repeated notification must not extend the grace
+    /// period.
+    pub(super) fn set_draining(&self, deadline: Time) {
+        let earliest = self.drain.get().unwrap_or(deadline);
+        self.drain.set(Some(earliest));
+        self.is_removed.set(false);
+    }
+
+    /// Records that the backend is removed: sends must end by `deadline`, or by the deadline of a drain
+    /// that was recorded before.
+    pub(super) fn set_removed(&self, deadline: Time) {
+        self.set_draining(deadline);
         self.is_removed.set(true);
     }
 
-    /// The backend is in maintenance if there is a `deadline`.
-    pub fn set_maintenance(&self, deadline: Option<Time>) {
-        self.maintenance.set(deadline);
+    /// Records that the backend is in maintenance: sends must end by `deadline`.
+    pub(super) fn start_maintenance(&self, deadline: Time) {
+        self.maintenance.set(Some(deadline));
     }
 
-    /// No deadline has passed.
-    #[must_use]
-    pub fn allow_send(&self, now: Time) -> bool {
+    /// Records that the backend is not in maintenance.
+    pub(super) fn end_maintenance(&self) {
+        self.maintenance.set(None);
+    }
+
+    /// Returns whether a send at time `now` is allowed, as no deadline has passed.
+    pub(super) fn allow_send(&self, now: Time) -> bool {
         let deadlines = [self.drain.get(), self.maintenance.get()];
         deadlines.into_iter().flatten().all(|deadline| now < deadline)
     }
 
-    /// The backend is removed, and a deadline has passed.
-    #[must_use]
-    pub fn is_expired(&self, now: Time) -> bool {
+    /// Returns whether the backend is removed and a deadline has passed by `now`.
+    pub(super) fn is_expired(&self, now: Time) -> bool {
         self.is_removed.get() && !self.allow_send(now)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/upstream/shared_flag.rs
+++ b/crates/balancer-proxy/src/upstream/shared_flag.rs
@@ -3,19 +3,24 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A flag for use on one thread, unset at first. All clones of it have the same value.
+/// A flag for use on one thread, initially not set. All clones of a flag share its value.
 #[derive(Clone, Debug, Default)]
 pub struct SharedFlag(Rc<Cell<bool>>);
 
 impl SharedFlag {
-    /// The current value.
+    /// Returns whether the flag is set.
     #[must_use]
-    pub fn get(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.0.get()
     }
 
-    /// Sets the value of all clones.
-    pub fn set(&self, value: bool) {
-        self.0.set(value);
+    /// Sets the flag.
+    pub(crate) fn set(&self) {
+        self.0.set(true);
+    }
+
+    /// Clears the flag.
+    pub(super) fn clear(&self) {
+        self.0.set(false);
     }
 }
--- a/crates/balancer-proxy/src/upstream/socket.rs
+++ b/crates/balancer-proxy/src/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! The socket of a backend connection. It records when data arrives, and writes the last byte of a
-//! request a little later than the rest: until then the request can still be stopped or moved to
+//! The socket of a backend connection. The socket records when data arrives, and writes the last byte of
+//! a request a little later than the rest: until then the request can still be stopped or moved to
 //! another connection.
 
 use super::exchange_progress::{RequestWriteState, ResponseActivity};
@@ -15,18 +15,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// The last byte of a request is delayed by this. A backend begins to process a request when its
-/// last byte arrives, so if the connection breaks before that, the request never ran and may be sent
-/// on another one. This guards against connections that the peer has abandoned without notice, or
-/// resets as it accepts them.
+/// Delay of the last byte of a request. A backend starts to process a request when the last byte arrives:
+/// if the connection breaks before, the request never ran and may be sent on another connection. The
+/// delay guards against connections that the peer has abandoned without notice, or resets as it accepts
+/// them.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(1);
 
-/// If the delay ends later than planned by more than this, the process was suspended or busy, and
-/// events of that time, such as a disconnect of the client, may not have been processed yet: the
-/// byte is delayed once more.
+/// Lateness of the end of the delay beyond which the last byte is delayed once more. The process was then
+/// suspended or busy, and may not have processed the events of that time yet, such as a disconnect of the
+/// client.
 const MAX_TIMER_LATENESS: Duration = Duration::from_millis(50);
 
-/// Why the socket stops in the middle of an exchange.
+/// The reason why the socket stops in the middle of an exchange.
 #[derive(Debug, Error)]
 enum AbortedExchange {
     #[error("data arrived before the request had been written")]
@@ -42,26 +42,31 @@
 }
 
 /// A TCP socket to a backend that delays the last byte of each request.
-pub struct BackendSocket {
+pub(super) struct BackendSocket {
     stream: TcpStream,
     activity: ResponseActivity,
     progress: Rc<RequestWriteState>,
-    /// A byte that is accepted but not written yet.
+    /// The last byte of a request that the HTTP library has written and the stream has not.
     delayed_byte: Option<u8>,
     delay: Pin<Box<Sleep>>,
-    /// The byte has been delayed a second time. There is no third, so that a slow process makes
-    /// progress too.
+    /// Set once the byte has been delayed a second time. A third delay is never made, so that a slow
+    /// process makes progress too.
     is_delay_extended: bool,
 }
 
 impl BackendSocket {
-    /// Wraps a connected stream, and reports to `activity` and `progress`.
-    pub fn new(stream: TcpStream, activity: ResponseActivity, progress: Rc<RequestWriteState>) -> Self {
+    /// Wraps a connected stream, whose arrivals are recorded in `activity` and whose write progress is
+    /// recorded in `progress`.
+    pub(super) fn new(
+        stream: TcpStream,
+        activity: ResponseActivity,
+        progress: Rc<RequestWriteState>,
+    ) -> Self {
         let delay = Box::pin(tokio::time::sleep(Duration::ZERO));
         Self { stream, activity, progress, delayed_byte: None, delay, is_delay_extended: false }
     }
 
-    /// Accepts the last byte of a request, to be written after the delay.
+    /// Takes over the last byte of a request, which is written after the delay.
     fn delay_byte(&mut self, byte: u8) {
         self.delayed_byte = Some(byte);
         self.is_delay_extended = false;
@@ -72,7 +77,7 @@
         self.delay.as_mut().reset(Instant::now() + LAST_BYTE_DELAY);
     }
 
-    /// Waits for the end of the delay, and of its extension if the process was stalled.
+    /// Waits for the end of the delay, and for the end of a second one if the process was stalled.
     fn poll_delay(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         ready!(self.delay.as_mut().poll(cx));
         if !self.is_delay_extended && self.delay.deadline().elapsed() > MAX_TIMER_LATENESS {
@@ -83,27 +88,28 @@
         Poll::Ready(())
     }
 
-    /// Decides whether the last byte may be written.
+    /// Checks that the last byte may be written.
     fn check_last_byte(&self) -> Result<(), AbortedExchange> {
         if self.progress.is_too_early() && self.has_pending_input() {
             return Err(AbortedExchange::EarlyData);
         }
-        // Checked here and not only by a timer: after the process was suspended, all of its timers
-        // are due at once and fire in any order.
+        // A timer does not suffice for this check: after the process was suspended, all of its timers are
+        // due at once and expire in any order.
         if self.progress.is_write_deadline_exceeded() {
             return Err(AbortedExchange::WriteDeadlineExceeded);
         }
         Ok(())
     }
 
-    /// Data or the end of the stream has arrived, whether or not the runtime has reported it. This
-    /// consumes a byte of the data: the connection must not be used after a positive result.
+    /// Returns whether data or the end of the stream has arrived, even if the runtime has not reported the
+    /// arrival yet. The check consumes a byte of the data: the connection must not be used after a
+    /// positive result.
     fn has_pending_input(&self) -> bool {
         let socket = SockRef::from(&self.stream);
         !matches!((&*socket).read(&mut [0]), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Writes the delayed byte, if there is one.
+    /// Writes the delayed byte, if a byte is delayed.
     fn poll_write_delayed(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if let Some(byte) = self.delayed_byte {
             ready!(Pin::new(&mut self.stream).poll_write(cx, &[byte]))?;
@@ -122,7 +128,8 @@
         let filled_before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if buffer.filled().len() > filled_before {
-            // This decides which came first: after the error, the last byte is never written.
+            // The order of the data and the last byte is decided here: after the error, the last byte is
+            // never written.
             if self.progress.is_too_early() {
                 return Poll::Ready(Err(AbortedExchange::EarlyData.into()));
             }
@@ -136,7 +143,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         // More data follows: the delayed byte was not the last one.
         ready!(self.poll_write_delayed(cx))?;
-        if !self.progress.final_data().get() {
+        if !self.progress.final_data().is_set() {
             return Pin::new(&mut self.stream).poll_write(cx, data);
         }
         let Some((last, rest)) = data.split_last() else {
@@ -157,7 +164,7 @@
             ready!(self.poll_delay(cx));
             self.check_last_byte()?;
             ready!(self.poll_write_delayed(cx))?;
-            self.progress.finish();
+            self.progress.finish_request();
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
--- a/crates/balancer-proxy/tests/forwarding.rs
+++ b/crates/balancer-proxy/tests/forwarding.rs
@@ -9,7 +9,7 @@
 use balancer_proxy::settings::ProxySettings;
 use balancer_proxy::upstream::attempt::{AttemptParameters, attempt};
 use balancer_proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
-use balancer_proxy::upstream::pool::ConnectionPool;
+use balancer_proxy::upstream::pool::{ConnectionPool, ConnectionTimeouts};
 use balancer_proxy::upstream::shared_flag::SharedFlag;
 use common::configuration::{READINESS_REQUEST, default_settings, endpoint_list, listed_endpoint, request};
 use common::proxy_process::ProxyProcess;
@@ -93,9 +93,12 @@
 fn sends_nothing_over_a_connection_established_after_the_grace_period() {
     let backend = StubServer::responding_with("hello");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let attempt = |last_send: Option<f64>| {
-        let pool = ConnectionPool::new(backend.address, Budget::new(4), TEST_TIMEOUT, TEST_TIMEOUT);
-        pool.update(backend.address, last_send);
+    let attempt = |drain_deadline: Option<f64>| {
+        let timeouts = ConnectionTimeouts { connect: TEST_TIMEOUT, idle: TEST_TIMEOUT };
+        let pool = ConnectionPool::new(backend.address, Budget::new(4), timeouts);
+        if let Some(deadline) = drain_deadline {
+            pool.set_draining(backend.address, deadline);
+        }
         let payload = ForwardedRequest {
             method: "POST".parse().unwrap(),
             uri: "/api".parse().unwrap(),
--- a/crates/balancer-proxy/tests/withheld_last_byte.rs
+++ b/crates/balancer-proxy/tests/withheld_last_byte.rs
@@ -9,7 +9,7 @@
 use balancer_proxy::settings::ProxySettings;
 use balancer_proxy::upstream::attempt::{AttemptParameters, attempt};
 use balancer_proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
-use balancer_proxy::upstream::pool::ConnectionPool;
+use balancer_proxy::upstream::pool::{ConnectionPool, ConnectionTimeouts};
 use balancer_proxy::upstream::shared_flag::SharedFlag;
 use common::waiting::TEST_TIMEOUT;
 use std::io::Read;
@@ -39,7 +39,8 @@
         };
         let written = SharedFlag::default();
         let metrics = Metrics::new(&ProxySettings::default());
-        let pool = Rc::new(ConnectionPool::new(address, Budget::new(4), TEST_TIMEOUT, TEST_TIMEOUT));
+        let timeouts = ConnectionTimeouts { connect: TEST_TIMEOUT, idle: TEST_TIMEOUT };
+        let pool = Rc::new(ConnectionPool::new(address, Budget::new(4), timeouts));
         let attempted = attempt(AttemptParameters {
             pool,
             request: payload.into(),
@@ -68,12 +69,12 @@
         std::thread::sleep(Duration::from_millis(200));
         assert!(!poll_attempt().await);
         assert_eq!(read_available(&mut stream), "", "the client may have disconnected meanwhile");
-        assert!(!written.get());
+        assert!(!written.is_set());
         // If it has not, the request is sent, however slow the process may be.
         let_runtime_run().await;
         std::thread::sleep(Duration::from_millis(200));
         assert!(!poll_attempt().await);
         assert_eq!(read_available(&mut stream), "y");
-        assert!(written.get());
+        assert!(written.is_set());
     });
 }
