--- a/crates/balancer-proxy/src/control/discovery/client.rs
+++ b/crates/balancer-proxy/src/control/discovery/client.rs
@@ -2,8 +2,8 @@
 //! fails.
 
 use crate::control::endpoint_list::RawEndpointList;
+use crate::upstream::attempt_body::AttemptBody;
 use crate::upstream::connection::{Connection, connect};
-use crate::upstream::request_body::AttemptBody;
 use http_body_util::{BodyExt, Limited};
 use hyper::Request;
 use hyper::client::conn::TrySendError;
