--- a/crates/balancer/src/decisions/mod.rs
+++ b/crates/balancer/src/decisions/mod.rs
@@ -31,3 +31,7 @@
 mod traffic;
 
 pub use balancer::Balancer;
+
+#[cfg(test)]
+#[path = "../../tests/concerns/mod.rs"]
+mod tests;
--- /dev/null
+++ b/crates/balancer/tests/concerns/attempt_counts.rs
@@ -0,0 +1,77 @@
+//! The counts of attempts: which attempts refer to a backend.
+
+use super::fixtures::backend_indices;
+use crate::decisions::attempt_counts::AttemptCounts;
+use crate::support::BackendIndex;
+
+/// Returns the counts of these backends, which have no attempts.
+fn counts_of(backends: &[BackendIndex]) -> AttemptCounts {
+    let mut counts = AttemptCounts::default();
+    for backend in backends {
+        counts.add_backend(*backend);
+    }
+    counts
+}
+
+#[test]
+fn counts_attempts_in_flight_by_backend() {
+    let [busy, idle] = backend_indices();
+    let mut counts = counts_of(&[busy, idle]);
+
+    counts.increment_in_flight(busy);
+    counts.increment_in_flight(busy);
+    counts.decrement_in_flight(busy);
+
+    assert_eq!(counts.in_flight(busy), 1);
+    assert_eq!(counts.in_flight(idle), 0);
+}
+
+#[test]
+fn stays_at_zero_when_an_attempt_ends_that_was_not_counted() {
+    let [backend] = backend_indices();
+    let mut counts = counts_of(&[backend]);
+
+    counts.decrement_in_flight(backend);
+
+    assert_eq!(counts.in_flight(backend), 0);
+}
+
+#[test]
+fn a_backend_is_referenced_by_an_attempt_in_flight_or_of_an_unfinished_call() {
+    let [in_flight, of_unfinished_call, unused] = backend_indices();
+    let mut counts = counts_of(&[in_flight, of_unfinished_call, unused]);
+
+    counts.increment_in_flight(in_flight);
+    counts.add_reference(of_unfinished_call);
+
+    assert!(counts.is_referenced(in_flight));
+    assert!(counts.is_referenced(of_unfinished_call));
+    assert!(!counts.is_referenced(unused));
+}
+
+#[test]
+fn a_backend_is_no_longer_referenced_after_the_last_attempt() {
+    let [backend] = backend_indices();
+    let mut counts = counts_of(&[backend]);
+    counts.increment_in_flight(backend);
+    counts.add_reference(backend);
+
+    counts.decrement_in_flight(backend);
+    let is_referenced_by_call = counts.is_referenced(backend);
+    counts.remove_reference(backend);
+
+    assert!(is_referenced_by_call);
+    assert!(!counts.is_referenced(backend));
+}
+
+#[test]
+fn a_backend_added_at_a_reused_index_has_no_attempts() {
+    let [backend] = backend_indices();
+    let mut counts = counts_of(&[backend]);
+    counts.increment_in_flight(backend);
+
+    counts.add_backend(backend);
+
+    assert_eq!(counts.in_flight(backend), 0);
+    assert!(!counts.is_referenced(backend));
+}
--- /dev/null
+++ b/crates/balancer/tests/concerns/mod.rs
@@ -0,0 +1,11 @@
+//! Each concern of the decision module by itself. The files are part of the crate, as the types of the
+//! concerns are private to the decisions.
+
+mod attempt_counts;
+mod endpoint_table;
+mod fixtures;
+mod outlier_detection;
+mod overload;
+mod quotas;
+mod slow_start;
+mod subset;
--- /dev/null
+++ b/crates/balancer/tests/concerns/overload.rs
@@ -0,0 +1,82 @@
+//! Overload detection: the overload level by the excess of calls in flight.
+
+use super::fixtures::assert_close;
+use crate::decisions::overload::{LoadSample, OverloadDetector};
+use crate::interface::Time;
+
+/// The expected number of calls in flight. One deviation from it is 35 calls.
+const EXPECTED_CALLS: f64 = 100.0;
+const CALLS_PER_DEVIATION: f64 = 35.0;
+/// The time constant of the send rate, in seconds.
+const RATE_TIME_CONSTANT: Time = 10.0;
+
+/// Returns a sample with this excess, in deviations, at backends that have many calls in flight.
+fn sample_with_excess(deviations: f64) -> LoadSample {
+    let calls_in_flight = EXPECTED_CALLS + deviations * CALLS_PER_DEVIATION;
+    LoadSample { calls_in_flight, expected_calls: EXPECTED_CALLS, calls_per_backend: 50.0 }
+}
+
+/// Returns the overload level of a first sample.
+fn first_level(sample: LoadSample) -> f64 {
+    OverloadDetector::starting_at(0.0).update(sample, 0.0, RATE_TIME_CONSTANT)
+}
+
+#[test]
+fn rises_from_the_bound_of_chance_to_twice_the_bound() {
+    let deviations = [-1.0, 0.0, 3.5, 5.25, 7.0, 20.0];
+
+    let levels = deviations.map(|excess| first_level(sample_with_excess(excess)));
+
+    for (level, expected) in levels.into_iter().zip([0.0, 0.0, 0.0, 0.5, 1.0, 1.0]) {
+        assert_close(level, expected);
+    }
+}
+
+#[test]
+fn an_excess_that_lasts_is_an_overload_where_the_same_excess_was_chance() {
+    let mut detector = OverloadDetector::starting_at(0.0);
+    let sample = sample_with_excess(2.0);
+
+    let at_first = detector.update(sample, 0.0, RATE_TIME_CONSTANT);
+    let after_a_while = detector.update(sample, RATE_TIME_CONSTANT, RATE_TIME_CONSTANT);
+
+    assert_close(at_first, 0.0);
+    assert_close(after_a_while, 1.0);
+}
+
+#[test]
+fn the_bound_of_chance_rises_again_after_an_overload() {
+    let mut detector = OverloadDetector::starting_at(0.0);
+    detector.update(sample_with_excess(2.0), RATE_TIME_CONSTANT, RATE_TIME_CONSTANT);
+
+    detector.update(sample_with_excess(0.0), 3.0 * RATE_TIME_CONSTANT, RATE_TIME_CONSTANT);
+    let level = detector.update(sample_with_excess(2.0), 3.0 * RATE_TIME_CONSTANT, RATE_TIME_CONSTANT);
+
+    assert_close(level, 0.0);
+}
+
+#[test]
+fn reports_no_overload_up_to_nine_calls_at_each_backend() {
+    let excessive = sample_with_excess(20.0);
+
+    let at_the_limit = first_level(LoadSample { calls_per_backend: 9.0, ..excessive });
+    let beyond_the_limit = first_level(LoadSample { calls_per_backend: 9.1, ..excessive });
+
+    assert_close(at_the_limit, 0.0);
+    assert_close(beyond_the_limit, 1.0);
+}
+
+#[test]
+fn one_call_is_the_least_deviation_where_none_is_expected() {
+    let sample = |calls_in_flight| LoadSample {
+        calls_in_flight,
+        expected_calls: 0.0,
+        calls_per_backend: calls_in_flight.max(10.0),
+    };
+
+    let at_the_bound = first_level(sample(3.5));
+    let at_twice_the_bound = first_level(sample(7.0));
+
+    assert_close(at_the_bound, 0.0);
+    assert_close(at_twice_the_bound, 1.0);
+}
--- /dev/null
+++ b/crates/balancer/tests/concerns/slow_start.rs
@@ -0,0 +1,143 @@
+//! Slow start: the budgets of backends that are warming up.
+
+use super::fixtures::backend_indices;
+use crate::decisions::slow_start::{SlowStart, WarmRate};
+use crate::interface::{Settings, Time};
+use crate::support::BackendIndex;
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+
+/// The rate that warm backends report: at the end of slow start, half of what would overload a backend is
+/// 1.5 times that, which is 15 requests per second.
+const WARM_RATE: WarmRate = WarmRate::Reported(10.0);
+/// The time from its start after which a backend has its full capacity, in seconds.
+const DURATION: Time = 10.0;
+const SEED: u64 = 1;
+
+/// A backend that started at time 0, and the state of slow start.
+struct WarmingBackend {
+    index: BackendIndex,
+    slow_start: SlowStart,
+    random: SmallRng,
+}
+
+impl WarmingBackend {
+    /// Returns a backend that is added to the state at a time.
+    fn added_at(now: Time) -> Self {
+        let settings = Settings {
+            slow_start_initial_capacity: 0.1,
+            slow_start_duration: DURATION,
+            slow_start_overload_multiple: 3.0,
+            slow_start_overload_window: 1.0,
+            ..Settings::default()
+        };
+        let [index] = backend_indices();
+        let mut slow_start = SlowStart::default();
+        slow_start.apply_settings(&settings);
+        slow_start.reset(index, now);
+        Self { index, slow_start, random: SmallRng::seed_from_u64(SEED) }
+    }
+
+    fn has_budget(&mut self, warm_rate: WarmRate, now: Time) -> bool {
+        self.slow_start.has_budget(self.index, 0.0, warm_rate, now, &mut self.random)
+    }
+
+    /// Sends requests at one time until the budget does not permit another one, and returns their number.
+    fn exhaust(&mut self, warm_rate: WarmRate, now: Time) -> usize {
+        let mut sent = 0;
+        while self.has_budget(warm_rate, now) {
+            self.slow_start.record_send(self.index);
+            sent += 1;
+        }
+        sent
+    }
+}
+
+#[test]
+fn a_backend_is_warming_up_until_its_slow_start_is_over() {
+    let WarmingBackend { slow_start, .. } = WarmingBackend::added_at(0.0);
+
+    assert!(slow_start.is_warming_up(5.0, 5.0));
+    assert!(slow_start.is_warming_up(5.0, 4.9 + DURATION));
+    assert!(!slow_start.is_warming_up(5.0, 5.0 + DURATION));
+    assert_eq!(slow_start.duration(), DURATION);
+}
+
+#[test]
+fn a_backend_has_no_budget_when_it_is_added_nor_after_a_reset() {
+    let mut backend = WarmingBackend::added_at(0.0);
+    let when_added = backend.exhaust(WARM_RATE, 0.0);
+
+    backend.slow_start.reset(backend.index, DURATION);
+    let after_reset = backend.exhaust(WARM_RATE, DURATION);
+
+    assert_eq!([when_added, after_reset], [0, 0]);
+}
+
+#[test]
+fn keeps_unused_budget_for_the_overload_window_only() {
+    let mut backend = WarmingBackend::added_at(0.0);
+
+    let sent = backend.exhaust(WARM_RATE, DURATION);
+
+    assert_eq!(sent, 15);
+}
+
+#[test]
+fn permits_more_by_reported_rates_than_by_the_rate_of_this_balancer() {
+    let own_rate = WarmRate::Own(10.0);
+
+    let by_reported_rate = WarmingBackend::added_at(0.0).exhaust(WARM_RATE, DURATION);
+    let by_own_rate = WarmingBackend::added_at(0.0).exhaust(own_rate, DURATION);
+
+    assert_eq!(by_reported_rate, 15);
+    assert!((10..=11).contains(&by_own_rate), "0.35 * 3 * 10 requests, not {by_own_rate}");
+}
+
+#[test]
+fn the_permitted_rate_rises_with_the_capacity_of_the_backend() {
+    let sent_within_a_second = |from: Time| {
+        let mut backend = WarmingBackend::added_at(from);
+        let times = (1..=100).map(|step| from + 0.01 * f64::from(step));
+        times.map(|now| backend.exhaust(WARM_RATE, now)).sum::<usize>()
+    };
+
+    let at_first = sent_within_a_second(0.0);
+    let at_last = sent_within_a_second(DURATION);
+
+    assert!(at_first <= 5, "{at_first}");
+    assert!((10..=20).contains(&at_last), "{at_last}");
+}
+
+#[test]
+fn a_fraction_of_a_request_is_a_probability_and_is_spent_by_a_refusal() {
+    let half_a_request_later = DURATION + 1.0 / 30.0;
+    let mut backend = WarmingBackend::added_at(DURATION);
+    let mut permitted = 0;
+    let mut permitted_after_refusal = 0;
+
+    for _ in 0..1000 {
+        backend.slow_start.reset(backend.index, DURATION);
+        if backend.has_budget(WARM_RATE, half_a_request_later) {
+            permitted += 1;
+        } else if backend.has_budget(WARM_RATE, half_a_request_later) {
+            permitted_after_refusal += 1;
+        }
+    }
+
+    assert!((450..=550).contains(&permitted), "{permitted}");
+    assert_eq!(permitted_after_refusal, 0);
+}
+
+#[test]
+fn a_send_beyond_the_budget_is_taken_from_what_becomes_available_later() {
+    let mut backend = WarmingBackend::added_at(DURATION);
+    for _ in 0..15 {
+        backend.slow_start.record_send(backend.index);
+    }
+
+    let a_second_later = backend.exhaust(WARM_RATE, DURATION + 1.0);
+    let two_seconds_later = backend.exhaust(WARM_RATE, DURATION + 2.0);
+
+    assert_eq!([a_second_later, two_seconds_later], [0, 15]);
+}
