--- a/crates/balancer/tests/decisions/placement.rs
+++ b/crates/balancer/tests/decisions/placement.rs
@@ -1,104 +1,11 @@
-//! Placement: subsets, two random choices, weights, zones and load reports.
+//! Placement: the draw of two random members, loads, weights and zones.
 
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::BTreeSet;
 
 use crate::common::actions::{SentAttempt, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
-use balancer::{Action, BackendId, Endpoint, EndpointUpdate, Event, LoadReport, Outcome, Settings, Time};
-
-/// Returns the backends of 60 requests with the ids from `first_id` on, none of which gets a response.
-fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<BackendId> {
-    let sent = (first_id..first_id + 60).flat_map(|id| sends(&harness.request(id)));
-    sent.map(|attempt| attempt.backend).collect()
-}
-
-#[test]
-fn keeps_the_other_members_of_a_small_subset_when_a_member_is_removed() {
-    let settings = Settings { instance_count: 50, ..safe_settings() };
-    let mut harness = BalancerHarness::new(settings, &endpoints(40));
-    let before = backends_used(&mut harness, 0);
-    assert!(before.len() <= 4, "{before:?}");
-    let removed = *before.iter().next().unwrap();
-    let mut list = endpoints(40);
-    list.retain(|endpoint| endpoint.id != removed);
-
-    harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
-    let after = backends_used(&mut harness, 100);
-
-    assert!(!after.contains(&removed));
-    assert!(
-        before.iter().filter(|member| **member != removed).all(|member| after.contains(member)),
-        "{before:?} {after:?}"
-    );
-}
-
-/// An attempt without a response so far.
-struct AttemptInFlight {
-    attempt: SentAttempt,
-    sent_at: Time,
-}
-
-/// Returns the size of the subset of a balancer with these settings, one of fifty before forty backends, with
-/// eight requests in flight on average.
-fn busy_subset_size(settings: Settings) -> usize {
-    let settings = Settings { instance_count: 50, ..settings };
-    let mut harness = BalancerHarness::new(settings, &endpoints(40));
-    // The requests arrive for longer than rates are remembered.
-    let mut in_flight = VecDeque::new();
-    for id in 0..600 {
-        let sent_at = harness.now;
-        let sent = sends(&harness.request(id));
-        in_flight.extend(sent.into_iter().map(|attempt| AttemptInFlight { attempt, sent_at }));
-        if in_flight.len() > 8 {
-            let AttemptInFlight { attempt, sent_at } = in_flight.pop_front().unwrap();
-            let duration = harness.now - sent_at;
-            let actions = harness.end_attempt(attempt, Outcome::Success, duration);
-            harness.end_cancelled_attempts(&actions);
-        }
-        let actions = harness.actions_until(harness.now + 0.02);
-        harness.end_cancelled_attempts(&actions);
-    }
-    backends_used(&mut harness, 1000).len()
-}
-
-#[test]
-fn keeps_the_subset_of_a_busy_balancer_small_where_connections_have_a_cost() {
-    // Guards against connections to so many members that all together exceed what backends accept:
-    // connections then fail to backends that run and respond to others.
-    let free = busy_subset_size(safe_settings());
-    let costly = busy_subset_size(Settings { connections_have_cost: true, ..safe_settings() });
-
-    assert!(free > 2 * costly, "{free} and {costly}");
-}
-
-/// The numbers of balancers and backends.
-struct FleetSize {
-    instance_count: usize,
-    backends: u32,
-}
-
-#[test]
-fn assigns_every_backend_to_a_subset() {
-    // Guards against random subsets of a few balancers that leave backends out.
-    let fleets = [
-        FleetSize { instance_count: 3, backends: 20 },
-        FleetSize { instance_count: 1, backends: 9 },
-        FleetSize { instance_count: 7, backends: 30 },
-        FleetSize { instance_count: 40, backends: 60 },
-    ];
-    for FleetSize { instance_count, backends } in fleets {
-        let mut used = BTreeSet::new();
-        for instance_index in 0..instance_count {
-            let settings = Settings { instance_count, instance_index, ..safe_settings() };
-            let mut harness =
-                BalancerHarness::with_seed(instance_index as u64, settings, &endpoints(backends));
-            used.extend(backends_used(&mut harness, 0));
-        }
-
-        assert_eq!(used.len() as u32, backends, "{instance_count} over {backends}");
-    }
-}
+use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings};
 
 #[test]
 fn prefers_backends_with_fewer_requests_in_flight_per_weight() {
@@ -150,39 +57,81 @@
 }
 
 #[test]
-fn checks_backends_for_load_reports_and_prefers_short_service_times() {
-    let settings = Settings { health_checks_for_load_reports: true, ..safe_settings() };
-    let mut harness = BalancerHarness::new(settings, &endpoints(2));
+fn draws_idle_members_about_equally_often() {
+    let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
+
+    let mut sent = [0; 4];
+    for id in 0..800 {
+        // The response times vary, so that T1 exceeds all of them.
+        let response_time = if id % 2 == 0 { 0.04 } else { 0.06 };
+        sent[harness.serve(id, response_time).0 as usize - 1] += 1;
+    }
 
-    let mut health_checks = 0;
-    let mut sent = [0, 0];
-    for id in 0..200 {
-        let actions = harness.request(id);
-        let attempt = sends(&actions)[0];
-        sent[attempt.backend.0 as usize - 1] += usize::from(id >= 100);
-        for action in &actions {
-            if let Action::HealthCheck(backend) = action {
-                health_checks += 1;
-                let service_time = Some(0.02 * f64::from(backend.0 * backend.0));
-                let report = Some(LoadReport { service_time, requests_per_second: None });
-                let outcome = Outcome::Success;
-                harness.handle(Event::HealthCheckEnded { backend: *backend, outcome, report });
-            }
+    assert!(sent.iter().all(|count| (150..250).contains(count)), "{sent:?}");
+}
+
+#[test]
+fn sends_to_the_member_with_fewer_requests_in_flight_of_two() {
+    for seed in 0..20 {
+        let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(2));
+
+        let mut in_flight = [0_i32; 2];
+        for id in 0..30 {
+            in_flight[harness.send(id).backend.0 as usize - 1] += 1;
+
+            assert!((in_flight[0] - in_flight[1]).abs() <= 1, "seed {seed}: {in_flight:?}");
         }
-        harness.advance_to(harness.now + 0.05);
-        harness.end_attempt(attempt, Outcome::Success, 0.05);
     }
+}
 
-    assert!((50..80).contains(&health_checks), "one for a few sends: {health_checks}");
-    assert!(sent[0] > 3 * sent[1], "{sent:?}");
+#[test]
+fn draws_no_member_with_more_than_the_mean_load() {
+    for seed in 0..20 {
+        let settings = Settings { hedging_allowed: false, ..safe_settings() };
+        let mut harness = BalancerHarness::with_seed(seed, settings, &endpoints(1));
+        for id in 0..5 {
+            harness.send(id);
+        }
+        harness.handle(Event::Endpoints(EndpointUpdate::Full(&endpoints(8))));
+
+        let backends: BTreeSet<_> = (100..130).map(|id| harness.serve(id, 0.01)).collect();
+
+        assert!(!backends.contains(&BackendId(1)), "seed {seed}: {backends:?}");
+        assert!(backends.len() > 5, "seed {seed}: {backends:?}");
+    }
+}
+
+/// Returns an endpoint with this weight. The load of an idle backend is the inverse of the weight.
+fn weighted_endpoint(id: u32, weight: f64) -> Endpoint {
+    Endpoint { weight, ..endpoint(id) }
 }
 
 #[test]
-fn checks_no_backend_when_health_checks_are_not_allowed() {
-    let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
+fn sends_to_the_member_with_less_load_of_two_below_the_mean_load() {
+    let list = [weighted_endpoint(1, 6.0), weighted_endpoint(2, 3.0), weighted_endpoint(3, 1.0)];
+    for seed in 0..20 {
+        let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &list);
 
-    let actions: Vec<_> = (0..20).flat_map(|id| harness.request(id)).collect();
+        let sent = harness.send(1);
 
-    let is_health_check = |action: &Action| matches!(action, Action::HealthCheck(_));
-    assert!(!actions.iter().any(is_health_check), "{actions:?}");
+        assert_eq!(sent.backend, BackendId(1), "seed {seed}");
+    }
+}
+
+#[test]
+fn sends_the_first_retry_to_the_other_member_of_the_draw_whatever_the_loads_are_then() {
+    let list = [weighted_endpoint(1, 6.0), weighted_endpoint(2, 3.0), endpoint(3), endpoint(4)];
+    for seed in 0..20 {
+        let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &list);
+        // Only backends 1 and 2 are below the mean load.
+        let first = harness.send(1);
+        let changed = [weighted_endpoint(3, 100.0), weighted_endpoint(4, 100.0)];
+        harness.handle(Event::Endpoints(EndpointUpdate::Changes(&changed)));
+
+        harness.end_attempt(first, Outcome::Rejected, 0.01);
+        let retries = harness.sends_until(0.5);
+
+        assert_eq!(first.backend, BackendId(1), "seed {seed}");
+        assert_eq!(retries, [SentAttempt::new(1, 2)], "seed {seed}");
+    }
 }
--- /dev/null
+++ b/crates/balancer/tests/decisions/quotas.rs
@@ -0,0 +1,172 @@
+//! Quotas: when a request counts as over the quota of its tenant.
+//!
+//! A request over quota has a lower rank than all others: under overload it is sent after a request within quota
+//! that arrived later. Between requests of equal priority the order is drawn at random.
+
+use std::collections::VecDeque;
+use std::ops::Range;
+
+use crate::common::actions::{SentAttempt, sends};
+use crate::common::balancer_harness::BalancerHarness;
+use crate::common::fixtures::{endpoints, safe_settings, tenant};
+use balancer::{Action, Event, Outcome, Request, RequestId, Settings, Time};
+
+/// The index of the tenant whose quota a test is about.
+const LIMITED: usize = 0;
+/// The index of a tenant whose quota is never reached.
+const UNLIMITED: usize = 1;
+/// The quota of the limited tenant, in requests per second.
+const QUOTA: f64 = 4.0;
+/// The first of the two requests whose order tells whether a tenant is over quota.
+const FIRST: RequestId = RequestId(1);
+/// The second of the two requests, from the unlimited tenant.
+const SECOND: RequestId = RequestId(2);
+/// The number of seeds with which the order of two requests is drawn.
+const SEEDS: u64 = 20;
+/// Requests without a tenant that arrive at once and put the balancer into overload.
+const OVERLOADING_REQUESTS: Range<u64> = 10_000..10_300;
+
+/// Returns the settings of an entry balancer with a limited and an unlimited tenant.
+fn settings_with_quota(quota_per_second: f64) -> Settings {
+    Settings {
+        tier: 0,
+        tenants: vec![tenant("limited", quota_per_second), tenant("unlimited", 1e6)],
+        over_quota_weight: 0.01,
+        ..safe_settings()
+    }
+}
+
+/// Creates a balancer before four backends that has served requests without a tenant.
+fn harness_with_history(seed: u64, settings: Settings) -> BalancerHarness {
+    let mut harness = BalancerHarness::with_seed(seed, settings, &endpoints(4));
+    for id in 0..200 {
+        harness.serve(id, 0.05);
+    }
+    harness
+}
+
+fn request_of(harness: &mut BalancerHarness, id: u64, tenant: usize) -> Vec<Action> {
+    let request = Request { id: RequestId(id), tenant: Some(tenant), timeout: 2.0, ..Request::default() };
+    harness.handle(Event::Request(request))
+}
+
+/// Serves this number of requests of the limited tenant at once.
+fn use_quota(harness: &mut BalancerHarness, requests: u64) {
+    for id in 1000..1000 + requests {
+        let sent = sends(&request_of(harness, id, LIMITED))[0];
+        harness.end_attempt(sent, Outcome::Success, 0.05);
+    }
+}
+
+/// Returns whether a request of a tenant is sent before a later one of the unlimited tenant, under overload.
+fn is_sent_first(mut harness: BalancerHarness, tenant: usize) -> bool {
+    let overloading = OVERLOADING_REQUESTS.flat_map(|id| sends(&harness.request(id)));
+    let mut in_flight: VecDeque<_> = overloading.collect();
+    let mut sent = sends(&request_of(&mut harness, FIRST.0, tenant));
+    sent.extend(sends(&request_of(&mut harness, SECOND.0, UNLIMITED)));
+    harness.now += 0.05;
+    loop {
+        let is_compared = |attempt: &&SentAttempt| [FIRST, SECOND].contains(&attempt.request);
+        if let Some(attempt) = sent.iter().find(is_compared) {
+            return attempt.request == FIRST;
+        }
+        in_flight.extend(sent);
+        let ended = in_flight.pop_front().expect("one of the two is sent before the overload ends");
+        sent = sends(&harness.end_attempt(ended, Outcome::Success, 0.05));
+    }
+}
+
+/// Returns whether requests of a tenant count as over quota after `prepare`, by the order of many draws.
+fn is_over_quota(settings: &Settings, tenant: usize, prepare: impl Fn(&mut BalancerHarness)) -> bool {
+    let is_sent_first_with = |seed| {
+        let mut harness = harness_with_history(seed, settings.clone());
+        prepare(&mut harness);
+        is_sent_first(harness, tenant)
+    };
+    !(0..SEEDS).any(is_sent_first_with)
+}
+
+#[test]
+fn a_tenant_is_over_quota_when_a_second_of_unused_quota_is_spent() {
+    let settings = settings_with_quota(QUOTA);
+
+    assert!(!is_over_quota(&settings, LIMITED, |_| {}));
+    assert!(!is_over_quota(&settings, LIMITED, |harness| use_quota(harness, 3)));
+    assert!(is_over_quota(&settings, LIMITED, |harness| use_quota(harness, 4)));
+}
+
+#[test]
+fn a_tenant_is_within_quota_again_when_a_request_has_been_refilled() {
+    let settings = settings_with_quota(QUOTA);
+    let spend_and_wait = |seconds: Time| {
+        move |harness: &mut BalancerHarness| {
+            use_quota(harness, 4);
+            harness.advance_to(harness.now + seconds);
+        }
+    };
+
+    assert!(is_over_quota(&settings, LIMITED, spend_and_wait(0.24)));
+    assert!(!is_over_quota(&settings, LIMITED, spend_and_wait(0.26)));
+}
+
+#[test]
+fn unused_quota_is_kept_for_no_more_than_a_second() {
+    let settings = settings_with_quota(QUOTA);
+    let wait_and_spend = |harness: &mut BalancerHarness| {
+        harness.advance_to(harness.now + 10.0);
+        use_quota(harness, 4);
+    };
+
+    assert!(is_over_quota(&settings, LIMITED, wait_and_spend));
+}
+
+#[test]
+fn a_quota_is_divided_among_the_balancers() {
+    let settings = Settings { instance_count: 2, ..settings_with_quota(QUOTA) };
+
+    assert!(!is_over_quota(&settings, LIMITED, |harness| use_quota(harness, 1)));
+    assert!(is_over_quota(&settings, LIMITED, |harness| use_quota(harness, 2)));
+}
+
+#[test]
+fn a_quota_below_a_request_per_second_allows_one_request() {
+    let settings = settings_with_quota(0.1);
+
+    assert!(!is_over_quota(&settings, LIMITED, |_| {}));
+    assert!(is_over_quota(&settings, LIMITED, |harness| use_quota(harness, 1)));
+}
+
+#[test]
+fn queued_requests_use_no_quota() {
+    let settings = settings_with_quota(QUOTA);
+    let queue_requests = |harness: &mut BalancerHarness| {
+        let mut in_flight: VecDeque<_> = (2000..2300).flat_map(|id| sends(&harness.request(id))).collect();
+        for id in 3000..3010 {
+            let actions = request_of(harness, id, LIMITED);
+            assert!(sends(&actions).is_empty(), "the request is queued");
+            harness.handle(Event::ClientDisconnected(RequestId(id)));
+        }
+        while let Some(ended) = in_flight.pop_front() {
+            in_flight.extend(sends(&harness.end_attempt(ended, Outcome::Success, 0.05)));
+        }
+        assert_eq!(harness.balancer.open_requests(), 0);
+    };
+
+    assert!(!is_over_quota(&settings, LIMITED, queue_requests));
+}
+
+#[test]
+fn a_tenant_keeps_the_used_quota_when_the_settings_move_its_index() {
+    let settings = settings_with_quota(QUOTA);
+    let moved = Settings {
+        tenants: vec![tenant("new", QUOTA), tenant("unlimited", 1e6), tenant("limited", QUOTA)],
+        ..settings.clone()
+    };
+    let spend_and_move = |harness: &mut BalancerHarness| {
+        use_quota(harness, 4);
+        harness.handle(Event::Settings(&moved));
+    };
+
+    assert!(is_over_quota(&settings, 2, spend_and_move), "the limited tenant");
+    assert!(!is_over_quota(&settings, LIMITED, spend_and_move), "the new tenant");
+}
