--- a/crates/balancer/tests/decisions/subset_assignment.rs
+++ b/crates/balancer/tests/decisions/subset_assignment.rs
@@ -213,3 +213,40 @@
         assert!(of_added > 0, "{added} is in no subset");
     }
 }
+
+/// Returns the backends that are in no subset of the fleet.
+fn left_out(fleet: &[BalancerHarness], list: &[Endpoint]) -> Vec<BackendId> {
+    let memberships = memberships(fleet);
+    let backends = list.iter().map(|endpoint| endpoint.id);
+    backends.filter(|backend| !memberships.contains_key(backend)).collect()
+}
+
+/// Passes a full list to all balancers, and returns a description of the backends that are left out.
+fn left_out_after(fleet: &mut [BalancerHarness], list: &[Endpoint]) -> Option<String> {
+    for harness in fleet.iter_mut() {
+        harness.handle(Event::Endpoints(EndpointUpdate::Full(list)));
+    }
+    let left_out = left_out(fleet, list);
+    let description = format!("{} balancers, {} backends: {left_out:?}", fleet.len(), list.len());
+    (!left_out.is_empty()).then_some(description)
+}
+
+#[test]
+fn leaves_no_backend_out_when_backends_are_added_and_removed_one_after_the_other() {
+    let mut breaches = Vec::new();
+    for FleetSize { instance_count, backends } in COVERED_FLEETS {
+        let mut list = endpoints(backends);
+        let mut fleet = start_fleet(instance_count, &list);
+
+        for added in 1..=5 {
+            list.push(endpoint(backends + added));
+            breaches.extend(left_out_after(&mut fleet, &list));
+        }
+        for _removed in 1..=10 {
+            list.remove(0);
+            breaches.extend(left_out_after(&mut fleet, &list));
+        }
+    }
+
+    assert!(breaches.is_empty(), "{breaches:#?}");
+}
