--- a/crates/balancer-proxy/src/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -4,14 +4,10 @@
 //! first; the removal aborts its task, and later events find no attempt with its id.
 
 use crate::upstream::shared_flag::SharedFlag;
-use balancer::{BackendId, RequestId, Time};
+use balancer::{AttemptNumber, BackendId, RequestId, Time};
 use std::collections::HashMap;
 use tokio::task::AbortHandle;
 
-/// The number of an attempt among the attempts of its request, from 0, in the order of the sends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct AttemptNumber(pub(super) usize);
-
 /// Identifies an attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct AttemptId {
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -3,7 +3,7 @@
 //! Owns the state that events and actions change, the timers and the settings in force. The dispatcher
 //! spawns the tasks of attempts and health checks, and reports the end of each to the module.
 
-use super::attempts::{AttemptId, AttemptNumber, RunningAttempt, SentAttempt};
+use super::attempts::{AttemptId, RunningAttempt, SentAttempt};
 use super::decisions::PendingEvent;
 use super::requests::FinalResponse;
 use super::state::State;
@@ -129,8 +129,8 @@
                 };
                 self.send(state, &command);
             }
-            Action::Cancel { id, attempt } => state.cancel(attempt_id(id, attempt)),
-            Action::Withdraw { id, attempt } => state.withdraw(attempt_id(id, attempt)),
+            Action::Cancel { id, attempt } => state.cancel(AttemptId { request: id, number: attempt }),
+            Action::Withdraw { id, attempt } => state.withdraw(AttemptId { request: id, number: attempt }),
             Action::Reject { id, retry_after } => {
                 state.requests.respond(id, FinalResponse::Rejected(retry_after));
             }
@@ -232,7 +232,3 @@
         self.handle(self.state(), Event::HealthCheckEnded { backend, outcome: result.outcome, report });
     }
 }
-
-fn attempt_id(request: RequestId, attempt: usize) -> AttemptId {
-    AttemptId { request, number: AttemptNumber(attempt) }
-}
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -3,11 +3,10 @@
 //! Guarantees each accepted request exactly one final response: [`OpenRequests`] owns the sender of the
 //! request's channel, and closing the request consumes the sender.
 
-use super::attempts::AttemptNumber;
 use crate::settings::SettingsSnapshot;
 use crate::upstream::forwarded_request::ForwardedRequest;
 use crate::upstream::response_body::BackendResponse;
-use balancer::{RequestId, Time};
+use balancer::{AttemptNumber, RequestId, Time};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -48,9 +47,14 @@
         self.attempts_sent < self.settings.balancer.max_attempts
     }
 
+    /// Returns the number that the next attempt will have.
+    pub(super) fn next_attempt_number(&self) -> AttemptNumber {
+        AttemptNumber(self.attempts_sent)
+    }
+
     /// Counts an attempt, and returns its number.
     pub(super) fn count_attempt(&mut self) -> AttemptNumber {
-        let number = AttemptNumber(self.attempts_sent);
+        let number = self.next_attempt_number();
         self.attempts_sent += 1;
         number
     }
--- a/crates/balancer-proxy/src/engine/state.rs
+++ b/crates/balancer-proxy/src/engine/state.rs
@@ -7,10 +7,10 @@
 use super::attempts::{AttemptId, RunningAttempts, WriteProgress};
 use super::decisions::Decisions;
 use super::endpoints::Endpoints;
-use super::requests::{FinalResponse, OpenRequests};
+use super::requests::{FinalResponse, OpenRequest, OpenRequests};
 use crate::clock::Clock;
 use crate::upstream::attempt::AttemptResult;
-use balancer::{BackendId, EndedAttempt, Event, Outcome, RequestId, Settings};
+use balancer::{AttemptNumber, BackendId, EndedAttempt, Event, Outcome, RequestId, Settings};
 
 /// The state that events and actions change.
 pub(super) struct State {
@@ -49,7 +49,7 @@
         self.decisions.push(Event::AttemptEnded(EndedAttempt {
             id: id.request,
             backend: sent.backend,
-            attempt: id.number.0,
+            attempt: id.number,
             outcome: result.outcome,
             duration: self.clock.now() - sent.sent_at,
             request_finished: !self.requests.contains(id.request),
@@ -62,7 +62,7 @@
         self.decisions.push(Event::AttemptEnded(EndedAttempt {
             id,
             backend,
-            attempt: self.requests.get(id).map_or(0, |request| request.attempts_sent),
+            attempt: self.requests.get(id).map_or(AttemptNumber::default(), OpenRequest::next_attempt_number),
             outcome: Outcome::NotSent,
             duration: 0.0,
             request_finished: !self.requests.contains(id),
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -6,7 +6,7 @@
 use crate::decisions::calls::{Call, CallKey};
 use crate::decisions::ordered_keys::may_still_run;
 use crate::decisions::traffic::LoadState;
-use crate::interface::{Action, EndedAttempt, Outcome, RequestId, Time};
+use crate::interface::{Action, AttemptNumber, EndedAttempt, Outcome, RequestId, Time};
 use crate::support::BackendIndex;
 
 impl Balancer {
@@ -112,7 +112,12 @@
         self.finish(key, None, actions);
     }
 
-    pub(super) fn on_response_started(&mut self, id: RequestId, attempt: usize, actions: &mut Vec<Action>) {
+    pub(super) fn on_response_started(
+        &mut self,
+        id: RequestId,
+        attempt: AttemptNumber,
+        actions: &mut Vec<Action>,
+    ) {
         if let Some(key) = self.calls.key_of(id) {
             self.finish(key, Some(attempt), actions);
         }
@@ -125,7 +130,7 @@
     }
 
     /// Removes a call, and ends its attempts but for the one that was `answered`.
-    fn finish(&mut self, key: CallKey, answered: Option<usize>, actions: &mut Vec<Action>) {
+    fn finish(&mut self, key: CallKey, answered: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         if self.calls[key].body().is_receiving {
             self.stop_receiving(key);
         }
@@ -143,9 +148,9 @@
     /// Ends the attempts in flight of a finished call. An attempt that has been written completely ends
     /// only where cancellation is allowed; an attempt that still waits for its connection is always
     /// withdrawn.
-    fn end_attempts(&mut self, call: &Call, answered: Option<usize>, actions: &mut Vec<Action>) {
+    fn end_attempts(&mut self, call: &Call, answered: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         let id = call.id();
-        for (attempt, sent) in call.attempts().iter().enumerate() {
+        for (attempt, sent) in call.numbered_attempts() {
             self.backends.record_call_end(sent.backend);
             if !sent.is_in_flight() || answered == Some(attempt) {
                 continue;
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -2,7 +2,7 @@
 
 use crate::decisions::attempts::Attempt;
 use crate::decisions::retransmission::RetryTimer;
-use crate::interface::{Outcome, Request, RequestClass, RequestId, Settings, Time};
+use crate::interface::{AttemptNumber, Outcome, Request, RequestClass, RequestId, Settings, Time};
 use crate::support::BackendIndex;
 use rand::rngs::SmallRng;
 use std::sync::Arc;
@@ -157,14 +157,19 @@
         &self.attempts
     }
 
+    /// Returns the attempts with their numbers, in the order of the sends.
+    pub fn numbered_attempts(&self) -> impl Iterator<Item = (AttemptNumber, &Attempt)> {
+        self.attempts.iter().enumerate().map(|(number, attempt)| (AttemptNumber(number), attempt))
+    }
+
     /// Adds an attempt.
     pub fn add_attempt(&mut self, attempt: Attempt) {
         self.attempts.push(attempt);
     }
 
     /// Records the outcome of the attempt with this number.
-    pub fn record_outcome(&mut self, attempt: usize, outcome: Outcome) {
-        if let Some(attempt) = self.attempts.get_mut(attempt) {
+    pub fn record_outcome(&mut self, number: AttemptNumber, outcome: Outcome) {
+        if let Some(attempt) = self.attempts.get_mut(number.0) {
             attempt.outcome = Some(outcome);
         }
     }
--- a/crates/balancer/src/decisions/ordered_keys.rs
+++ b/crates/balancer/src/decisions/ordered_keys.rs
@@ -4,7 +4,7 @@
 //! and while the key rests after an attempt that may still be running at its backend.
 
 use super::calls::{Call, CallKey};
-use crate::interface::{Outcome, RequestId, Time};
+use crate::interface::{AttemptNumber, Outcome, RequestId, Time};
 use std::collections::{HashMap, VecDeque};
 
 /// The number of queues at which idle ones are dropped for the first time.
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AttemptId {
     request: RequestId,
-    attempt: usize,
+    attempt: AttemptNumber,
 }
 
 /// The call at the front of a queue, none of whose predecessors has an attempt in flight.
@@ -86,7 +86,7 @@
     pub fn remove(&mut self, ordering_key: u64, key: CallKey, call: &Call) {
         let Some(queue) = self.queues.get_mut(&ordering_key) else { return };
         queue.calls.retain(|queued| *queued != key);
-        for (attempt, sent) in call.attempts().iter().enumerate() {
+        for (attempt, sent) in call.numbered_attempts() {
             if sent.is_in_flight() {
                 queue.orphaned_attempts += 1;
                 self.orphans.insert(AttemptId { request: call.id(), attempt }, ordering_key);
@@ -95,7 +95,7 @@
     }
 
     /// Records that an attempt has ended. Returns its ordering key if the attempt was an orphan.
-    pub fn settle_orphan(&mut self, request: RequestId, attempt: usize) -> Option<u64> {
+    pub fn settle_orphan(&mut self, request: RequestId, attempt: AttemptNumber) -> Option<u64> {
         let ordering_key = self.orphans.remove(&AttemptId { request, attempt })?;
         if let Some(queue) = self.queues.get_mut(&ordering_key) {
             queue.orphaned_attempts -= 1;
--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -1,6 +1,6 @@
 //! The actions that a balancer asks of its caller.
 
-use super::ids::{BackendId, RequestId, Time};
+use super::ids::{AttemptNumber, BackendId, RequestId, Time};
 
 /// Identifies a timer. The caller sets the timer, and hands the token back when the time has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -26,16 +26,16 @@
     Cancel {
         /// The request.
         id: RequestId,
-        /// The number of the attempt, from 0, in the order of the sends.
-        attempt: usize,
+        /// The number of the attempt.
+        attempt: AttemptNumber,
     },
     /// Make sure that an attempt which has not been written completely never is. An attempt that has been
     /// written stays as it is.
     Withdraw {
         /// The request.
         id: RequestId,
-        /// The number of the attempt, from 0, in the order of the sends.
-        attempt: usize,
+        /// The number of the attempt.
+        attempt: AttemptNumber,
     },
     /// Give the final response to a request that was not processed, or whose repetition has no effect.
     Reject {
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -2,7 +2,7 @@
 
 use super::action::TimerToken;
 use super::endpoint::EndpointUpdate;
-use super::ids::{BackendId, RequestId, Time};
+use super::ids::{AttemptNumber, BackendId, RequestId, Time};
 use super::settings::Settings;
 
 /// A request that has arrived.
@@ -61,8 +61,8 @@
     pub id: RequestId,
     /// The backend of the attempt.
     pub backend: BackendId,
-    /// The number of the attempt, from 0, in the order of the sends.
-    pub attempt: usize,
+    /// The number of the attempt.
+    pub attempt: AttemptNumber,
     /// The outcome.
     pub outcome: Outcome,
     /// The time since the attempt was sent, in seconds.
@@ -96,8 +96,8 @@
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// The number of the attempt, from 0, in the order of the sends.
-        attempt: usize,
+        /// The number of the attempt.
+        attempt: AttemptNumber,
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Times, and the identifiers of requests and backends.
+//! Times, and the identifiers of requests, attempts and backends.
 
 /// A point in time or a span of time, in seconds. The caller chooses the origin of the clock.
 pub type Time = f64;
@@ -11,3 +11,7 @@
 /// restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendId(pub u32);
+
+/// The number of an attempt among the attempts of its request, from 0, in the order of the sends.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AttemptNumber(pub usize);
--- a/crates/balancer/tests/common/balancer_harness.rs
+++ b/crates/balancer/tests/common/balancer_harness.rs
@@ -2,8 +2,8 @@
 
 use super::actions::{SentAttempt, TimedAction, sends};
 use balancer::{
-    Action, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId,
-    Settings, Time, TimerToken,
+    Action, AttemptNumber, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome,
+    Request, RequestId, Settings, Time, TimerToken,
 };
 use std::collections::BTreeMap;
 
@@ -97,7 +97,7 @@
         self.handle(Event::AttemptEnded(EndedAttempt {
             id: request,
             backend,
-            attempt: number,
+            attempt: AttemptNumber(number),
             outcome,
             duration,
             request_finished: outcome == Outcome::Success,
@@ -112,7 +112,7 @@
             if let Action::Cancel { id, attempt } = *action {
                 let ended = EndedAttempt {
                     id,
-                    backend: self.attempts[&id][attempt],
+                    backend: self.attempts[&id][attempt.0],
                     attempt,
                     outcome: Outcome::Cancelled,
                     duration: 0.0,
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -1,8 +1,8 @@
 //! Random legal sequences of events for a balancer whose actions the checker sees.
 
 use balancer::{
-    Action, BackendId, Balancer, Effect, EndedAttempt, Endpoint, EndpointUpdate, Event, IdempotencyGroup,
-    Outcome, Request, RequestClass, RequestId, Settings, Status, Time,
+    Action, AttemptNumber, BackendId, Balancer, Effect, EndedAttempt, Endpoint, EndpointUpdate, Event,
+    IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings, Status, Time,
 };
 use proptest::prelude::*;
 
@@ -110,7 +110,7 @@
 /// An attempt in flight.
 struct InFlight {
     id: u64,
-    attempt: usize,
+    attempt: AttemptNumber,
     backend: u32,
 }
 
@@ -178,7 +178,7 @@
                 }
                 Action::Send { id, backend, .. } => {
                     let request = self.checker.requests.get(&id.0);
-                    let attempt = request.map_or(0, |request| request.attempts.len() - 1);
+                    let attempt = AttemptNumber(request.map_or(0, |request| request.attempts.len() - 1));
                     self.in_flight.push(InFlight { id: id.0, attempt, backend: backend.0 });
                 }
                 _ => {}
@@ -209,7 +209,7 @@
         let request = self.checker.requests.get_mut(&id).unwrap();
         request.is_finished |= outcome == Outcome::Success;
         let request_finished = request.is_finished;
-        let observed = &mut request.attempts[attempt];
+        let observed = &mut request.attempts[attempt.0];
         observed.outcome = Some(outcome);
         observed.ended_at = self.now;
         let duration = self.now - observed.sent_at;
--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -3,7 +3,7 @@
 use crate::common::actions::{is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
-use balancer::{Action, Effect, Event, Outcome, Request, RequestId, Settings};
+use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId, Settings};
 
 /// Creates a balancer before two backends.
 fn harness_with_two_backends(settings: Settings) -> BalancerHarness {
@@ -33,7 +33,7 @@
 
     let actions = harness.handle(Event::ClientDisconnected(RequestId(1)));
 
-    assert_eq!(actions, [Action::Cancel { id: RequestId(1), attempt: 0 }]);
+    assert_eq!(actions, [Action::Cancel { id: RequestId(1), attempt: AttemptNumber(0) }]);
     assert_eq!(harness.handle(Event::ClientDisconnected(RequestId(1))), []);
     assert_eq!(harness.advance_to(5.0), []);
 }
@@ -42,7 +42,10 @@
 fn cancels_or_withdraws_the_attempt_of_a_disconnected_client() {
     let id = RequestId(1);
     let unsafe_settings = settings_with_effect(Effect::Unsafe);
-    let expected_actions = [Action::Cancel { id, attempt: 0 }, Action::Withdraw { id, attempt: 0 }];
+    let expected_actions = [
+        Action::Cancel { id, attempt: AttemptNumber(0) },
+        Action::Withdraw { id, attempt: AttemptNumber(0) },
+    ];
     for (cancellation_allowed, expected) in [true, false].into_iter().zip(expected_actions) {
         let settings = Settings { cancellation_allowed, ..unsafe_settings.clone() };
         let mut harness = harness_with_two_backends(settings);
--- a/crates/balancer/tests/decisions/final_response.rs
+++ b/crates/balancer/tests/decisions/final_response.rs
@@ -3,7 +3,7 @@
 use crate::common::actions::{TimedAction, is_failed, is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings, settings_with_effect};
-use balancer::{Action, Effect, Event, IdempotencyGroup, Outcome, RequestId, Settings, Time};
+use balancer::{Action, AttemptNumber, Effect, Event, IdempotencyGroup, Outcome, RequestId, Settings, Time};
 
 /// The outcomes of an attempt without a response for the client.
 const FAILURES: [Outcome; 6] = [
@@ -132,7 +132,10 @@
 #[test]
 fn cancels_or_withdraws_the_other_attempts_after_a_success() {
     let id = RequestId(1);
-    let expected_actions = [Action::Cancel { id, attempt: 0 }, Action::Withdraw { id, attempt: 0 }];
+    let expected_actions = [
+        Action::Cancel { id, attempt: AttemptNumber(0) },
+        Action::Withdraw { id, attempt: AttemptNumber(0) },
+    ];
     for (cancellation_allowed, expected) in [true, false].into_iter().zip(expected_actions) {
         let settings = Settings { cancellation_allowed, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings, &endpoints(4));
@@ -150,7 +153,7 @@
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
     harness.request(1);
 
-    let actions = harness.handle(Event::ResponseStarted { id: RequestId(1), attempt: 0 });
+    let actions = harness.handle(Event::ResponseStarted { id: RequestId(1), attempt: AttemptNumber(0) });
 
     assert_eq!(actions, []);
     assert_eq!(harness.advance_to(5.0), []);
--- a/crates/balancer/tests/decisions/load_reports.rs
+++ b/crates/balancer/tests/decisions/load_reports.rs
@@ -6,7 +6,7 @@
 use crate::common::actions::{SentAttempt, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings};
-use balancer::{Action, BackendId, EndedAttempt, Event, LoadReport, Outcome, Settings, Time};
+use balancer::{Action, AttemptNumber, BackendId, EndedAttempt, Event, LoadReport, Outcome, Settings, Time};
 
 #[test]
 fn checks_backends_for_load_reports_and_prefers_short_service_times() {
@@ -69,7 +69,7 @@
         harness.handle(Event::AttemptEnded(EndedAttempt {
             id: request,
             backend,
-            attempt: 0,
+            attempt: AttemptNumber(0),
             outcome: Outcome::Success,
             duration,
             request_finished: true,
--- a/crates/balancer/tests/decisions/ordered_keys.rs
+++ b/crates/balancer/tests/decisions/ordered_keys.rs
@@ -3,7 +3,7 @@
 use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, settings_with_effect};
-use balancer::{Action, Effect, Event, Outcome, Request, RequestId};
+use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId};
 
 /// Creates a balancer with a class of unsafe requests that keeps the order of a key. A key rests for 0.2 s
 /// after an attempt without a response.
@@ -44,7 +44,7 @@
     assert!(
         harness
             .handle(Event::ClientDisconnected(RequestId(2)))
-            .contains(&Action::Cancel { id: RequestId(2), attempt: 0 })
+            .contains(&Action::Cancel { id: RequestId(2), attempt: AttemptNumber(0) })
     );
     assert_eq!(harness.sends_until(0.4), []);
     assert_eq!(sends(&harness.end_attempt(next[0], Outcome::Cancelled, 0.3)), []);
--- a/crates/balancer/tests/replay/agenda.rs
+++ b/crates/balancer/tests/replay/agenda.rs
@@ -1,6 +1,6 @@
 //! The agenda of a simulation: planned occurrences, in the order of their times.
 
-use balancer::{BackendId, RequestId, Time, TimerToken};
+use balancer::{AttemptNumber, BackendId, RequestId, Time, TimerToken};
 use std::collections::BTreeMap;
 
 /// Identifies an attempt of a request.
@@ -8,8 +8,8 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The number of the attempt, from 0, in the order of the sends.
-    pub number: usize,
+    /// The number of the attempt.
+    pub number: AttemptNumber,
 }
 
 /// An occurrence in a simulation.
--- a/crates/balancer/tests/replay/attempts.rs
+++ b/crates/balancer/tests/replay/attempts.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{AttemptId, Occurrence};
 use crate::simulated_backends::AttemptEnd;
 use crate::simulation::{OpenRequest, Simulation};
-use balancer::{BackendId, EndedAttempt, Event, Outcome, Request, RequestId, Time};
+use balancer::{AttemptNumber, BackendId, EndedAttempt, Event, Outcome, Request, RequestId, Time};
 use rand::Rng;
 
 /// The number of ordering keys in use.
@@ -80,7 +80,7 @@
         let Some(open) = self.requests.get_mut(&request) else {
             panic!("{request:?} is sent after its final response");
         };
-        let number = open.attempts;
+        let number = AttemptNumber(open.attempts);
         open.attempts += 1;
         let body_received_at = self.now.max(open.body_received_at);
         let timeout = timeout.min(open.timeout);
--- a/crates/balancer/tests/replay/digest.rs
+++ b/crates/balancer/tests/replay/digest.rs
@@ -37,8 +37,8 @@
                 self.add_time(timeout);
                 self.add_time(write_within);
             }
-            Action::Cancel { id, attempt } => self.add_integers([1, id.0, attempt as u64]),
-            Action::Withdraw { id, attempt } => self.add_integers([2, id.0, attempt as u64]),
+            Action::Cancel { id, attempt } => self.add_integers([1, id.0, attempt.0 as u64]),
+            Action::Withdraw { id, attempt } => self.add_integers([2, id.0, attempt.0 as u64]),
             Action::Reject { id, retry_after } => {
                 self.add_integers([3, id.0, u64::from(retry_after.is_some())]);
                 self.add_time(retry_after.unwrap_or_default());
--- a/crates/balancer/tests/slow_start/simulation.rs
+++ b/crates/balancer/tests/slow_start/simulation.rs
@@ -4,7 +4,8 @@
 use crate::fleet::{Fleet, REQUEST_TIMEOUT, START_TIME, backend_index};
 use crate::simulated_backends::SimulatedBackends;
 use balancer::{
-    Action, BackendId, Balancer, EndedAttempt, EndpointUpdate, Event, Outcome, Request, RequestId, Time,
+    Action, AttemptNumber, BackendId, Balancer, EndedAttempt, EndpointUpdate, Event, Outcome, Request,
+    RequestId, Time,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -125,7 +126,7 @@
                 let ended = EndedAttempt {
                     id,
                     backend,
-                    attempt: 0,
+                    attempt: AttemptNumber(0),
                     outcome: Outcome::Success,
                     duration,
                     request_finished: true,
--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -185,7 +185,7 @@
                 self.environment.send_attempt(AttemptOrder { request: id, backend, timeout })
             }
             Action::Cancel { id, attempt } => {
-                self.end_attempt(AttemptId { request: id, index: attempt }, Outcome::Cancelled)
+                self.end_attempt(AttemptId { request: id, number: attempt }, Outcome::Cancelled)
             }
             Action::Reject { id, .. } => self.environment.end_without_success(id, FailureKind::Rejected),
             Action::Fail { id } => self.environment.end_without_success(id, FailureKind::Failed),
--- a/crates/fleet-bench/src/fleet/caller/calls.rs
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -132,7 +132,7 @@
         Ok(Some(EndedAttempt {
             id: request,
             backend: BackendId((self.first_backend + backend) as u32),
-            attempt: attempt.index,
+            attempt: attempt.number,
             outcome,
             duration: now - sent,
             request_finished: !self.requests.is_open(request),
--- a/crates/fleet-bench/src/fleet/caller/event_queue.rs
+++ b/crates/fleet-bench/src/fleet/caller/event_queue.rs
@@ -1,6 +1,6 @@
 //! The virtual clock of a caller: its pending events in the order of their times.
 
-use balancer::{Outcome, RequestId, Time, TimerToken};
+use balancer::{AttemptNumber, Outcome, RequestId, Time, TimerToken};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -9,8 +9,8 @@
 pub struct AttemptId {
     /// The call.
     pub request: RequestId,
-    /// The index of the attempt, from 0.
-    pub index: usize,
+    /// The number of the attempt.
+    pub number: AttemptNumber,
 }
 
 /// Something that happens to a caller.
--- a/crates/fleet-bench/src/fleet/caller/requests.rs
+++ b/crates/fleet-bench/src/fleet/caller/requests.rs
@@ -37,8 +37,8 @@
     ///
     /// Returns the violation if the attempt violates a rule.
     pub fn send(&mut self, request: RequestId, attempt: InFlight) -> Result<AttemptId, Violation> {
-        let index = self.checker.send(request)?;
-        let id = AttemptId { request, index };
+        let number = self.checker.send(request)?;
+        let id = AttemptId { request, number };
         self.in_flight.insert(id, attempt);
         Ok(id)
     }
--- a/crates/fleet-bench/src/fleet/checker.rs
+++ b/crates/fleet-bench/src/fleet/checker.rs
@@ -1,7 +1,7 @@
 //! Checks the rules that hold for every call: exactly one final response before the deadline, and no
 //! second attempt of an unsafe call that may have run.
 
-use balancer::{Effect, RequestId, Time};
+use balancer::{AttemptNumber, Effect, RequestId, Time};
 use std::collections::HashMap;
 use thiserror::Error;
 
@@ -76,20 +76,21 @@
         self.open.insert(id, OpenCall { deadline, effect, may_have_run: false, attempts: 0, counted });
     }
 
-    /// Records an attempt and returns its index, from 0.
+    /// Records an attempt and returns its number.
     ///
     /// # Errors
     ///
     /// Returns the violation if the call is not open, or is unsafe and may have run.
-    pub fn send(&mut self, call: RequestId) -> Result<usize, Violation> {
+    pub fn send(&mut self, call: RequestId) -> Result<AttemptNumber, Violation> {
         let open = self.open.get_mut(&call).ok_or(Violation { rule: Rule::SentAfterResponse, call })?;
         if open.effect == Effect::Unsafe && open.may_have_run {
             return Err(Violation { rule: Rule::UnsafeRetry, call });
         }
         // Assumed until the outcome shows otherwise.
         open.may_have_run = true;
+        let number = AttemptNumber(open.attempts);
         open.attempts += 1;
-        Ok(open.attempts - 1)
+        Ok(number)
     }
 
     /// Records that the only attempt in flight could not connect, and so never ran.
--- a/crates/fleet-bench/src/slopes/event_queue.rs
+++ b/crates/fleet-bench/src/slopes/event_queue.rs
@@ -1,6 +1,6 @@
 //! The pending events of a simulation, in the order of their virtual times.
 
-use balancer::{RequestId, Time, TimerToken};
+use balancer::{AttemptNumber, RequestId, Time, TimerToken};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
@@ -18,8 +18,8 @@
     Response {
         /// The request.
         id: RequestId,
-        /// The index of the attempt, from 0.
-        attempt: usize,
+        /// The number of the attempt.
+        attempt: AttemptNumber,
     },
 }
 
--- a/crates/fleet-bench/src/slopes/open_requests.rs
+++ b/crates/fleet-bench/src/slopes/open_requests.rs
@@ -1,6 +1,6 @@
 //! The requests of a simulation that have no final response, with their attempts.
 
-use balancer::{BackendId, RequestId, Time};
+use balancer::{AttemptNumber, BackendId, RequestId, Time};
 use std::collections::HashMap;
 
 /// An attempt that was sent.
@@ -12,7 +12,7 @@
     pub sent: Time,
 }
 
-/// The attempts of each request without a final response, by the index of the attempt.
+/// The attempts of each request without a final response, by the number of the attempt.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
     attempts: HashMap<RequestId, Vec<Attempt>>,
@@ -30,15 +30,16 @@
     }
 
     /// Returns an attempt of an open request.
-    pub fn attempt(&self, id: RequestId, index: usize) -> Option<Attempt> {
-        self.attempts.get(&id)?.get(index).copied()
+    pub fn attempt(&self, id: RequestId, number: AttemptNumber) -> Option<Attempt> {
+        self.attempts.get(&id)?.get(number.0).copied()
     }
 
-    /// Adds an attempt of a request and returns the index of the attempt, from 0.
-    pub fn add_attempt(&mut self, id: RequestId, attempt: Attempt) -> usize {
+    /// Adds an attempt of a request and returns the number of the attempt.
+    pub fn add_attempt(&mut self, id: RequestId, attempt: Attempt) -> AttemptNumber {
         let attempts = self.attempts.entry(id).or_default();
+        let number = AttemptNumber(attempts.len());
         attempts.push(attempt);
-        attempts.len() - 1
+        number
     }
 
     /// Closes a request, as the request has its final response.
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -8,8 +8,8 @@
 use super::open_requests::{Attempt, OpenRequests};
 use crate::thread_clock::thread_time;
 use balancer::{
-    Action, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId,
-    Status, Time, TimerToken,
+    Action, AttemptNumber, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome,
+    Request, RequestId, Status, Time, TimerToken,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug)]
 struct CancelledAttempt {
     id: RequestId,
-    index: usize,
+    number: AttemptNumber,
     attempt: Attempt,
 }
 
@@ -195,22 +195,28 @@
     }
 
     /// Responds to an attempt, unless the request has ended with its other attempt.
-    fn respond(&mut self, id: RequestId, index: usize) {
-        let Some(attempt) = self.open.attempt(id, index) else {
+    fn respond(&mut self, id: RequestId, number: AttemptNumber) {
+        let Some(attempt) = self.open.attempt(id, number) else {
             return;
         };
-        let seconds = self.end_attempt(id, index, attempt, Outcome::Success);
+        let seconds = self.end_attempt(id, number, attempt, Outcome::Success);
         self.times.add(EventKind::Response, seconds);
         self.perform_actions(Some(id));
         self.open.close(id);
     }
 
-    fn end_attempt(&mut self, id: RequestId, index: usize, attempt: Attempt, outcome: Outcome) -> f64 {
+    fn end_attempt(
+        &mut self,
+        id: RequestId,
+        number: AttemptNumber,
+        attempt: Attempt,
+        outcome: Outcome,
+    ) -> f64 {
         let duration = self.now - attempt.sent;
         self.handle(Event::AttemptEnded(EndedAttempt {
             id,
             backend: attempt.backend,
-            attempt: index,
+            attempt: number,
             outcome,
             duration,
             request_finished: true,
@@ -238,9 +244,9 @@
                     let id = request.unwrap_or_default();
                     self.queue.schedule(at, PendingEvent::Timer { id, token });
                 }
-                Action::Cancel { id, attempt: index } => {
-                    let attempt = self.open.attempt(id, index);
-                    cancelled.extend(attempt.map(|attempt| CancelledAttempt { id, index, attempt }));
+                Action::Cancel { id, attempt: number } => {
+                    let attempt = self.open.attempt(id, number);
+                    cancelled.extend(attempt.map(|attempt| CancelledAttempt { id, number, attempt }));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.times.unserved += 1;
@@ -254,8 +260,8 @@
         for id in ended {
             self.open.close(id);
         }
-        for CancelledAttempt { id, index, attempt } in cancelled {
-            let seconds = self.end_attempt(id, index, attempt, Outcome::Cancelled);
+        for CancelledAttempt { id, number, attempt } in cancelled {
+            let seconds = self.end_attempt(id, number, attempt, Outcome::Cancelled);
             self.times.add(EventKind::Cancellation, seconds);
         }
         if !self.actions.is_empty() {
@@ -266,7 +272,7 @@
     /// Sends an attempt. The first attempt of a slow request is slow, a retry is not.
     fn send(&mut self, id: RequestId, backend: BackendId) {
         let attempt = self.open.add_attempt(id, Attempt { backend, sent: self.now });
-        let slow = attempt == 0 && id.0.is_multiple_of(SLOW_REQUEST_INTERVAL);
+        let slow = attempt == AttemptNumber(0) && id.0.is_multiple_of(SLOW_REQUEST_INTERVAL);
         let response_time = if slow { SLOW_RESPONSE_TIME } else { RESPONSE_TIME };
         self.queue.schedule(self.now + response_time, PendingEvent::Response { id, attempt });
         if let Some(used) = self.used.get_mut(backend.0 as usize) {
--- a/crates/fleet-bench/tests/fleet.rs
+++ b/crates/fleet-bench/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Reports of a small simulated fleet, and the checker of the rules.
 
-use balancer::{Effect, RequestId};
+use balancer::{AttemptNumber, Effect, RequestId};
 use fleet_bench::fleet::checker::{Checker, NewCall, Rule, Violation};
 use fleet_bench::fleet::{Args, Phase, run};
 use fleet_bench::plan::Source;
@@ -108,7 +108,7 @@
         checker
     };
     let mut safe_call = checker_with_open_call(Effect::Safe);
-    assert_eq!((safe_call.send(call), safe_call.send(call)), (Ok(0), Ok(1)));
+    assert_eq!((safe_call.send(call), safe_call.send(call)), (Ok(AttemptNumber(0)), Ok(AttemptNumber(1))));
     assert_eq!(safe_call.verify_none_open(), violation(Rule::Unanswered));
     assert_eq!(safe_call.close(call, 1.0).map(|open| open.attempts), Ok(2));
     assert_eq!(safe_call.verify_none_open(), Ok(()));
@@ -117,9 +117,9 @@
     assert_eq!(checker_with_open_call(Effect::Safe).close(call, 1.01).map(|_| ()), violation(Rule::Late));
 
     let mut unsafe_call = checker_with_open_call(Effect::Unsafe);
-    assert_eq!(unsafe_call.send(call), Ok(0));
+    assert_eq!(unsafe_call.send(call), Ok(AttemptNumber(0)));
     unsafe_call.attempt_never_ran(call);
-    assert_eq!(unsafe_call.send(call), Ok(1));
+    assert_eq!(unsafe_call.send(call), Ok(AttemptNumber(1)));
     assert_eq!(unsafe_call.send(call).map(|_| ()), violation(Rule::UnsafeRetry));
     assert_eq!((unsafe_call.drop_open(), unsafe_call.verify_none_open()), (1, Ok(())));
 }
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -14,7 +14,7 @@
         Action::Send { id, backend, timeout, .. } => {
             writeln!(reply, "PLACE {:016x} {timeout:.6} {}", id.0, backend.0)
         }
-        Action::Cancel { id, attempt } => writeln!(reply, "REVOKE {:016x} {attempt}", id.0),
+        Action::Cancel { id, attempt } => writeln!(reply, "REVOKE {:016x} {}", id.0, attempt.0),
         Action::Withdraw { .. } => Ok(()), // the simulator writes every request at once
         Action::Reject { id, retry_after: Some(retry_after) } => {
             writeln!(reply, "REJECT {:016x} {retry_after:.6}", id.0)
--- a/crates/simulator-adapter/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -6,7 +6,9 @@
 use super::names::{InstanceNames, NameIndex};
 use super::settings;
 use super::values::{self, ABSENT};
-use balancer::{BackendId, EndedAttempt, Endpoint, Event, LoadReport, Request, Settings, Time, TimerToken};
+use balancer::{
+    AttemptNumber, BackendId, EndedAttempt, Endpoint, Event, LoadReport, Request, Settings, Time, TimerToken,
+};
 
 /// Name of the value of a load report that is a service time, in milliseconds.
 const SERVICE_TIME_FIELD: &str = "avg_ms";
@@ -140,7 +142,7 @@
     let [id, duration, attempt, backend] = values::split("BEGUN", text)?;
     values::parse_non_negative("the duration", duration)?;
     values::parse_integer::<u32>("the backend", backend)?;
-    let attempt = values::parse_integer("the attempt", attempt)?;
+    let attempt = AttemptNumber(values::parse_integer("the attempt", attempt)?);
     Ok(Event::ResponseStarted { id: values::parse_request_id(id)?, attempt })
 }
 
@@ -149,7 +151,7 @@
     Ok(EndedAttempt {
         id: values::parse_request_id(id)?,
         backend: BackendId(values::parse_integer("the backend", backend)?),
-        attempt: values::parse_integer("the attempt", attempt)?,
+        attempt: AttemptNumber(values::parse_integer("the attempt", attempt)?),
         outcome: values::parse_outcome(outcome)?,
         duration: values::parse_non_negative("the duration", duration)?,
         request_finished: values::parse_flag("the end mark", finished)?,
