--- a/crates/fleet-bench/src/added/connection.rs
+++ b/crates/fleet-bench/src/added/connection.rs
@@ -66,7 +66,7 @@
             self.buffer.extend_from_slice(&chunk[..length]);
             if let Some(response) = Response::parse(&self.buffer)? {
                 self.stream = response.keep_alive.then_some(stream);
-                return Ok(response.status == STATUS_OK);
+                return Ok(response.status == Some(STATUS_OK));
             }
         }
     }
@@ -85,7 +85,7 @@
 
 /// A complete response.
 struct Response {
-    status: u16,
+    status: Option<u16>,
     /// Whether the server keeps the connection open.
     keep_alive: bool,
 }
@@ -109,6 +109,6 @@
             return Ok(None);
         }
         let keep_alive = value("connection").is_none_or(|text| !text.eq_ignore_ascii_case("close"));
-        Ok(Some(Self { status: response.code.unwrap_or(0), keep_alive }))
+        Ok(Some(Self { status: response.code, keep_alive }))
     }
 }
--- a/crates/fleet-bench/src/added/load.rs
+++ b/crates/fleet-bench/src/added/load.rs
@@ -55,8 +55,21 @@
 /// Draws calls of a Poisson process, with `rate` calls per second on each route.
 pub fn draw_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
     let times = draw_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
-    let route = |proxied: bool| if proxied { Route::Proxied } else { Route::Direct };
-    times.into_iter().map(|at| ScheduledCall { at, route: route(rng.random()) }).collect()
+    let mut calls = Vec::with_capacity(times.len());
+    for at in times {
+        let route = if rng.random() { Route::Proxied } else { Route::Direct };
+        calls.push(ScheduledCall { at, route });
+    }
+    calls
+}
+
+/// A call that a caller takes from the schedule.
+#[derive(Clone, Copy, Debug)]
+struct TakenCall {
+    /// Number of the call, from 0.
+    number: usize,
+    /// The call.
+    call: ScheduledCall,
 }
 
 /// Result of one call.
@@ -85,10 +98,10 @@
         Self { start: Instant::now() + CONNECT_TIME, calls, next: AtomicUsize::new(0) }
     }
 
-    /// Takes the next call and the number of the call, from 0.
-    fn take_next(&self) -> Option<(usize, ScheduledCall)> {
+    /// Takes the next call.
+    fn take_next(&self) -> Option<TakenCall> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        self.calls.get(number).map(|call| (number, *call))
+        self.calls.get(number).map(|call| TakenCall { number, call: *call })
     }
 }
 
@@ -115,7 +128,7 @@
     /// Returns [`Error::Interrupted`] once a signal has arrived.
     pub fn run(mut self, schedule: &Schedule, shutdown: &ShutdownSignal) -> Result<Vec<CallSample>, Error> {
         let mut samples = Vec::new();
-        while let Some((number, call)) = schedule.take_next() {
+        while let Some(TakenCall { number, call }) = schedule.take_next() {
             let due = schedule.start + call.at;
             let was_free = Instant::now() < due;
             wait_precisely(due, call.at, shutdown)?;
--- a/crates/fleet-bench/src/added/plan.rs
+++ b/crates/fleet-bench/src/added/plan.rs
@@ -77,7 +77,7 @@
     /// Returns an error if the experiment file cannot be read or a value is out of range.
     pub fn read(args: &Args) -> Result<Self, Error> {
         let run = &args.run;
-        let mut plan = if run.quick { Self::quick() } else { run.source.read()? };
+        let mut plan = run.read(Self::quick())?;
         override_with(&mut plan.seed, run.source.seed.as_ref());
         override_with(&mut plan.listed, run.listed.as_ref());
         override_with(&mut plan.rates, args.rates.as_ref());
--- a/crates/fleet-bench/src/control/recovery.rs
+++ b/crates/fleet-bench/src/control/recovery.rs
@@ -86,9 +86,8 @@
     group.shutdown.sleep_until(start + RECOVERY_WINDOW)?;
     let traffic = discovery.stop_recording();
     let is_complete = discovery.pending_acknowledgements() == 0;
-    let last_acknowledged = discovery.last_acknowledged_at();
-    let complete_after_seconds =
-        if is_complete { last_acknowledged.duration_since(start).as_secs_f64() } else { f64::NAN };
+    let recovery_time = || discovery.last_acknowledged_at().duration_since(start);
+    let complete_after_seconds = is_complete.then(|| recovery_time().as_secs_f64());
     Ok(Recovery { start, traffic, complete_after_seconds })
 }
 
@@ -96,9 +95,9 @@
 struct Recovery {
     start: Instant,
     traffic: Vec<TrafficEvent>,
-    /// Time from the end of the outage until all proxies had the newest version, in seconds; NaN if
-    /// longer than the recovery window.
-    complete_after_seconds: f64,
+    /// Time from the end of the outage until all proxies had the newest version, in seconds; `None`
+    /// if longer than the recovery window.
+    complete_after_seconds: Option<f64>,
 }
 
 impl Recovery {
--- a/crates/fleet-bench/src/error.rs
+++ b/crates/fleet-bench/src/error.rs
@@ -150,9 +150,15 @@
     /// A histogram cannot be created.
     #[error("histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// Any other failure of the measurement.
-    #[error("{0}")]
-    Failed(String),
+    /// The real time limit of a run was reached.
+    #[error("given up after {limit_s} s")]
+    TimeLimit {
+        /// The limit, in seconds.
+        limit_s: f64,
+    },
+    /// The system does not report the memory of this process.
+    #[error("memory of this process: {0}")]
+    Memory(procfs::ProcError),
     /// Ctrl-C or SIGTERM arrived. All that was started has been stopped.
     #[error("ended by a signal: no report")]
     Interrupted,
--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Rule`] if a call violated a rule, and [`Error::Failed`] once the real time limit of
+/// Returns [`Error::Rule`] if a call violated a rule, and [`Error::TimeLimit`] once the real time limit of
 /// the run is reached.
 pub fn simulate(scenario: &Scenario<'_>, index: usize) -> Result<CallerObservations, Error> {
     Caller::new(scenario, index).simulate()
@@ -111,7 +111,7 @@
         if Instant::now() < context.abort_at {
             return Ok(());
         }
-        Err(Error::Failed(format!("given up after {} s", context.plan.real_time_limit)))
+        Err(Error::TimeLimit { limit_s: context.plan.real_time_limit })
     }
 
     fn make_call(&mut self) -> Result<(), Error> {
--- a/crates/fleet-bench/src/fleet/caller/accounting.rs
+++ b/crates/fleet-bench/src/fleet/caller/accounting.rs
@@ -4,7 +4,7 @@
 use super::message::Message;
 use crate::fleet::checker::OpenCall;
 use crate::fleet::observations::{CallerObservations, SlowStartAttempt, StateSize, SubsetMember};
-use crate::fleet::recording::{Record, Recording};
+use crate::fleet::recording::{Record, RecordedEvent, Recording};
 use crate::fleet::scenario::Scenario;
 use balancer::{Balancer, EndpointUpdate, Event, Settings, Time};
 
@@ -74,22 +74,22 @@
 
     /// Records an event without endpoints.
     pub fn record_event(&mut self, now: Time, event: Event<'static>) {
-        self.record(|| Record::Event(now, event));
+        self.record(now, || RecordedEvent::Plain(event));
     }
 
     /// Records an endpoint update.
     pub fn record_update(&mut self, now: Time, update: EndpointUpdate<'_>) {
-        self.record(|| Record::of_update(now, update));
+        self.record(now, || RecordedEvent::of_update(update));
     }
 
     /// Records the start of a new process with this seed.
     pub fn record_start(&mut self, now: Time, seed: u64) {
-        self.record(|| Record::Start(now, seed));
+        self.record(now, || RecordedEvent::Start { seed });
     }
 
-    fn record(&mut self, record: impl FnOnce() -> Record) {
+    fn record(&mut self, at: Time, event: impl FnOnce() -> RecordedEvent) {
         if let Some(recording) = &mut self.observations.recording {
-            recording.records.push(record());
+            recording.records.push(Record { at, event: event() });
         }
     }
 
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -35,26 +35,26 @@
     scenario: &'a Scenario<'a>,
     /// The zone of the machine.
     zone: usize,
-    /// Time of the last response of each backend, in seconds: until the idle timeout after a response,
-    /// the connection to the backend is open.
-    last_response: Vec<Time>,
+    /// Time of the last response of each backend, in seconds; `None` without a connection. Until the idle
+    /// timeout after a response, the connection to the backend is open.
+    last_response: Vec<Option<Time>>,
 }
 
 impl<'a> Network<'a> {
     /// Creates the network as seen from a zone, without open connections.
     pub fn new(scenario: &'a Scenario<'a>, zone: usize) -> Self {
-        let last_response = vec![f64::NEG_INFINITY; scenario.service().machines.len()];
+        let last_response = vec![None; scenario.service().machines.len()];
         Self { scenario, zone, last_response }
     }
 
     /// Records a response of a backend.
     pub fn record_response(&mut self, backend: usize, now: Time) {
-        self.last_response[backend] = now;
+        self.last_response[backend] = Some(now);
     }
 
     /// Closes all connections, as the process has ended.
     pub fn close_connections(&mut self) {
-        self.last_response.fill(f64::NEG_INFINITY);
+        self.last_response.fill(None);
     }
 
     /// Draws how long an endpoint update takes from a zone to this machine.
@@ -104,7 +104,7 @@
     /// a new connection is not established.
     fn end_without_peer(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
         let plan = self.scenario.context.plan;
-        let connected = times.sent < self.last_response[backend] + plan.idle_timeout;
+        let connected = self.last_response[backend].is_some_and(|last| times.sent < last + plan.idle_timeout);
         if connected {
             return AttemptEnd { outcome: Outcome::Timeout, at: times.timeout_at, unavailable: true };
         }
--- a/crates/fleet-bench/src/fleet/memory.rs
+++ b/crates/fleet-bench/src/fleet/memory.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 ///
-/// Returns [`Error::Failed`] if the system does not report the memory of this process.
+/// Returns [`Error::Memory`] if the system does not report the memory of this process.
 pub fn measure(plan: &Plan, topology: &Topology, roles: &Roles) -> Result<Table, Error> {
     let columns = ["role", "backends listed", "callers", "bytes per balancer"];
     let mut table = Table::new("Memory of one balancer with its endpoint list, before any call", &columns);
@@ -48,6 +48,6 @@
 /// Returns the resident memory of this process, in bytes.
 fn resident_bytes() -> Result<u64, Error> {
     let memory = procfs::process::Process::myself().and_then(|process| process.statm());
-    let memory = memory.map_err(|e| Error::Failed(format!("memory of this process: {e}")))?;
+    let memory = memory.map_err(Error::Memory)?;
     Ok(memory.resident * procfs::page_size())
 }
--- a/crates/fleet-bench/src/fleet/phase.rs
+++ b/crates/fleet-bench/src/fleet/phase.rs
@@ -10,7 +10,7 @@
 use super::scenario::{PhaseContext, Scenario};
 use super::slow_start;
 use crate::error::Error;
-use rayon::prelude::*;
+use rayon::iter::{IndexedParallelIterator, IntoParallelIterator, IntoParallelRefIterator, ParallelIterator};
 
 /// Simulates a phase.
 ///
--- a/crates/fleet-bench/src/fleet/plan.rs
+++ b/crates/fleet-bench/src/fleet/plan.rs
@@ -2,6 +2,7 @@
 
 use super::parameters::{EffectFractions, LognormalTime, RoundTrips, TimeRange};
 use crate::error::Error;
+use crate::plan::check_bounds;
 use clap::ValueEnum;
 use serde::{Deserialize, Serialize};
 
@@ -189,9 +190,9 @@
         self.validate_times()?;
         let duration = self.warm_up + self.window;
         let calls = self.rate * self.rate_scale * duration * self.phases.len() as f64;
-        check_range("calls of all phases", calls, 0.0, MAX_CALLS)?;
+        check_bounds("calls of all phases", &(0.0..=MAX_CALLS), calls)?;
         let recorded = calls / self.backends as f64 * self.recorded_callers as f64;
-        check_range("calls of recorded callers", recorded, 0.0, MAX_RECORDED_CALLS)
+        check_bounds("calls of recorded callers", &(0.0..=MAX_RECORDED_CALLS), recorded)
     }
 
     fn validate_topology(&self) -> Result<(), Error> {
@@ -211,26 +212,26 @@
             return Err(Error::Argument { name: "zones", expected, got: self.zones.to_string() });
         }
         let outages = (self.restarts + self.failures) as f64;
-        check_range("restarts and failures", outages, 0.0, self.backends as f64)
+        check_bounds("restarts and failures", &(0.0..=self.backends as f64), outages)
     }
 
     fn validate_calls(&self) -> Result<(), Error> {
-        check_range("effects", self.effects.safe, 0.0, 1.0)?;
-        check_range("effects", self.effects.idempotent, 0.0, 1.0 - self.effects.safe)?;
-        check_range("size_skew", self.size_skew, 0.0, 5.0)?;
-        check_range("rate", self.rate, 1.0, 1e9)?;
-        check_range("rate_scale", self.rate_scale, 1e-6, 100.0)?;
-        check_range("call_timeout", self.call_timeout, 0.01, 60.0)?;
-        check_range("cross_zone_cost", self.cross_zone_cost, 0.0, 100.0)?;
-        check_range("slow_start_initial_capacity", self.slow_start_initial_capacity, 0.001, 1.0)?;
-        check_range("overload_multiple", self.overload_multiple, 0.001, 1e6)
+        check_bounds("effects", &(0.0..=1.0), self.effects.safe)?;
+        check_bounds("effects", &(0.0..=1.0 - self.effects.safe), self.effects.idempotent)?;
+        check_bounds("size_skew", &(0.0..=5.0), self.size_skew)?;
+        check_bounds("rate", &(1.0..=1e9), self.rate)?;
+        check_bounds("rate_scale", &(1e-6..=100.0), self.rate_scale)?;
+        check_bounds("call_timeout", &(0.01..=60.0), self.call_timeout)?;
+        check_bounds("cross_zone_cost", &(0.0..=100.0), self.cross_zone_cost)?;
+        check_bounds("slow_start_initial_capacity", &(0.001..=1.0), self.slow_start_initial_capacity)?;
+        check_bounds("overload_multiple", &(0.001..=1e6), self.overload_multiple)
     }
 
     fn validate_times(&self) -> Result<(), Error> {
-        check_range("overload_window", self.overload_window, 0.001, 600.0)?;
-        check_range("warm_up", self.warm_up, 1.0, MAX_TIME)?;
-        check_range("window", self.window, 1.0, MAX_TIME)?;
-        check_range("real_time_limit", self.real_time_limit, 1.0, 86_400.0)?;
+        check_bounds("overload_window", &(0.001..=600.0), self.overload_window)?;
+        check_bounds("warm_up", &(1.0..=MAX_TIME), self.warm_up)?;
+        check_bounds("window", &(1.0..=MAX_TIME), self.window)?;
+        check_bounds("real_time_limit", &(1.0..=86_400.0), self.real_time_limit)?;
         let times = [
             ("round_trips", self.round_trips.same_zone),
             ("round_trips", self.round_trips.same_region),
@@ -249,7 +250,7 @@
             ("idle_timeout", self.idle_timeout),
             ("slow_start_duration", self.slow_start_duration),
         ];
-        times.into_iter().try_for_each(|(name, time)| check_range(name, time, 0.0, MAX_TIME))
+        times.into_iter().try_for_each(|(name, time)| check_bounds(name, &(0.0..=MAX_TIME), time))
     }
 
     /// Returns the capacity of a backend as a fraction of its full capacity, `age` seconds after its
@@ -272,12 +273,5 @@
 }
 
 fn check_count(name: &'static str, got: usize, max: usize) -> Result<(), Error> {
-    check_range(name, got as f64, 1.0, max as f64)
-}
-
-fn check_range(name: &'static str, got: f64, min: f64, max: f64) -> Result<(), Error> {
-    if (min..=max).contains(&got) {
-        return Ok(());
-    }
-    Err(Error::Range { name, min, max, got })
+    check_bounds(name, &(1.0..=max as f64), got as f64)
 }
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -2,7 +2,7 @@
 //! role without the simulation.
 
 use super::plan::Plan;
-use super::recording::{Record, Recording};
+use super::recording::{Record, RecordedEvent, Recording};
 use super::results::PhaseResult;
 use super::roles::Roles;
 use super::topology::Topology;
@@ -70,15 +70,15 @@
     /// Replays all records and adds up the processor time: events of calls in batches, each endpoint
     /// update separately.
     fn run(mut self, time: &mut ProcessorTime) {
-        while let Some(record) = self.records.next() {
-            match record {
-                Record::Start(at, seed) => {
+        while let Some(Record { at, event }) = self.records.next() {
+            match event {
+                RecordedEvent::Start { seed } => {
                     self.balancer = Balancer::new(*at, *seed, self.recording.settings.clone());
                 }
-                Record::Changes(at, list) => self.replay_update(*at, EndpointUpdate::Changes(list), time),
-                Record::Full(at, list) => self.replay_update(*at, EndpointUpdate::Full(list), time),
-                Record::Cached(at, list) => self.replay_update(*at, EndpointUpdate::Cached(list), time),
-                Record::Event(at, event) => self.replay_batch(*at, *event, time),
+                RecordedEvent::Changes(list) => self.replay_update(*at, EndpointUpdate::Changes(list), time),
+                RecordedEvent::Full(list) => self.replay_update(*at, EndpointUpdate::Full(list), time),
+                RecordedEvent::Cached(list) => self.replay_update(*at, EndpointUpdate::Cached(list), time),
+                RecordedEvent::Plain(event) => self.replay_batch(*at, *event, time),
             }
         }
     }
@@ -99,8 +99,8 @@
         self.handle(at, event);
         let mut events = 1;
         while events < MAX_BATCH_EVENTS
-            && let Some(Record::Event(at, event)) =
-                self.records.next_if(|record| matches!(record, Record::Event(..)))
+            && let Some(Record { at, event: RecordedEvent::Plain(event) }) =
+                self.records.next_if(|record| matches!(record.event, RecordedEvent::Plain(_)))
         {
             self.handle(*at, *event);
             events += 1;
--- a/crates/fleet-bench/src/fleet/recording.rs
+++ b/crates/fleet-bench/src/fleet/recording.rs
@@ -2,30 +2,42 @@
 
 use balancer::{Endpoint, EndpointUpdate, Event, Settings, Time};
 
-/// Something that happened to a balancer, and when.
+/// An event of a balancer with its time.
 #[derive(Debug)]
-pub enum Record {
+pub struct Record {
+    /// Virtual time of the event, in seconds.
+    pub at: Time,
+    /// The event.
+    pub event: RecordedEvent,
+}
+
+/// An event of a balancer, which owns its endpoints.
+#[derive(Debug)]
+pub enum RecordedEvent {
     /// An event without endpoints.
-    Event(Time, Event<'static>),
+    Plain(Event<'static>),
     /// Changes of the endpoint list.
-    Changes(Time, Vec<Endpoint>),
+    Changes(Vec<Endpoint>),
     /// The complete endpoint list.
-    Full(Time, Vec<Endpoint>),
+    Full(Vec<Endpoint>),
     /// The cached endpoint list after a start.
-    Cached(Time, Vec<Endpoint>),
-    /// A new process started with this seed.
-    Start(Time, u64),
+    Cached(Vec<Endpoint>),
+    /// The start of a new process.
+    Start {
+        /// Seed of the balancer of the process.
+        seed: u64,
+    },
 }
 
-impl Record {
-    /// Creates the record of an endpoint update.
+impl RecordedEvent {
+    /// Copies an endpoint update.
     #[must_use]
-    pub fn of_update(now: Time, update: EndpointUpdate<'_>) -> Self {
+    pub fn of_update(update: EndpointUpdate<'_>) -> Self {
         match update {
-            EndpointUpdate::Changes(list) => Self::Changes(now, list.to_vec()),
-            EndpointUpdate::Full(list) => Self::Full(now, list.to_vec()),
-            EndpointUpdate::Cached(list) => Self::Cached(now, list.to_vec()),
-            EndpointUpdate::Failed => Self::Event(now, Event::Endpoints(EndpointUpdate::Failed)),
+            EndpointUpdate::Changes(list) => Self::Changes(list.to_vec()),
+            EndpointUpdate::Full(list) => Self::Full(list.to_vec()),
+            EndpointUpdate::Cached(list) => Self::Cached(list.to_vec()),
+            EndpointUpdate::Failed => Self::Plain(Event::Endpoints(EndpointUpdate::Failed)),
         }
     }
 }
--- a/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
+++ b/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
@@ -33,8 +33,7 @@
         let half = sorted(changes.iter().map(|change| change.half));
         let percent_99 = sorted(changes.iter().map(|change| change.percent_99));
         let all = sorted(changes.iter().map(|change| change.all));
-        let at =
-            |times: &[f64], fraction| Value::from(quantile(times, fraction).copied().unwrap_or(f64::NAN));
+        let at = |times: &[f64], fraction| Value::from(quantile(times, fraction).copied());
         table.row([
             Value::from(result.phase.name()),
             Value::from(changes.len()),
--- a/crates/fleet-bench/src/fleet/tables/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/tables/slow_start.rs
@@ -24,7 +24,7 @@
         peaks.sort_by(|a, b| a.budget_ratio.total_cmp(&b.budget_ratio));
         let ratio = |fraction| {
             let peak = quantile(&peaks, fraction);
-            Value::from(peak.map_or(f64::NAN, |peak| peak.budget_ratio))
+            Value::from(peak.map(|peak| peak.budget_ratio))
         };
         table.row([
             Value::from(result.phase.name()),
--- a/crates/fleet-bench/src/lib.rs
+++ b/crates/fleet-bench/src/lib.rs
@@ -2,24 +2,24 @@
 //! `main` prints. None of this is part of what operators build.
 
 pub mod added;
-pub mod address;
+mod address;
 pub mod backend;
-pub mod background;
-pub mod budget;
+mod background;
+mod budget;
 pub mod control;
 pub mod discovery;
 pub mod draw;
 pub mod error;
 pub mod fleet;
 pub mod instance;
-pub mod latency;
+mod latency;
 pub mod plan;
-pub mod proxy;
+mod proxy;
 pub mod report;
-pub mod request_head;
-pub mod rollout;
-pub mod shutdown;
+mod request_head;
+mod rollout;
+mod shutdown;
 pub mod slopes;
 pub mod stats;
-pub mod thread_clock;
-pub mod usage;
+mod thread_clock;
+mod usage;
--- a/crates/fleet-bench/src/plan.rs
+++ b/crates/fleet-bench/src/plan.rs
@@ -62,6 +62,18 @@
     pub program: Option<PathBuf>,
 }
 
+impl ProxyRunArgs {
+    /// Reads the plan of a command: `quick` if the arguments ask for the quick plan, otherwise the plan
+    /// of the experiment file.
+    ///
+    /// # Errors
+    ///
+    /// Returns the errors of [`Source::read`].
+    pub fn read<P: DeserializeOwned + Default>(&self, quick: P) -> Result<P, Error> {
+        if self.quick { Ok(quick) } else { self.source.read() }
+    }
+}
+
 /// Replaces a value of a plan by the value of an argument, if the argument was given.
 pub fn override_with<T: Clone>(value: &mut T, argument: Option<&T>) {
     if let Some(argument) = argument {
@@ -86,6 +98,18 @@
     }
 }
 
+/// Checks that a value of a plan is within its bounds.
+///
+/// # Errors
+///
+/// Returns [`Error::Range`] if the value is out of its bounds.
+pub fn check_bounds(name: &'static str, bounds: &RangeInclusive<f64>, got: f64) -> Result<(), Error> {
+    if bounds.contains(&got) {
+        return Ok(());
+    }
+    Err(Error::Range { name, min: *bounds.start(), max: *bounds.end(), got })
+}
+
 /// Checks that a plan takes at most an hour.
 ///
 /// # Errors
--- a/crates/fleet-bench/src/report.rs
+++ b/crates/fleet-bench/src/report.rs
@@ -25,6 +25,12 @@
     }
 }
 
+impl From<Option<f64>> for Value {
+    fn from(value: Option<f64>) -> Self {
+        value.map_or(Self::Absent, Self::from)
+    }
+}
+
 impl From<usize> for Value {
     fn from(value: usize) -> Self {
         Self::Number(value as f64)
--- a/crates/fleet-bench/src/rollout.rs
+++ b/crates/fleet-bench/src/rollout.rs
@@ -174,7 +174,7 @@
             (last_ms / 1e3 / ROLLOUT_TIMEOUT.as_secs_f64()).into(),
             (files.applied as f64 / proxies as f64).into(),
             (files.rejected as usize).into(),
-            measurement.processor_ms.unwrap_or(f64::NAN).into(),
+            measurement.processor_ms.into(),
             (100.0 * machine_stalled).into(),
         ])
     }
--- a/crates/fleet-bench/src/rollout/plan.rs
+++ b/crates/fleet-bench/src/rollout/plan.rs
@@ -1,7 +1,7 @@
 //! Arguments and plan of settings rollouts.
 
 use crate::error::Error;
-use crate::plan::override_with;
+use crate::plan::{check_bounds, override_with};
 use serde::{Deserialize, Serialize};
 
 /// Arguments of rollouts.
@@ -59,14 +59,14 @@
     /// Returns [`Error::Range`] with the first value that is out of range.
     pub fn check(&self) -> Result<(), Error> {
         let changes = self.changes as f64;
-        check_bounds("settings-changes", 0.0, 1_000.0, changes)?;
-        check_bounds("settings-proxies", 1.0, 200.0, self.proxies as f64)?;
-        check_bounds("settings-rate", 0.1, 100.0, self.changes_per_second)?;
+        check_bounds("settings-changes", &(0.0..=1_000.0), changes)?;
+        check_bounds("settings-proxies", &(1.0..=200.0), self.proxies as f64)?;
+        check_bounds("settings-rate", &(0.1..=100.0), self.changes_per_second)?;
         // The scenarios take about three times as long, which must stay below an hour.
-        check_bounds("settings-changes / settings-rate, s", 0.0, 1_000.0, changes / self.changes_per_second)
+        check_bounds(
+            "settings-changes / settings-rate, s",
+            &(0.0..=1_000.0),
+            changes / self.changes_per_second,
+        )
     }
 }
-
-fn check_bounds(name: &'static str, min: f64, max: f64, got: f64) -> Result<(), Error> {
-    if (min..=max).contains(&got) { Ok(()) } else { Err(Error::Range { name, min, max, got }) }
-}
--- a/crates/fleet-bench/src/slopes/plan.rs
+++ b/crates/fleet-bench/src/slopes/plan.rs
@@ -3,8 +3,8 @@
 
 use super::case::Case;
 use crate::error::Error;
+use crate::plan::check_range;
 use serde::{Deserialize, Serialize};
-use std::ops::RangeInclusive;
 
 /// Maximum of each size of a case: a case of that size is measured within minutes.
 const MAX_SIZE: usize = 10_000;
@@ -144,15 +144,12 @@
     /// Returns [`Error::Argument`] with the first value out of its bounds, under its name in the experiment
     /// file.
     pub fn validate(&self) -> Result<(), Error> {
-        check_range("rounds", "1 to 1000", 1..=1000, self.rounds)?;
-        check_range("requests", "16 to 10000", 16..=MAX_SIZE, self.requests)?;
-        check_range("changes", "2 to 1000", 2..=1000, self.changes)?;
-        check_range("lists", "1 to 1000", 1..=1000, self.lists)?;
-        check_range("time_limit", "1 to 86400 seconds", 1..=86400, self.time_limit as usize)?;
-        if !(0.0..=60.0).contains(&self.warm_up) {
-            let got = self.warm_up.to_string();
-            return Err(Error::Argument { name: "warm_up", expected: "0 to 60 seconds", got });
-        }
+        check_range("rounds", "1 to 1000", &(1..=1000), [self.rounds])?;
+        check_range("requests", "16 to 10000", &(16..=MAX_SIZE), [self.requests])?;
+        check_range("changes", "2 to 1000", &(2..=1000), [self.changes])?;
+        check_range("lists", "1 to 1000", &(1..=1000), [self.lists])?;
+        check_range("time_limit", "1 to 86400 seconds", &(1..=86400), [self.time_limit as usize])?;
+        check_range("warm_up", "0 to 60 seconds", &(0.0..=60.0), [self.warm_up])?;
         let axes = self.axes();
         axes.iter().flat_map(|axis| &axis.cases).try_for_each(|point| validate_case(&point.case))
     }
@@ -188,24 +185,12 @@
 
 fn validate_case(case: &Case) -> Result<(), Error> {
     let at_least_one = "1 to 10000";
-    check_range("backends", at_least_one, 1..=MAX_SIZE, case.backends)?;
-    check_range("instances", at_least_one, 1..=MAX_SIZE, case.instances)?;
-    check_range("classes", at_least_one, 1..=MAX_SIZE, case.classes)?;
-    check_range("tenants", "0 to 10000", 0..=MAX_SIZE, case.tenants)?;
-    check_range("open_requests", at_least_one, 1..=MAX_SIZE, case.open_requests)?;
-    check_range("tier", "0 to 10000", 0..=MAX_SIZE, case.tier)
-}
-
-fn check_range(
-    name: &'static str,
-    expected: &'static str,
-    range: RangeInclusive<usize>,
-    got: usize,
-) -> Result<(), Error> {
-    if range.contains(&got) {
-        return Ok(());
-    }
-    Err(Error::Argument { name, expected, got: got.to_string() })
+    check_range("backends", at_least_one, &(1..=MAX_SIZE), [case.backends])?;
+    check_range("instances", at_least_one, &(1..=MAX_SIZE), [case.instances])?;
+    check_range("classes", at_least_one, &(1..=MAX_SIZE), [case.classes])?;
+    check_range("tenants", "0 to 10000", &(0..=MAX_SIZE), [case.tenants])?;
+    check_range("open_requests", at_least_one, &(1..=MAX_SIZE), [case.open_requests])?;
+    check_range("tier", "0 to 10000", &(0..=MAX_SIZE), [case.tier])
 }
 
 /// An axis: one size varies, the other sizes are those of the base case.
--- a/crates/fleet-bench/src/slopes/tables.rs
+++ b/crates/fleet-bench/src/slopes/tables.rs
@@ -2,7 +2,7 @@
 
 use super::measurement::{AxisSamples, CaseSamples, MEASURES};
 use crate::report::{Table, Value};
-use crate::stats::{self, LinearFit};
+use crate::stats::{self, LinearFit, Point};
 
 /// The first quartile, the median and the third quartile.
 #[derive(Clone, Copy, Debug)]
@@ -151,8 +151,8 @@
 fn fit(cases: &[CaseSamples], sample: impl Fn(&CaseSamples) -> Option<f64>) -> Option<LinearFit> {
     let point = |case: &CaseSamples| {
         let sample = sample(case).filter(|sample| sample.is_finite())?;
-        Some((case.value as f64, sample))
+        Some(Point { x: case.value as f64, y: sample })
     };
-    let points: Vec<(f64, f64)> = cases.iter().filter_map(point).collect();
+    let points: Vec<Point> = cases.iter().filter_map(point).collect();
     stats::fit_line(&points)
 }
--- a/crates/fleet-bench/src/stats.rs
+++ b/crates/fleet-bench/src/stats.rs
@@ -1,5 +1,14 @@
 //! Statistics of samples.
 
+/// A point in the plane.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// The independent variable.
+    pub x: f64,
+    /// The dependent variable.
+    pub y: f64,
+}
+
 /// A straight line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
@@ -13,22 +22,23 @@
     pub intercept_error: f64,
 }
 
-/// Fits a line to `(x, y)` points. Returns `None` for fewer than three points, or if all x are equal.
+/// Fits a line to points. Returns `None` for fewer than three points, or if all x are equal.
 #[must_use]
-pub fn fit_line(points: &[(f64, f64)]) -> Option<LinearFit> {
+pub fn fit_line(points: &[Point]) -> Option<LinearFit> {
     let count = points.len() as f64;
     if points.len() < 3 {
         return None;
     }
-    let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
-    let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let squares_x = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
+    let mean_x = points.iter().map(|point| point.x).sum::<f64>() / count;
+    let mean_y = points.iter().map(|point| point.y).sum::<f64>() / count;
+    let squares_x = points.iter().map(|point| (point.x - mean_x).powi(2)).sum::<f64>();
     if squares_x <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>() / squares_x;
+    let slope = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum::<f64>() / squares_x;
     let intercept = mean_y - slope * mean_x;
-    let residual_squares = points.iter().map(|(x, y)| (y - intercept - slope * x).powi(2)).sum::<f64>();
+    let residual_squares =
+        points.iter().map(|point| (point.y - intercept - slope * point.x).powi(2)).sum::<f64>();
     let variance = residual_squares / (count - 2.0);
     Some(LinearFit {
         slope,
--- a/crates/fleet-bench/tests/added.rs
+++ b/crates/fleet-bench/tests/added.rs
@@ -1,9 +1,12 @@
 //! A complete small run of `fleet-bench added`, and tests of its components.
 
 mod common;
+#[path = "common/failure.rs"]
+mod failure;
 
-use common::{assert_nothing_left, report_of, table};
-use fleet_bench::added::Observation;
+use common::{JsonAndText, assert_nothing_left, report_of, table};
+use failure::failure_of;
+use fleet_bench::added::{Observation, Verdict};
 use fleet_bench::backend::Backends;
 use fleet_bench::draw::draw_arrivals;
 use rand::SeedableRng;
@@ -11,13 +14,12 @@
 use serde_json::{Map, Value};
 use std::io::{Read, Write};
 use std::net::TcpStream;
-use std::process::Command;
 
 const VERDICTS: [&str; 4] =
     ["within budget", "over budget", "over budget: calls piled up", "inconclusive: machine too busy"];
 
 /// Returns the report of a small run with this seed, as JSON and as text.
-fn small_run(seed: &str) -> (Value, String) {
+fn small_run(seed: &str) -> JsonAndText {
     let directory = tempfile::tempdir().unwrap();
     let arguments =
         ["added", "--listed", "17", "--rates", "60", "--changes", "0,5", "--seconds", "0.5", "--seed", seed];
@@ -37,7 +39,7 @@
 
 #[test]
 fn a_small_run_compares_proxied_calls_with_direct_ones() {
-    let (report, text) = small_run("7");
+    let JsonAndText { report, text } = small_run("7");
 
     assert_eq!((&report["command"], &report["seed"]), (&"added".into(), &7.into()), "{text}");
     let calls = table(&report, "Calls");
@@ -60,22 +62,27 @@
         assert!(VERDICTS.contains(&row["verdict"].as_str().unwrap()));
     }
     // The calls depend on the seed alone.
-    assert_eq!(call_counts(&report), call_counts(&small_run("7").0));
-    assert_ne!(call_counts(&report), call_counts(&small_run("8").0));
+    assert_eq!(call_counts(&report), call_counts(&small_run("7").report));
+    assert_ne!(call_counts(&report), call_counts(&small_run("8").report));
 }
 
 #[test]
 fn a_busy_machine_gives_no_verdict() {
-    let verdict = |generator_delay_ms, queued_fraction, direct_ms, added_ms| {
-        Observation { generator_delay_ms, queued_fraction, direct_ms, added_ms }.verdict().text()
-    };
-
-    assert_eq!(verdict(0.05, 0.0, 0.3, 0.7), "within budget");
-    assert_eq!(verdict(0.05, 0.0, 0.3, 0.73), "over budget");
-    assert_eq!(verdict(0.19, 0.5, 0.3, 0.1), "inconclusive: machine too busy");
-    assert_eq!(verdict(0.05, 0.0, 0.8, 0.1), "inconclusive: machine too busy");
+    let quiet = Observation { generator_delay_ms: 0.05, queued_fraction: 0.0, direct_ms: 0.3, added_ms: 0.1 };
+    let slow_proxy = Observation { added_ms: 0.73, ..quiet };
+    let late_generator = Observation { generator_delay_ms: 0.19, queued_fraction: 0.5, ..quiet };
+    let slow_direct_calls = Observation { direct_ms: 0.8, ..quiet };
     // Direct calls wait for callers whose proxied calls are in flight: a fault of the proxy.
-    assert_eq!(verdict(0.05, 0.02, 0.8, 0.1), "over budget: calls piled up");
+    let queued_calls = Observation { queued_fraction: 0.02, direct_ms: 0.8, ..quiet };
+
+    assert_eq!(Observation { added_ms: 0.7, ..quiet }.verdict(), Verdict::WithinBudget);
+    assert_eq!(slow_proxy.verdict(), Verdict::OverBudget);
+    assert_eq!(late_generator.verdict(), Verdict::TooBusy);
+    assert_eq!(slow_direct_calls.verdict(), Verdict::TooBusy);
+    assert_eq!(queued_calls.verdict(), Verdict::PiledUp);
+    let texts =
+        [Verdict::WithinBudget, Verdict::OverBudget, Verdict::PiledUp, Verdict::TooBusy].map(Verdict::text);
+    assert_eq!(texts, VERDICTS);
 }
 
 #[test]
@@ -113,10 +120,8 @@
         (&["--seconds", "600", "--changes", "0,1"], "plan: expected at most an hour"),
     ];
     for (arguments, expected) in cases {
-        let output =
-            Command::new(env!("CARGO_BIN_EXE_fleet-bench")).arg("added").args(arguments).output().unwrap();
-        let message = String::from_utf8(output.stderr).unwrap();
-        assert!(message.contains(expected) && message.lines().count() == 1, "{message}");
-        assert_eq!(output.status.code(), Some(1));
+        let message = failure_of(&[&["added"], arguments].concat());
+
+        assert!(message.contains(expected), "{message}");
     }
 }
--- a/crates/fleet-bench/tests/command_line.rs
+++ b/crates/fleet-bench/tests/command_line.rs
@@ -1,7 +1,7 @@
 //! Messages and exit status for invalid arguments and files, and the modules that all commands share.
 
 use fleet_bench::report::{Report, Table, Value};
-use fleet_bench::stats;
+use fleet_bench::stats::{self, Point};
 use std::process::{Command, Output};
 
 fn fleet_bench(arguments: &[&str]) -> Output {
@@ -54,12 +54,14 @@
 
 #[test]
 fn a_linear_fit_finds_the_line_through_its_points() {
-    let exact: Vec<_> = (0..5).map(|x| (f64::from(x), 3.0 + 2.0 * f64::from(x))).collect();
+    let exact: Vec<Point> = (0..5).map(f64::from).map(|x| Point { x, y: 3.0 + 2.0 * x }).collect();
+    let two_points = &exact[..2];
+    let one_point_repeated = [exact[0]; 4];
 
     let fit = stats::fit_line(&exact).unwrap();
 
     assert!((fit.slope - 2.0).abs() < 1e-9 && (fit.intercept - 3.0).abs() < 1e-9);
     assert!(fit.slope_error < 1e-9 && fit.intercept_error < 1e-9);
-    assert_eq!(stats::fit_line(&[(1.0, 1.0), (2.0, 2.0)]), None);
-    assert_eq!(stats::fit_line(&[(1.0, 1.0); 4]), None);
+    assert_eq!(stats::fit_line(two_points), None);
+    assert_eq!(stats::fit_line(&one_point_repeated), None);
 }
--- a/crates/fleet-bench/tests/common/mod.rs
+++ b/crates/fleet-bench/tests/common/mod.rs
@@ -29,13 +29,22 @@
     command
 }
 
-/// Runs a command that must succeed, and returns its report as JSON and as text.
-pub fn report_of(directory: &Path, arguments: &[&str]) -> (Value, String) {
+/// The report of a command in both forms.
+pub struct JsonAndText {
+    /// The report as JSON.
+    pub report: Value,
+    /// The report as text.
+    pub text: String,
+}
+
+/// Runs a command that must succeed, and returns its report.
+pub fn report_of(directory: &Path, arguments: &[&str]) -> JsonAndText {
     let json = tempfile::NamedTempFile::new().unwrap();
     let output = fleet_bench(directory, arguments).arg("--json").arg(json.path()).output().unwrap();
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success(), "{text}{}", String::from_utf8_lossy(&output.stderr));
-    (serde_json::from_slice(&std::fs::read(json.path()).unwrap()).unwrap(), text)
+    let report = serde_json::from_slice(&std::fs::read(json.path()).unwrap()).unwrap();
+    JsonAndText { report, text }
 }
 
 /// Returns the rows of a report's table, with the values by the names of the columns.
--- a/crates/fleet-bench/tests/control.rs
+++ b/crates/fleet-bench/tests/control.rs
@@ -1,8 +1,11 @@
 //! A complete small run of `fleet-bench control`, the end of a run by a signal, and invalid arguments.
 
 mod common;
+#[path = "common/failure.rs"]
+mod failure;
 
-use common::{assert_nothing_left, fleet_bench, processes_of, report_of, table};
+use common::{JsonAndText, assert_nothing_left, fleet_bench, processes_of, report_of, table};
+use failure::failure_of;
 use serde_json::{Map, Value};
 use std::io::Read;
 use std::process::{Command, Stdio};
@@ -20,7 +23,7 @@
     let directory = tempfile::tempdir().unwrap();
     let arguments = ["control", "--quick", "--listed", "17", "--proxies", "2", "--window", "0.5"];
 
-    let (report, text) = report_of(directory.path(), &arguments);
+    let JsonAndText { report, text } = report_of(directory.path(), &arguments);
 
     assert_eq!(report["arguments"]["outage-seconds"], 2.0, "{text}");
     let costs = table(&report, "Cost of an up-to-date list");
@@ -69,19 +72,15 @@
         (&["--window", "600"], "plan: expected at most an hour"),
     ];
     for (arguments, expected) in cases {
-        let output =
-            Command::new(env!("CARGO_BIN_EXE_fleet-bench")).arg("control").args(arguments).output().unwrap();
-        let message = String::from_utf8(output.stderr).unwrap();
-        assert!(message.contains(expected) && message.lines().count() == 1, "{message}");
-        assert_eq!(output.status.code(), Some(1));
+        let message = failure_of(&[&["control"], arguments].concat());
+
+        assert!(message.contains(expected), "{message}");
     }
 }
 
 #[test]
 fn a_missing_program_is_reported() {
-    let output =
-        Command::new(env!("CARGO_BIN_EXE_fleet-bench")).args(["control", "--program", "/absent"]).output();
+    let message = failure_of(&["control", "--program", "/absent"]);
 
-    let message = String::from_utf8(output.unwrap().stderr).unwrap();
     assert!(message.contains("/absent: no such program"), "{message}");
 }
--- a/crates/fleet-bench/tests/discovery.rs
+++ b/crates/fleet-bench/tests/discovery.rs
@@ -48,15 +48,22 @@
     }
 }
 
+/// An entry of a list.
+#[derive(Debug, PartialEq)]
+struct Entry {
+    id: String,
+    state: String,
+}
+
 /// Returns the id and the lifecycle state of each entry.
-fn entries(list: &Value) -> Vec<(String, String)> {
+fn entries(list: &Value) -> Vec<Entry> {
     let entries = list["instances"].as_array().unwrap().iter();
     let text = |value: &Value| value.as_str().unwrap().to_string();
-    entries.map(|entry| (text(&entry["instanceId"]), text(&entry["lifecycle"]))).collect()
+    entries.map(|entry| Entry { id: text(&entry["instanceId"]), state: text(&entry["lifecycle"]) }).collect()
 }
 
 fn states(list: &Value) -> Vec<String> {
-    entries(list).into_iter().map(|(_, state)| state).collect()
+    entries(list).into_iter().map(|entry| entry.state).collect()
 }
 
 /// Creates three serving instances.
@@ -104,7 +111,7 @@
     discovery.publish(Change::Drain(1));
 
     let update = client.receive_list();
-    let drained = (three_instances()[1].instance_id.clone(), "DRAINING".to_string());
+    let drained = Entry { id: three_instances()[1].instance_id.clone(), state: "DRAINING".to_string() };
     assert_eq!((&update["generation"], entries(&update)), (&2.into(), vec![drained]));
 }
 
@@ -132,7 +139,7 @@
 
     assert_eq!((&list["reset"], entries(&list).len()), (&true.into(), 3));
     let deleted = &three_instances()[1].instance_id;
-    assert!(entries(&list).iter().all(|(id, _)| id != deleted));
+    assert!(entries(&list).iter().all(|entry| entry.id != *deleted));
 }
 
 #[test]
--- a/crates/fleet-bench/tests/earlier_files.rs
+++ b/crates/fleet-bench/tests/earlier_files.rs
@@ -1,12 +1,15 @@
 //! Experiment files, reports and command lines of earlier versions are still read.
 
+#[path = "common/failure.rs"]
+mod failure;
+
+use failure::failure_of;
 use fleet_bench::report::Report;
 use fleet_bench::{added, control, fleet, slopes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value, json};
 use std::path::{Path, PathBuf};
-use std::process::Command;
 
 const REPORTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity");
 
@@ -139,13 +142,6 @@
     assert_plan_is_read::<slopes::Plan>(&slopes_plan, &SLOPES_PARAMETERS);
 }
 
-/// Runs a command that must fail, and returns its message.
-fn failure_of(arguments: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_fleet-bench")).args(arguments).output().unwrap();
-    assert_eq!(output.status.code(), Some(1), "{arguments:?}: {output:?}");
-    String::from_utf8(output.stderr).unwrap()
-}
-
 #[test]
 fn plans_of_stored_reports_are_read_by_their_commands() {
     // One value is out of range, so that the command ends after the plan is read.
--- a/crates/fleet-bench/tests/fleet.rs
+++ b/crates/fleet-bench/tests/fleet.rs
@@ -1,12 +1,15 @@
 //! Reports of a small simulated fleet, and the checker of the rules.
 
+#[path = "common/failure.rs"]
+mod failure;
+
 use balancer::{Effect, RequestId};
+use failure::failure_of;
 use fleet_bench::fleet::checker::{Checker, NewCall, Rule, Violation};
 use fleet_bench::fleet::{Args, Phase, run};
 use fleet_bench::plan::Source;
 use fleet_bench::report::{Report, Value};
 use std::io::Write;
-use std::process::Command;
 
 /// Simulates a fleet of 300 backends in 8 services, quick to run, with this number of restarts a day
 /// and these further lines of a plan.
@@ -134,12 +137,8 @@
         (&["--real-time-limit", "1", "--phase", "ordinary"], "given up after 1 s"),
     ];
     for (arguments, expected) in cases {
-        let output = Command::new(env!("CARGO_BIN_EXE_fleet-bench")).arg("fleet").args(arguments).output();
-        let output = output.unwrap();
-        let stderr = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(1), "{stderr}");
-        assert_eq!(stderr.lines().count(), 1, "{stderr}");
-        assert!(stderr.contains(expected), "{stderr}");
-        assert!(output.stdout.is_empty());
+        let message = failure_of(&[&["fleet"], arguments].concat());
+
+        assert!(message.contains(expected), "{message}");
     }
 }
--- a/crates/fleet-bench/tests/rollout.rs
+++ b/crates/fleet-bench/tests/rollout.rs
@@ -1,8 +1,11 @@
 //! A complete small rollout of settings to real proxies, and rollouts that must fail.
 
 mod common;
+#[path = "common/failure.rs"]
+mod failure;
 
-use common::{assert_nothing_left, proxy_program, report_of, table};
+use common::{JsonAndText, assert_nothing_left, proxy_program, report_of, table};
+use failure::failure_of;
 use serde_json::{Map, Value};
 use std::fs::Permissions;
 use std::os::unix::fs::PermissionsExt;
@@ -21,20 +24,24 @@
     rejected: u32,
 }
 
-const fn expected(changes: u32, min_applied: f64, max_applied: f64, rejected: u32) -> ExpectedRow {
-    ExpectedRow { changes, min_applied, max_applied, rejected }
-}
+/// One change that each proxy applies once.
+const ONE_CHANGE: ExpectedRow = ExpectedRow { changes: 1, min_applied: 1.0, max_applied: 1.0, rejected: 0 };
+/// One change after a file that each of the three proxies rejects.
+const ONE_CHANGE_AFTER_REJECTION: ExpectedRow = ExpectedRow { rejected: 3, ..ONE_CHANGE };
+/// One change that the killed proxy, which is one of three, finds at its start.
+const ONE_CHANGE_AT_SURVIVORS: ExpectedRow =
+    ExpectedRow { min_applied: 2.0 / 3.0, max_applied: 2.0 / 3.0, ..ONE_CHANGE };
 
 const EXPECTED_ROWS: [ExpectedRow; 9] = [
-    expected(4, 4.0, 4.0, 0),
-    expected(20, 1.0, 20.0, 0),
-    expected(4, 1.0, 4.0, 0),
-    expected(1, 1.0, 1.0, 3),
-    expected(1, 1.0, 1.0, 3),
-    expected(1, 1.0, 1.0, 0),
-    expected(1, 2.0 / 3.0, 2.0 / 3.0, 0),
-    expected(1, 2.0 / 3.0, 2.0 / 3.0, 0),
-    expected(1, 1.0, 1.0, 0),
+    ExpectedRow { changes: 4, min_applied: 4.0, max_applied: 4.0, rejected: 0 },
+    ExpectedRow { changes: 20, min_applied: 1.0, max_applied: 20.0, rejected: 0 },
+    ExpectedRow { changes: 4, min_applied: 1.0, max_applied: 4.0, rejected: 0 },
+    ONE_CHANGE_AFTER_REJECTION,
+    ONE_CHANGE_AFTER_REJECTION,
+    ONE_CHANGE,
+    ONE_CHANGE_AT_SURVIVORS,
+    ONE_CHANGE_AT_SURVIVORS,
+    ONE_CHANGE,
 ];
 
 fn assert_row(row: &Map<String, Value>, expected: &ExpectedRow, text: &str) {
@@ -55,7 +62,7 @@
     let directory = tempfile::tempdir().unwrap();
     let arguments = ["control", "--settings-changes", "4", "--settings-proxies", "3", "--settings-rate", "4"];
 
-    let (report, text) = report_of(directory.path(), &arguments);
+    let JsonAndText { report, text } = report_of(directory.path(), &arguments);
 
     assert_eq!(report["arguments"]["settings"]["rate"], 4.0, "{text}");
     let rows = table(&report, "Settings rollouts");
@@ -100,9 +107,8 @@
         (["--settings-rate", "0"], "settings-rate: expected 0.1 to 100, got 0"),
     ];
     for (arguments, expected) in cases {
-        let mut run = Command::new(env!("CARGO_BIN_EXE_fleet-bench"));
-        let output = run.arg("control").args(arguments).output().unwrap();
-        assert_eq!(String::from_utf8(output.stderr).unwrap(), format!("fleet-bench: {expected}\n"));
-        assert_eq!(output.status.code(), Some(1));
+        let message = failure_of(&[&["control"], &arguments[..]].concat());
+
+        assert_eq!(message, format!("fleet-bench: {expected}\n"));
     }
 }
--- a/crates/fleet-bench/tests/slopes.rs
+++ b/crates/fleet-bench/tests/slopes.rs
@@ -61,11 +61,13 @@
     // A listed backend takes at least the size of its endpoint; two cases make no line.
     let axes = column(lines, "axis");
     let (slopes, measures) = (numbers(lines, "slope"), column(lines, "measure"));
-    let idle = (0..axes.len()).filter(|i| *measures[*i] == Value::from("idle state, bytes"));
-    let idle: Vec<_> = idle.map(|i| (axes[i].to_string(), slopes[i])).collect();
-    assert_eq!(idle.iter().map(|i| i.0.as_str()).collect::<Vec<_>>(), ["backends listed", "tenants"]);
-    assert!(idle[0].1 > size_of::<balancer::Endpoint>() as f64, "{idle:?}");
-    assert!(idle[1].1 >= size_of::<f64>() as f64, "{idle:?}");
+    let idle_rows = (0..axes.len()).filter(|row| *measures[*row] == Value::from("idle state, bytes"));
+    let idle_rows: Vec<usize> = idle_rows.collect();
+    let idle_axes: Vec<String> = idle_rows.iter().map(|row| axes[*row].to_string()).collect();
+    assert_eq!(idle_axes, ["backends listed", "tenants"]);
+    let [bytes_per_backend, bytes_per_tenant] = idle_rows[..] else { panic!("{idle_rows:?}") };
+    assert!(slopes[bytes_per_backend] > size_of::<balancer::Endpoint>() as f64, "{slopes:?}");
+    assert!(slopes[bytes_per_tenant] >= size_of::<f64>() as f64, "{slopes:?}");
 }
 
 #[test]
