--- /dev/null
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -0,0 +1,102 @@
+//! The call table: which calls have no final response, and how many are in each state.
+
+use super::fixtures::{call_of, request, safe_call, settings_with_effect};
+use crate::decisions::calls::{Call, CallTable, InitialState};
+use crate::interface::{Effect, Request, RequestId};
+
+/// Returns a call whose body is still being received.
+fn streamed_call(id: u64) -> Call {
+    let streamed = Request { streaming_body: true, ..request(id) };
+    call_of(streamed, settings_with_effect(Effect::Safe))
+}
+
+#[test]
+fn finds_a_call_by_its_request_until_the_call_has_ended() {
+    let mut table = CallTable::default();
+    let key = table.insert(safe_call(7), InitialState::Dispatched);
+    let found = table.key_of(RequestId(7));
+
+    let removed = table.remove(key);
+
+    assert_eq!(found, Some(key));
+    assert_eq!(removed.map(|call| call.id()), Some(RequestId(7)));
+    assert_eq!(table.key_of(RequestId(7)), None);
+    assert_eq!(table.len(), 0);
+    assert!(table.remove(key).is_none());
+}
+
+#[test]
+fn does_not_reuse_the_key_of_an_ended_call() {
+    let mut table = CallTable::default();
+    let ended = table.insert(safe_call(1), InitialState::Dispatched);
+    table.remove(ended);
+
+    let key = table.insert(safe_call(2), InitialState::Dispatched);
+
+    assert_ne!(key, ended);
+    assert!(table.contains(key));
+    assert!(!table.contains(ended));
+}
+
+#[test]
+fn a_queued_call_is_unanswered_from_its_dispatch_on() {
+    let mut table = CallTable::default();
+    let key = table.insert(safe_call(1), InitialState::Queued);
+    table.insert(safe_call(2), InitialState::Queued);
+    let unanswered_while_queued = table.unanswered();
+
+    table.leave_queue(key, 1.0, 0.5);
+    table.record_dispatch(key);
+    let unanswered_after_dispatch = table.unanswered();
+    table.remove(key);
+
+    assert_eq!([unanswered_while_queued, unanswered_after_dispatch], [0, 1]);
+    assert_eq!(table.unanswered(), 0);
+    assert_eq!(table.len(), 1);
+}
+
+#[test]
+fn a_streamed_call_is_unanswered_from_the_end_of_its_body_on() {
+    let mut table = CallTable::default();
+    let key = table.insert(streamed_call(1), InitialState::Dispatched);
+    table.record_dispatch(key);
+    let unanswered_while_receiving = table.unanswered();
+
+    table.stop_receiving(key);
+
+    assert_eq!(unanswered_while_receiving, 0);
+    assert_eq!(table.unanswered(), 1);
+    assert!(!table[key].body().is_receiving);
+}
+
+#[test]
+fn a_body_that_ends_while_its_call_is_queued_is_not_counted_as_received_twice() {
+    let mut table = CallTable::default();
+    let key = table.insert(streamed_call(1), InitialState::Queued);
+
+    table.stop_receiving(key);
+    let unanswered_while_queued = table.unanswered();
+    table.leave_queue(key, 1.0, 0.5);
+    table.record_dispatch(key);
+
+    assert_eq!(unanswered_while_queued, 0);
+    assert_eq!(table.unanswered(), 1);
+}
+
+#[test]
+fn counts_a_call_that_lacks_capacity_once_and_until_it_is_sent_again_or_ends() {
+    let mut table = CallTable::default();
+    let retried = table.insert(safe_call(1), InitialState::Dispatched);
+    let ended = table.insert(safe_call(2), InitialState::Dispatched);
+
+    table.record_lack_of_capacity(retried);
+    table.record_lack_of_capacity(retried);
+    table.record_lack_of_capacity(ended);
+    let at_first = table.lacking_capacity();
+    table.clear_lack_of_capacity(retried);
+    table.clear_lack_of_capacity(retried);
+    let after_the_retry = table.lacking_capacity();
+    table.remove(ended);
+
+    assert_eq!([at_first, after_the_retry, table.lacking_capacity()], [2, 1, 0]);
+}
--- a/crates/balancer/tests/concerns/fixtures.rs
+++ b/crates/balancer/tests/concerns/fixtures.rs
@@ -1,11 +1,21 @@
-//! Backends and comparisons that the tests of several concerns start from.
+//! Backends, classes, calls and comparisons that the tests of several concerns start from.
 
-use crate::interface::{BackendId, Endpoint};
+use crate::decisions::attempts::Attempt;
+use crate::decisions::calls::Call;
+use crate::interface::{
+    BackendId, Effect, Endpoint, Outcome, Request, RequestClass, RequestId, Settings, Time,
+};
 use crate::support::{BackendIndex, BackendMap};
+use std::sync::Arc;
 
 /// The greatest difference of two real numbers that count as equal.
 const TOLERANCE: f64 = 1e-9;
 
+/// The timeout of the calls of these tests, in seconds.
+pub const TIMEOUT: Time = 2.0;
+/// T1 of the calls of these tests, in seconds.
+pub const T1: Time = 0.5;
+
 /// Asserts that two real numbers are equal but for rounding.
 #[track_caller]
 pub fn assert_close(actual: f64, expected: f64) {
@@ -26,3 +36,34 @@
 pub fn endpoint(id: u32) -> Endpoint {
     Endpoint { id: BackendId(id), ..Endpoint::default() }
 }
+
+/// Returns a class with a latency objective of 1 s and a timeout of at most 2 s.
+pub fn request_class(name: &str, effect: Effect) -> RequestClass {
+    let name = name.to_string();
+    RequestClass { name, latency_objective: 1.0, max_timeout: TIMEOUT, effect, ..RequestClass::default() }
+}
+
+/// Returns settings with one class of this effect.
+pub fn settings_with_effect(effect: Effect) -> Settings {
+    Settings { classes: vec![request_class("only", effect)], ..Settings::default() }
+}
+
+/// Returns a request of the first class with [`TIMEOUT`].
+pub fn request(id: u64) -> Request {
+    Request { id: RequestId(id), timeout: TIMEOUT, ..Request::default() }
+}
+
+/// Returns a call that arrives at time 0 with [`TIMEOUT`] and [`T1`].
+pub fn call_of(request: Request, settings: Settings) -> Call {
+    Call::new(&request, Arc::new(settings), 0.0, TIMEOUT, T1)
+}
+
+/// Returns a call of safe requests that arrives at time 0 with [`TIMEOUT`] and [`T1`].
+pub fn safe_call(id: u64) -> Call {
+    call_of(request(id), settings_with_effect(Effect::Safe))
+}
+
+/// Returns an attempt that was sent to a backend in cell 0 and zone 0 at time 0.
+pub fn attempt(backend: BackendIndex, outcome: Option<Outcome>) -> Attempt {
+    Attempt { backend, cell: 0, zone: 0, sent_at: 0.0, outcome }
+}
--- /dev/null
+++ b/crates/balancer/tests/concerns/load_reports.rs
@@ -0,0 +1,95 @@
+//! Load reports: service times, request rates, and the health checks that are due.
+
+use super::fixtures::{assert_close, backend_indices};
+use crate::decisions::load_reports::{LoadReports, ReportingBackend};
+use crate::interface::{LoadReport, Time};
+use crate::support::BackendIndex;
+
+/// Returns the state of backends that have not reported yet.
+fn reports_of(backends: &[BackendIndex]) -> LoadReports {
+    let mut reports = LoadReports::default();
+    for backend in backends {
+        reports.add_backend(*backend);
+    }
+    reports
+}
+
+fn report(service_time: Option<Time>, requests_per_second: Option<f64>) -> LoadReport {
+    LoadReport { service_time, requests_per_second }
+}
+
+#[test]
+fn relates_the_service_time_of_a_backend_to_that_of_the_fleet() {
+    let [fast, slow, silent] = backend_indices();
+    let mut reports = reports_of(&[fast, slow, silent]);
+
+    for _ in 0..1000 {
+        reports.record(fast, ReportingBackend::Warm, report(Some(0.1), None));
+        reports.record(slow, ReportingBackend::Warm, report(Some(0.3), None));
+    }
+
+    let fast_ratio = reports.relative_service_time(fast);
+    let slow_ratio = reports.relative_service_time(slow);
+    assert_close(slow_ratio / fast_ratio, 3.0);
+    assert!((slow_ratio - 1.5).abs() < 0.02, "{slow_ratio}");
+    assert_close(reports.relative_service_time(silent), 1.0);
+}
+
+#[test]
+fn skips_values_that_are_absent_or_not_positive() {
+    let [backend] = backend_indices();
+    let mut reports = reports_of(&[backend]);
+
+    reports.record(backend, ReportingBackend::Warm, report(Some(0.0), Some(0.0)));
+    reports.record(backend, ReportingBackend::Warm, report(Some(-1.0), Some(f64::NAN)));
+    reports.record(backend, ReportingBackend::Warm, report(None, None));
+
+    assert_eq!(reports.requests_per_second_per_backend(), None);
+    assert_close(reports.relative_service_time(backend), 1.0);
+}
+
+#[test]
+fn counts_the_request_rates_of_warm_backends_only() {
+    let [warm, warming_up] = backend_indices();
+    let mut reports = reports_of(&[warm, warming_up]);
+
+    reports.record(warming_up, ReportingBackend::WarmingUp, report(None, Some(1.0)));
+    let before_a_warm_report = reports.requests_per_second_per_backend();
+    reports.record(warm, ReportingBackend::Warm, report(None, Some(50.0)));
+    reports.record(warming_up, ReportingBackend::WarmingUp, report(None, Some(1.0)));
+
+    assert_eq!(before_a_warm_report, None);
+    assert_eq!(reports.requests_per_second_per_backend(), Some(50.0));
+}
+
+#[test]
+fn a_backend_added_at_a_reused_index_has_not_reported() {
+    let [removed, other] = backend_indices();
+    let mut reports = reports_of(&[removed, other]);
+    reports.record(other, ReportingBackend::Warm, report(Some(0.1), None));
+    reports.record(removed, ReportingBackend::Warm, report(Some(0.9), None));
+
+    reports.add_backend(removed);
+
+    assert_close(reports.relative_service_time(removed), 1.0);
+}
+
+#[test]
+fn every_third_send_is_followed_by_a_health_check_of_the_next_member_in_turn() {
+    let members: [BackendIndex; 2] = backend_indices();
+    let mut reports = reports_of(&members);
+
+    let checks: Vec<_> = (0..9).map(|_| reports.count_send(&members)).collect();
+
+    let [first, second] = members.map(Some);
+    assert_eq!(checks, [None, None, second, None, None, first, None, None, second]);
+}
+
+#[test]
+fn checks_no_health_where_the_subset_has_no_member() {
+    let mut reports = LoadReports::default();
+
+    let checks: Vec<_> = (0..6).map(|_| reports.count_send(&[])).collect();
+
+    assert_eq!(checks, [None; 6]);
+}
--- a/crates/balancer/tests/concerns/mod.rs
+++ b/crates/balancer/tests/concerns/mod.rs
@@ -2,10 +2,17 @@
 //! concerns are private to the decisions.
 
 mod attempt_counts;
+mod call;
+mod calls;
 mod endpoint_table;
 mod fixtures;
+mod load_reports;
+mod maintenance;
+mod ordered_keys;
 mod outlier_detection;
 mod overload;
 mod quotas;
+mod retransmission;
 mod slow_start;
 mod subset;
+mod traffic;
--- /dev/null
+++ b/crates/balancer/tests/concerns/retransmission.rs
@@ -0,0 +1,120 @@
+//! Retransmission control: the doubling timers, T1, and the probability of a retry.
+
+use super::fixtures::assert_close;
+use crate::decisions::retransmission::{RetryTimer, first_interval, retry_probability};
+use crate::interface::Time;
+use crate::support::LatencyEstimate;
+use rand::SeedableRng;
+use rand::rngs::SmallRng;
+
+const T1: Time = 0.5;
+/// The resolution of timers, in seconds.
+const QUANTUM: Time = 0.01;
+/// The average send rate at which ten calls are one T1's worth.
+const SENDS_PER_SECOND: f64 = 20.0;
+
+/// Returns an estimate from samples that all count as in a plain mean.
+fn estimate_of(latencies: &[Time]) -> LatencyEstimate {
+    let mut estimate = LatencyEstimate::default();
+    for (index, latency) in latencies.iter().enumerate() {
+        estimate.record(*latency, 1.0 / (index + 1) as f64);
+    }
+    estimate
+}
+
+#[test]
+fn the_timers_fire_after_t1_and_then_twice_as_long_after_one_another() {
+    let dispatched_at = 100.0;
+    let mut random = SmallRng::seed_from_u64(1);
+    let mut timer = RetryTimer::new(T1);
+    let mut intervals = Vec::new();
+
+    for _ in 0..3 {
+        intervals.push(timer.next_time(dispatched_at, &mut random) - dispatched_at);
+        timer.record_firing();
+    }
+
+    for (interval, expected) in intervals.into_iter().zip([T1, 3.0 * T1, 7.0 * T1]) {
+        assert!((interval / expected - 1.0).abs() <= 0.1, "{interval} is not about {expected}");
+    }
+}
+
+#[test]
+fn spreads_the_timers_evenly_over_a_tenth_of_t1_on_both_sides() {
+    let mut random = SmallRng::seed_from_u64(1);
+    let timer = RetryTimer::new(T1);
+
+    let firings: Vec<Time> = (0..1000).map(|_| timer.next_time(0.0, &mut random)).collect();
+
+    let least = firings.iter().copied().fold(f64::INFINITY, f64::min);
+    let greatest = firings.iter().copied().fold(0.0, f64::max);
+    let early = firings.iter().filter(|time| **time < T1).count();
+    assert!((0.9 * T1..0.91 * T1).contains(&least), "{least}");
+    assert!((1.09 * T1..=1.1 * T1).contains(&greatest), "{greatest}");
+    assert!((450..=550).contains(&early), "{early}");
+}
+
+#[test]
+fn has_fired_once_between_the_first_and_the_second_firing() {
+    let mut timer = RetryTimer::new(T1);
+    let mut has_fired_once = [timer.has_fired_once(); 3];
+
+    for state in &mut has_fired_once[1..] {
+        timer.record_firing();
+        *state = timer.has_fired_once();
+    }
+
+    assert_eq!(has_fired_once, [false, true, false]);
+}
+
+#[test]
+fn t1_lies_four_mean_deviations_above_the_mean_latency() {
+    let latency = estimate_of(&[0.1, 0.2, 0.1, 0.2]);
+
+    let t1 = first_interval(&latency, 100.0, QUANTUM);
+
+    assert_close(t1, latency.mean() + 4.0 * latency.deviation());
+}
+
+#[test]
+fn t1_leaves_time_for_a_retry_and_is_not_shorter_than_a_quantum() {
+    let unknown = LatencyEstimate::default();
+    let slow = estimate_of(&[5.0]);
+    let instant = estimate_of(&[0.0]);
+
+    assert_close(first_interval(&unknown, 2.0, QUANTUM), 0.8);
+    assert_close(first_interval(&slow, 2.0, QUANTUM), 0.8);
+    assert_close(first_interval(&instant, 2.0, QUANTUM), QUANTUM);
+    assert_close(first_interval(&unknown, 0.0, QUANTUM), QUANTUM);
+    assert_close(first_interval(&slow, -1.0, QUANTUM), QUANTUM);
+}
+
+#[test]
+fn the_probability_falls_linearly_from_one_to_a_tenth_between_the_thresholds() {
+    let unanswered = [0, 10, 11, 12, 15, 1000];
+
+    let probabilities = unanswered.map(|calls| retry_probability(T1, calls, SENDS_PER_SECOND, 0.0));
+
+    for (probability, expected) in probabilities.into_iter().zip([1.0, 1.0, 0.82, 0.64, 0.1, 0.1]) {
+        assert_close(probability, expected);
+    }
+}
+
+#[test]
+fn a_single_waiting_call_of_a_quiet_balancer_is_retried_for_certain() {
+    let quiet = 0.01;
+
+    assert_close(retry_probability(T1, 1, quiet, 0.0), 1.0);
+    assert_close(retry_probability(T1, 2, quiet, 0.0), 0.1);
+}
+
+#[test]
+fn the_overload_level_lowers_the_probability_to_no_less_than_a_tenth() {
+    let levels = [0.0, 0.25, 0.9, 1.0];
+
+    let probabilities = levels.map(|level| retry_probability(T1, 0, SENDS_PER_SECOND, level));
+
+    for (probability, expected) in probabilities.into_iter().zip([1.0, 0.75, 0.1, 0.1]) {
+        assert_close(probability, expected);
+    }
+}
