--- a/crates/balancer/src/support/mod.rs
+++ b/crates/balancer/src/support/mod.rs
@@ -15,3 +15,7 @@
 pub(crate) use latency_estimate::LatencyEstimate;
 pub(crate) use smoothed_mean::SmoothedMean;
 pub(crate) use token_bucket::TokenBucket;
+
+#[cfg(test)]
+#[path = "../../tests/support/mod.rs"]
+pub(crate) mod tests;
--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -1,11 +1,11 @@
 //! A call: its deadline, its doubling timers, its attempts, and its indices over changes of settings.
 
 use super::fixtures::{
-    T1, TIMEOUT, assert_close, attempt, backend_indices, call_of, request, request_class, safe_call,
-    settings_with_effect,
+    T1, TIMEOUT, attempt, backend_indices, call_of, request, request_class, safe_call, settings_with_effect,
 };
 use crate::decisions::calls::{Call, CallTable, InitialState};
 use crate::interface::{Effect, Outcome, Request, Settings, Tenant, Time};
+use crate::support::tests::assertions::assert_close;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
--- a/crates/balancer/tests/concerns/fixtures.rs
+++ b/crates/balancer/tests/concerns/fixtures.rs
@@ -1,27 +1,18 @@
-//! Backends, classes, calls and comparisons that the tests of several concerns start from.
+//! Backends, classes and calls that the tests of several concerns start from.
 
 use crate::decisions::attempts::Attempt;
-use crate::decisions::calls::Call;
+use crate::decisions::calls::{Call, CallKey, CallTable, InitialState};
 use crate::interface::{
     BackendId, Effect, Endpoint, Outcome, Request, RequestClass, RequestId, Settings, Time,
 };
 use crate::support::{BackendIndex, BackendMap};
 use std::sync::Arc;
 
-/// The greatest difference of two real numbers that count as equal.
-const TOLERANCE: f64 = 1e-9;
-
 /// The timeout of the calls of these tests, in seconds.
 pub const TIMEOUT: Time = 2.0;
 /// T1 of the calls of these tests, in seconds.
 pub const T1: Time = 0.5;
 
-/// Asserts that two real numbers are equal but for rounding.
-#[track_caller]
-pub fn assert_close(actual: f64, expected: f64) {
-    assert!((actual - expected).abs() < TOLERANCE, "{actual} is not {expected}");
-}
-
 /// Returns the indices of the first backends of a balancer.
 pub fn backend_indices<const COUNT: usize>() -> [BackendIndex; COUNT] {
     let mut backends = BackendMap::default();
@@ -63,6 +54,12 @@
     call_of(request(id), settings_with_effect(Effect::Safe))
 }
 
+/// Returns the keys of queued calls of safe requests, which are numbered from 0.
+pub fn call_keys<const COUNT: usize>() -> [CallKey; COUNT] {
+    let mut table = CallTable::default();
+    std::array::from_fn(|id| table.insert(safe_call(id as u64), InitialState::Queued))
+}
+
 /// Returns an attempt that was sent to a backend in cell 0 and zone 0 at time 0.
 pub fn attempt(backend: BackendIndex, outcome: Option<Outcome>) -> Attempt {
     Attempt { backend, cell: 0, zone: 0, sent_at: 0.0, outcome }
--- a/crates/balancer/tests/concerns/load_reports.rs
+++ b/crates/balancer/tests/concerns/load_reports.rs
@@ -1,9 +1,10 @@
 //! Load reports: service times, request rates, and the health checks that are due.
 
-use super::fixtures::{assert_close, backend_indices};
+use super::fixtures::backend_indices;
 use crate::decisions::load_reports::{LoadReports, ReportingBackend};
 use crate::interface::{LoadReport, Time};
 use crate::support::BackendIndex;
+use crate::support::tests::assertions::assert_close;
 
 /// Returns the state of backends that have not reported yet.
 fn reports_of(backends: &[BackendIndex]) -> LoadReports {
--- a/crates/balancer/tests/concerns/mod.rs
+++ b/crates/balancer/tests/concerns/mod.rs
@@ -1,9 +1,13 @@
 //! Each concern of the decision module by itself. The files are part of the crate, as the types of the
 //! concerns are private to the decisions.
 
+mod admission;
+mod admission_queue;
 mod attempt_counts;
+mod attempts;
 mod call;
 mod calls;
+mod endpoint_polls;
 mod endpoint_table;
 mod fixtures;
 mod load_reports;
@@ -15,4 +19,5 @@
 mod retransmission;
 mod slow_start;
 mod subset;
+mod timer;
 mod traffic;
--- a/crates/balancer/tests/concerns/ordered_keys.rs
+++ b/crates/balancer/tests/concerns/ordered_keys.rs
@@ -1,7 +1,7 @@
 //! Ordering keys: which call of a key is next, and what blocks a key.
 
-use super::fixtures::{attempt, backend_indices, safe_call};
-use crate::decisions::calls::{Call, CallKey, CallTable, InitialState};
+use super::fixtures::{attempt, backend_indices, call_keys, safe_call};
+use crate::decisions::calls::{Call, CallKey};
 use crate::decisions::ordered_keys::{OrderedKeys, may_still_run};
 use crate::interface::{Outcome, RequestId, Time};
 
@@ -10,12 +10,6 @@
 /// The number of queues beyond which idle ones are dropped.
 const MANY_QUEUES: u64 = 16;
 
-/// Returns the keys of calls in the call table.
-fn call_keys<const COUNT: usize>() -> [CallKey; COUNT] {
-    let mut table = CallTable::default();
-    std::array::from_fn(|id| table.insert(safe_call(id as u64), InitialState::Queued))
-}
-
 /// Returns the call of request 1, with one attempt.
 fn call_with_attempt(outcome: Option<Outcome>) -> Call {
     let [backend] = backend_indices();
--- a/crates/balancer/tests/concerns/outlier_detection.rs
+++ b/crates/balancer/tests/concerns/outlier_detection.rs
@@ -1,9 +1,10 @@
 //! Outlier detection: the relative latency of backends, and the threshold of outliers.
 
-use super::fixtures::{assert_close, backend_indices};
+use super::fixtures::backend_indices;
 use crate::decisions::outlier_detection::OutlierDetection;
 use crate::interface::Time;
 use crate::support::BackendIndex;
+use crate::support::tests::assertions::assert_close;
 
 /// The time constant of the send rate, in seconds. That of relative latencies is half of it.
 const RATE_TIME_CONSTANT: Time = 20.0;
--- a/crates/balancer/tests/concerns/overload.rs
+++ b/crates/balancer/tests/concerns/overload.rs
@@ -1,8 +1,8 @@
 //! Overload detection: the overload level by the excess of calls in flight.
 
-use super::fixtures::assert_close;
 use crate::decisions::overload::{LoadSample, OverloadDetector};
 use crate::interface::Time;
+use crate::support::tests::assertions::assert_close;
 
 /// The expected number of calls in flight. One deviation from it is 35 calls.
 const EXPECTED_CALLS: f64 = 100.0;
--- a/crates/balancer/tests/concerns/retransmission.rs
+++ b/crates/balancer/tests/concerns/retransmission.rs
@@ -1,9 +1,9 @@
 //! Retransmission control: the doubling timers, T1, and the probability of a retry.
 
-use super::fixtures::assert_close;
 use crate::decisions::retransmission::{RetryTimer, first_interval, retry_probability};
 use crate::interface::Time;
 use crate::support::LatencyEstimate;
+use crate::support::tests::assertions::assert_close;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
--- a/crates/balancer/tests/concerns/traffic.rs
+++ b/crates/balancer/tests/concerns/traffic.rs
@@ -1,8 +1,9 @@
 //! Traffic: the rates of sends and responses, and the expected latencies.
 
-use super::fixtures::{assert_close, request_class};
+use super::fixtures::request_class;
 use crate::decisions::traffic::{LoadState, Traffic};
 use crate::interface::{Effect, RequestClass, Settings, Time};
+use crate::support::tests::assertions::assert_close;
 
 /// The time constant of rates where the longest objective is 1 s, in seconds.
 const TIME_CONSTANT: Time = 8.0;
