--- a/crates/balancer-proxy/src/downstream/client_socket.rs
+++ b/crates/balancer-proxy/src/downstream/client_socket.rs
@@ -1,6 +1,6 @@
-//! The socket of a client connection as the HTTP library uses it. It records in the state of the
-//! connection what arrives and whether writes are blocked, and it closes so that the last response
-//! still reaches the client.
+//! The socket of a client connection as the HTTP library uses it. The socket records in the state of the
+//! connection the bytes that arrive and the writes that are blocked, and closes in a way that lets the
+//! last response reach the client.
 
 use super::client_connection::ClientConnection;
 use socket2::SockRef;
@@ -14,29 +14,30 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// How long to read and discard what the client still sends after the shutdown of our side.
+/// Time for which bytes of the client are read and discarded after the sending side is shut down.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// How much of that is discarded, in bytes, before the socket is closed anyway.
+/// Number of bytes that are discarded in that time before the socket is closed early.
 const MAX_DISCARDED_BYTES: usize = 512 << 10;
-/// Size of the buffer for what is discarded.
+/// Size in bytes of the buffer for discarded bytes.
 const DISCARD_BUFFER_BYTES: usize = 4096;
 
 /// The socket of a client connection.
-pub struct ClientSocket {
+pub(super) struct ClientSocket {
     stream: Rc<TcpStream>,
     connection: Rc<ClientConnection>,
-    /// Set once our side is shut down.
+    /// The end of the time for discarding bytes; set once the sending side is shut down.
     linger: Option<Pin<Box<Sleep>>>,
+    /// The number of bytes discarded so far.
     discarded_bytes: usize,
 }
 
 impl ClientSocket {
-    /// The socket of `connection`.
-    pub fn new(stream: Rc<TcpStream>, connection: Rc<ClientConnection>) -> Self {
+    /// Creates the socket of `connection`.
+    pub(super) fn new(stream: Rc<TcpStream>, connection: Rc<ClientConnection>) -> Self {
         Self { stream, connection, linger: None, discarded_bytes: 0 }
     }
 
-    /// Reads what has arrived, without recording it.
+    /// Reads the bytes that have arrived, without recording them.
     fn poll_read_stream(&self, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Writes as much of `data` as the client accepts, without recording it.
+    /// Writes as much of `data` as the client accepts, without recording the write.
     fn poll_write_stream(&self, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(cx))?;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Shuts down our side, and starts the time for which the other side is still read.
+    /// Shuts down the sending side, and starts the time for which the client is still read.
     fn start_linger(&mut self) -> io::Result<()> {
         if self.linger.is_none() {
             SockRef::from(&*self.stream).shutdown(Shutdown::Write)?;
@@ -67,7 +68,7 @@
         Ok(())
     }
 
-    /// Ready once the other side need not be read any longer.
+    /// Returns ready once the client need not be read any longer.
     fn poll_linger(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         self.linger.as_mut().map_or(Poll::Ready(()), |linger| linger.as_mut().poll(cx))
     }
@@ -83,7 +84,7 @@
         let read = self.poll_read_stream(cx, buffer);
         let received = &buffer.filled()[filled_before..];
         if !received.is_empty() {
-            self.connection.bytes_received(received);
+            self.connection.record_bytes(received);
         }
         read
     }
@@ -93,9 +94,9 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         let written = self.poll_write_stream(cx, data);
         if written.is_pending() {
-            self.connection.write_blocked();
+            self.connection.progress().record_blocked_write();
         } else {
-            self.connection.write_progressed();
+            self.connection.progress().record_write();
         }
         written
     }
@@ -104,8 +105,9 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Shuts down our side, then discards what the client still sends. To close a socket with unread
-    /// data resets the connection, and the client's system may then drop the response unread.
+    /// Shuts down the sending side, then discards the bytes that the client still sends. The close of a
+    /// socket with unread bytes would reset the connection, and the client's system could drop the
+    /// response unread.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.start_linger()?;
         while !self.connection.is_closing() && self.discarded_bytes < MAX_DISCARDED_BYTES {
--- a/crates/balancer-proxy/src/downstream/close_request.rs
+++ b/crates/balancer-proxy/src/downstream/close_request.rs
@@ -1,35 +1,35 @@
-//! The request to close a connection. The table makes it when the connection is evicted or times out;
-//! the task that serves the connection carries it out, or withdraws it.
+//! The request to close a connection. The table makes the request when the connection is evicted or times
+//! out; the task that serves the connection carries the request out or withdraws it.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
 
-/// Whether a connection is to be closed.
+/// A request to close one connection, which may be made and withdrawn any number of times.
 #[derive(Default)]
-pub struct CloseRequest {
+pub(super) struct CloseRequest {
     is_requested: Cell<bool>,
     notify: Notify,
 }
 
 impl CloseRequest {
     /// Requests that the connection is closed.
-    pub fn request(&self) {
+    pub(super) fn request(&self) {
         self.is_requested.set(true);
         self.notify.notify_one();
     }
 
-    /// Withdraws the request: the connection is in use again.
-    pub fn withdraw(&self) {
+    /// Withdraws the request, as the connection is in use again.
+    pub(super) fn withdraw(&self) {
         self.is_requested.set(false);
     }
 
-    /// Whether the connection is to be closed.
-    pub fn is_requested(&self) -> bool {
+    /// Returns whether the connection is to be closed.
+    pub(super) fn is_requested(&self) -> bool {
         self.is_requested.get()
     }
 
     /// Returns once [`Self::request`] has been called. Calls before the wait count as one.
-    pub async fn requested(&self) {
+    pub(super) async fn wait(&self) {
         self.notify.notified().await;
     }
 }
--- a/crates/balancer-proxy/src/downstream/connection_table.rs
+++ b/crates/balancer-proxy/src/downstream/connection_table.rs
@@ -1,6 +1,6 @@
-//! The table of all client connections: its limit, the eviction of idle connections when it is full,
-//! and the closing of connections that have timed out. Each connection owns a slot, which it gives up
-//! when the slot is dropped.
+//! The table of all client connections: its limit, the eviction of idle connections when the table is
+//! full, and the closing of connections that have timed out. Each connection owns a slot of the table
+//! until the slot is dropped.
 
 use super::client_connection::ClientConnection;
 use std::cell::{Cell, RefCell};
@@ -8,21 +8,21 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// One slot in this many is reserved for connections whose requests are rejected, because all other
-/// connections are busy.
+/// Number of slots of which one is reserved for connections whose requests are rejected, because all
+/// other connections are busy.
 const SLOTS_PER_REJECTION_SLOT: usize = 8;
-/// How long [`ConnectionTable::wait_for_close`] waits at most.
+/// Longest duration of [`ConnectionTable::wait_for_close`].
 const MAX_CLOSE_WAIT: Duration = Duration::from_millis(50);
-/// How many checks in a row, at most [`MAX_CLOSE_WAIT`] apart, must find no request in flight before the
-/// connections that are still open count as idle.
+/// Number of successive checks, at most [`MAX_CLOSE_WAIT`] apart, that must find no request in flight
+/// before the connections that are still open count as idle.
 const IDLE_CHECKS: usize = 10;
 
-/// How many connections of which kind fit in the table.
+/// The numbers of connections of each kind that fit in the table.
 #[derive(Clone, Copy)]
 struct TableLimits {
-    /// Connections whose requests are served.
+    /// The number of connections whose requests are served.
     served: usize,
-    /// Connections whose requests are rejected.
+    /// The number of connections whose requests are rejected.
     rejected: usize,
 }
 
@@ -38,15 +38,15 @@
 }
 
 /// All client connections.
-pub struct ConnectionTable {
+pub(super) struct ConnectionTable {
     connections: RefCell<Vec<Rc<ClientConnection>>>,
     limits: Cell<TableLimits>,
     slot_released: Notify,
 }
 
 impl ConnectionTable {
-    /// An empty table for at most `limit` connections.
-    pub fn new(limit: usize) -> Rc<Self> {
+    /// Creates an empty table for at most `limit` connections.
+    pub(super) fn new(limit: usize) -> Rc<Self> {
         Rc::new(Self {
             connections: RefCell::default(),
             limits: Cell::new(TableLimits::new(limit)),
@@ -54,38 +54,38 @@
         })
     }
 
-    /// Changes the limit. Connections beyond it are evicted as far as they may be; the server closes
+    /// Changes the limit. Connections beyond the limit are evicted as far as allowed; the server closes
     /// the others after their responses.
-    pub fn set_limit(&self, limit: usize) {
+    pub(super) fn set_limit(&self, limit: usize) {
         let limits = TableLimits::new(limit);
         self.limits.set(limits);
         self.evict_down_to(limits.served);
     }
 
     /// Adds a connection, even beyond the limit.
-    pub fn add(self: &Rc<Self>) -> ConnectionSlot {
+    pub(super) fn add(self: &Rc<Self>) -> ConnectionSlot {
         let connection = ClientConnection::new();
         self.connections.borrow_mut().push(connection.clone());
         ConnectionSlot { table: self.clone(), connection }
     }
 
     /// Returns once a connection has closed, or after [`MAX_CLOSE_WAIT`].
-    pub async fn wait_for_close(&self) {
+    pub(super) async fn wait_for_close(&self) {
         let _ = tokio::time::timeout(MAX_CLOSE_WAIT, self.slot_released.notified()).await;
     }
 
     /// Returns once all connections have closed.
-    pub async fn wait_until_empty(&self) {
+    pub(super) async fn wait_until_empty(&self) {
         while !self.is_empty() {
             self.wait_for_close().await;
         }
     }
 
-    /// Returns once all connections have closed, or those left have had no request in flight for some
-    /// time. A request that has begun to arrive is owed a response once it is complete, so it is waited
-    /// for until it times out. A client that stays connected without a request is not waited for: it
-    /// must not keep the process from ending.
-    pub async fn wait_until_empty_or_idle(&self) {
+    /// Returns once all connections have closed, or the remaining ones have had no request in flight for
+    /// some time. A request that has started to arrive gets a response if it is completed before its
+    /// timeout, and is waited for until then. A client that stays connected without a request is not
+    /// waited for, as it would keep the process from ending.
+    pub(super) async fn wait_until_empty_or_idle(&self) {
         let mut idle_checks = 0;
         while !self.is_empty() && idle_checks < IDLE_CHECKS {
             self.wait_for_close().await;
@@ -97,48 +97,50 @@
         }
     }
 
+    /// Returns whether no connection is in the table.
     fn is_empty(&self) -> bool {
         self.connections.borrow().is_empty()
     }
 
     fn has_requests_in_flight(&self) -> bool {
-        self.connections.borrow().iter().any(|connection| connection.has_request_in_flight())
+        self.connections.borrow().iter().any(|connection| connection.progress().has_request_in_flight())
     }
 
-    /// Whether more than half of the slots for served connections are taken, so that connections
+    /// Returns whether more than half of the slots for served connections are taken, so that connections
     /// should close after their responses.
-    pub fn is_half_full(&self) -> bool {
+    pub(super) fn is_half_full(&self) -> bool {
         2 * self.connections.borrow().len() > self.limits.get().served
     }
 
-    /// Whether there are more connections than can be served, apart from those being closed.
-    pub fn is_full(&self) -> bool {
+    /// Returns whether more connections than can be served are open, apart from connections being closed.
+    pub(super) fn is_full(&self) -> bool {
         let connections = self.connections.borrow();
         let open = connections.iter().filter(|connection| !connection.is_closing());
         open.count() > self.limits.get().served
     }
 
-    /// Whether there is a slot for one more connection, if only to reject its requests.
-    pub fn has_free_slot(&self) -> bool {
+    /// Returns whether a slot is free for one more connection, if only to reject its requests.
+    pub(super) fn has_free_slot(&self) -> bool {
         self.connections.borrow().len() < self.limits.get().total()
     }
 
-    /// Evicts connections so that one more can be served, as far as any may be evicted.
-    pub fn evict_for_new_connection(&self) {
+    /// Evicts connections so that one more can be served, as far as connections may be evicted.
+    pub(super) fn evict_for_new_connection(&self) {
         self.evict_down_to(self.limits.get().served.saturating_sub(1));
     }
 
-    /// Evicts the connections that have been without a request longest, until `target` are left or
-    /// none may be evicted. Guards against clients that stay connected and keep others out.
+    /// Evicts the connections that have been without a request longest, until `target` connections are
+    /// left or no other one may be evicted. Guards against clients that stay connected and keep others
+    /// out.
     fn evict_down_to(&self, target: usize) {
         let connections = self.connections.borrow();
         let open = || connections.iter().filter(|connection| !connection.is_closing());
         while open().count() > target {
-            let idle = open().filter(|connection| connection.is_evictable_as_idle());
-            let silent = open().filter(|connection| connection.is_evictable_as_silent());
-            let longest_idle = idle.min_by_key(|connection| connection.idle_since());
-            let candidate =
-                longest_idle.or_else(|| silent.min_by_key(|connection| connection.last_received()));
+            let idle = open().filter(|connection| connection.progress().is_evictable_as_idle());
+            let silent = open().filter(|connection| connection.progress().is_evictable_as_silent());
+            let longest_idle = idle.min_by_key(|connection| connection.progress().idle_since());
+            let longest_silent = || silent.min_by_key(|connection| connection.progress().last_received());
+            let candidate = longest_idle.or_else(longest_silent);
             let Some(candidate) = candidate else {
                 return;
             };
@@ -147,24 +149,24 @@
     }
 
     /// Requests the close of connections that have timed out.
-    pub fn close_timed_out(&self) {
+    pub(super) fn close_timed_out(&self) {
         for connection in self.connections.borrow().iter() {
-            if !connection.is_closing() && connection.is_timed_out() {
+            if !connection.is_closing() && connection.progress().is_timed_out() {
                 connection.request_close();
             }
         }
     }
 }
 
-/// The slot of one connection in the table, which is given up when this is dropped.
-pub struct ConnectionSlot {
+/// The slot of one connection in the table. A slot that is dropped becomes free.
+pub(super) struct ConnectionSlot {
     table: Rc<ConnectionTable>,
     connection: Rc<ClientConnection>,
 }
 
 impl ConnectionSlot {
-    /// The state of the connection.
-    pub fn connection(&self) -> &Rc<ClientConnection> {
+    /// Returns the state of the connection.
+    pub(super) fn connection(&self) -> &Rc<ClientConnection> {
         &self.connection
     }
 }
@@ -176,3 +178,6 @@
         self.table.slot_released.notify_one();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/downstream/connection_task.rs
+++ b/crates/balancer-proxy/src/downstream/connection_task.rs
@@ -20,28 +20,29 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long an evicted or timed out connection may take to close while no request awaits a response.
+/// Longest time that an evicted or timed out connection may take to close while no request awaits a
+/// response.
 const EVICTED_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Serves one client connection.
-pub struct ConnectionTask {
+pub(super) struct ConnectionTask {
     /// Handles the requests.
-    pub handler: Rc<RequestHandler>,
+    pub(super) handler: Rc<RequestHandler>,
     /// Determines when the connection closes because of a shutdown.
-    pub lifecycle: Rc<Lifecycle>,
-    /// All connections.
-    pub connections: Rc<ConnectionTable>,
-    /// What happens to the requests of this connection.
-    pub admission: Admission,
+    pub(super) lifecycle: Rc<Lifecycle>,
+    /// The table of all connections.
+    pub(super) connections: Rc<ConnectionTable>,
+    /// Whether the requests of this connection are served or rejected.
+    pub(super) admission: Admission,
     /// The socket of the connection.
-    pub stream: Rc<TcpStream>,
-    /// The slot of the connection. It is released after the socket is closed.
-    pub slot: ConnectionSlot,
+    pub(super) stream: Rc<TcpStream>,
+    /// The slot of the connection, which is released after the socket is closed.
+    pub(super) slot: ConnectionSlot,
 }
 
 impl ConnectionTask {
     /// Serves the connection until it is closed.
-    pub async fn run(self) {
+    pub(super) async fn run(self) {
         let client = self.slot.connection();
         let service = service_fn(|request| self.respond(request));
         let socket = ClientSocket::new(self.stream.clone(), client.clone());
@@ -52,16 +53,17 @@
         tokio::select! {
             biased; // a request that has arrived is read before the connection is closed
             () = client.serve_until_disconnect(connection.as_mut(), &self.stream) => return,
-            () = client.close_requested() => {
+            () = client.wait_for_close_request() => {
                 self.close(connection).await;
                 return;
             }
-            () = self.closed_by_shutdown() => {}
+            () = self.wait_for_shutdown() => {}
         }
         connection.as_mut().graceful_shutdown();
         client.serve_until_disconnect(connection, &self.stream).await;
     }
 
+    /// Handles a request, and marks the response if the connection closes after it.
     async fn respond(&self, request: Request<Incoming>) -> Result<ClientResponse, Infallible> {
         let mut response = self.handler.handle(request, self.slot.connection(), self.admission).await;
         if self.closes_after(&response) {
@@ -70,9 +72,9 @@
         Ok(response)
     }
 
-    /// Whether the connection is to close after this response. A client that sent a malformed request
-    /// is not served again on the same connection: the rest of what it sends may be anything, and each
-    /// attempt to read it has a cost.
+    /// Returns whether the connection is to close after this response. A client that sent a malformed
+    /// request is not served again on the same connection: the bytes that follow may be anything, and
+    /// each attempt to parse them has a cost.
     fn closes_after(&self, response: &ClientResponse) -> bool {
         self.admission == Admission::Reject
             || response.status().is_client_error()
@@ -81,9 +83,9 @@
     }
 
     /// Returns once a shutdown closes the connection, and no head is arriving.
-    async fn closed_by_shutdown(&self) {
-        self.lifecycle.connections_closing().await;
-        self.slot.connection().between_requests().await;
+    async fn wait_for_shutdown(&self) {
+        self.lifecycle.wait_until_closing().await;
+        self.slot.connection().wait_between_requests().await;
     }
 
     /// Closes a connection that was evicted or timed out. A request that becomes complete at the last
@@ -97,7 +99,7 @@
         loop {
             let closed = client.serve_until_disconnect(connection.as_mut(), &self.stream);
             let timed_out = tokio::time::timeout(EVICTED_CLOSE_TIMEOUT, closed).await.is_err();
-            if !timed_out || !client.is_busy() {
+            if !timed_out || !client.progress().is_busy() {
                 return;
             }
         }
--- a/crates/balancer-proxy/src/downstream/framing.rs
+++ b/crates/balancer-proxy/src/downstream/framing.rs
@@ -1,16 +1,16 @@
 //! Follows the framing of the requests on a connection, to detect a request that states its length in
-//! two ways: what one side reads as a body may be a request to the other (request smuggling). The HTTP
-//! library settles on one of the two lengths itself, and does not report it.
+//! two ways: bytes that one side reads as a body may be a request to the other (request smuggling). The
+//! HTTP library chooses one of the two lengths itself, and does not report the choice.
 
 use std::collections::VecDeque;
 
-/// How many bytes of a line are looked at. The headers that state a length are shorter.
+/// Number of bytes of a line that are examined. The headers that state a length are shorter.
 const MAX_LINE_BYTES: usize = 128;
-/// How many heads may be read ahead of [`RequestFraming::next_is_ambiguous`]. Those beyond count as
-/// ambiguous.
+/// Number of heads that may be read ahead of [`RequestFraming::next_is_ambiguous`]. Heads beyond this
+/// number count as ambiguous.
 const MAX_HEADS_READ_AHEAD: usize = 256;
 
-/// The part of a request that the next byte belongs to.
+/// The part of a request to which the next byte belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Part {
     /// The request line or a header.
@@ -42,7 +42,7 @@
         self.transfer_encoding && self.content_length.is_some()
     }
 
-    /// The part that follows the head.
+    /// Returns the part that follows the head.
     fn next_part(&self) -> Part {
         match self.content_length {
             _ if self.transfer_encoding => Part::ChunkSize,
@@ -69,26 +69,26 @@
 
 /// The framing of the requests on one connection, as far as they have arrived.
 #[derive(Debug, Default)]
-pub struct RequestFraming {
+pub(super) struct RequestFraming {
     part: Part,
     /// The beginning of the current line, up to [`MAX_LINE_BYTES`].
     line: Vec<u8>,
     /// A line of the current head has arrived; empty lines before it are skipped.
-    head_has_begun: bool,
+    head_has_started: bool,
     length_headers: LengthHeaders,
-    /// For each head not yet asked for, in order of arrival, whether its length is ambiguous.
+    /// For each head that has not been asked for, in order of arrival, whether its length is ambiguous.
     ambiguous: VecDeque<bool>,
 }
 
 impl RequestFraming {
-    /// Whether the request whose turn it is states its length in two ways. A request whose head was
-    /// not seen counts as ambiguous.
-    pub fn next_is_ambiguous(&mut self) -> bool {
+    /// Returns whether the next request, in order of arrival, states its length in two ways. A request
+    /// whose head was not seen counts as ambiguous.
+    pub(super) fn next_is_ambiguous(&mut self) -> bool {
         self.ambiguous.pop_front().unwrap_or(true)
     }
 
-    /// Follows the framing through `data`, which has arrived next.
-    pub fn feed(&mut self, mut data: &[u8]) {
+    /// Follows the framing through `data`, the next bytes that have arrived.
+    pub(super) fn feed(&mut self, mut data: &[u8]) {
         while !data.is_empty() {
             match self.part {
                 Part::Malformed => return,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Takes the rest of the current line, or what has arrived of it, from the front of `data`.
+    /// Takes the rest of the current line, as far as the rest has arrived, from the front of `data`.
     fn feed_line(&mut self, data: &mut &[u8]) {
         let line_end = data.iter().position(|byte| *byte == b'\n');
         let text = &data[..line_end.unwrap_or(data.len())];
@@ -120,14 +120,15 @@
         }
     }
 
+    /// Returns the part that follows a complete line of the current part.
     fn part_after_line(&mut self, line: &[u8]) -> Part {
         match self.part {
             Part::Head if !line.is_empty() => {
-                self.head_has_begun = true;
+                self.head_has_started = true;
                 self.length_headers.record(line);
                 Part::Head
             }
-            Part::Head if self.head_has_begun => self.end_head(),
+            Part::Head if self.head_has_started => self.end_head(),
             Part::ChunkSize => part_after_chunk_size(line),
             Part::ChunkEnd => Part::ChunkSize,
             Part::Trailers if line.is_empty() => Part::Head,
@@ -135,8 +136,9 @@
         }
     }
 
+    /// Records whether the length of a complete head is ambiguous, and returns the part that follows.
     fn end_head(&mut self) -> Part {
-        self.head_has_begun = false;
+        self.head_has_started = false;
         let length_headers = std::mem::take(&mut self.length_headers);
         if self.ambiguous.len() < MAX_HEADS_READ_AHEAD {
             self.ambiguous.push_back(length_headers.is_ambiguous());
@@ -145,13 +147,14 @@
     }
 }
 
-/// Skips up to `bytes` at the front of `data`, and returns how many are still to be skipped.
+/// Skips up to `bytes` at the front of `data`, and returns the number of bytes still to be skipped.
 fn skip(data: &mut &[u8], bytes: u64) -> u64 {
     let skipped = usize::try_from(bytes).map_or(data.len(), |bytes| bytes.min(data.len()));
     *data = &data[skipped..];
     bytes - skipped as u64
 }
 
+/// Returns the part that follows the line with the size of a chunk.
 fn part_after_chunk_size(line: &[u8]) -> Part {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
     let digits = std::str::from_utf8(digits).unwrap_or_default();
--- a/crates/balancer-proxy/src/downstream/framing/tests.rs
+++ b/crates/balancer-proxy/src/downstream/framing/tests.rs
@@ -2,7 +2,8 @@
 
 use super::RequestFraming;
 
-/// For each head in `text`, which arrives in pieces of `piece_bytes`, whether its length is ambiguous.
+/// Returns, for each head in `text`, whether its length is ambiguous. The text arrives in pieces of
+/// `piece_bytes`.
 fn ambiguous_heads(text: &str, piece_bytes: usize) -> Vec<bool> {
     let mut framing = RequestFraming::default();
     for piece in text.as_bytes().chunks(piece_bytes) {
--- a/crates/balancer-proxy/src/downstream/lifecycle.rs
+++ b/crates/balancer-proxy/src/downstream/lifecycle.rs
@@ -1,25 +1,25 @@
-//! Which part of its life the server is in: starting, serving, or shutting down. The server records the
-//! steps; requests and connections read them.
+//! The stage of the server's life: starting, serving or shutting down. The server records the steps;
+//! requests and connections read them.
 
 use super::shutdown_schedule::ShutdownSchedule;
 use std::cell::Cell;
 use tokio::sync::watch;
 
-/// Which part of its life the server is in.
-pub struct Lifecycle {
-    /// The server has begun to accept connections.
+/// The stage of the server's life.
+pub(super) struct Lifecycle {
+    /// Set once the server accepts connections.
     has_started: Cell<bool>,
-    /// Set at SIGTERM.
+    /// The schedule of the shutdown, from SIGTERM on.
     shutdown: Cell<Option<ShutdownSchedule>>,
-    /// Another process has taken the new connections since SIGTERM.
+    /// Set once another process accepts the new connections, after SIGTERM.
     has_successor: Cell<bool>,
-    /// Connections are to close as soon as they have no request.
+    /// Becomes true once connections are to close as soon as they have no request.
     closing: watch::Sender<bool>,
 }
 
 impl Lifecycle {
-    /// The server before it accepts connections.
-    pub fn new() -> Self {
+    /// Creates the lifecycle of a server that does not accept connections yet.
+    pub(super) fn new() -> Self {
         Self {
             has_started: Cell::new(false),
             shutdown: Cell::new(None),
@@ -28,50 +28,53 @@
         }
     }
 
-    /// Records that the server has begun to accept connections.
-    pub fn start(&self) {
+    /// Records that the server accepts connections.
+    pub(super) fn start(&self) {
         self.has_started.set(true);
     }
 
-    /// Whether the server accepts connections, and SIGTERM has not arrived.
-    pub fn is_serving(&self) -> bool {
+    /// Returns whether the server accepts connections and SIGTERM has not arrived.
+    pub(super) fn is_serving(&self) -> bool {
         self.has_started.get() && self.shutdown.get().is_none()
     }
 
     /// Records that SIGTERM has arrived.
-    pub fn begin_shutdown(&self, schedule: ShutdownSchedule) {
+    pub(super) fn start_shutdown(&self, schedule: ShutdownSchedule) {
         self.shutdown.set(Some(schedule));
     }
 
-    /// Records that another process takes the new connections.
-    pub fn set_has_successor(&self, has_successor: bool) {
-        self.has_successor.set(has_successor);
+    /// Records that another process accepts the new connections.
+    pub(super) fn record_successor(&self) {
+        self.has_successor.set(true);
     }
 
-    /// The times of the shutdown, if SIGTERM has arrived.
-    pub fn shutdown(&self) -> Option<ShutdownSchedule> {
+    /// Returns the schedule of the shutdown, if SIGTERM has arrived.
+    pub(super) fn shutdown(&self) -> Option<ShutdownSchedule> {
         self.shutdown.get()
     }
 
-    /// Whether another process has taken the new connections since SIGTERM.
-    pub fn has_successor(&self) -> bool {
+    /// Returns whether another process has accepted the new connections since SIGTERM.
+    pub(super) fn has_successor(&self) -> bool {
         self.has_successor.get()
     }
 
     /// Asks connections to close as soon as they have no request.
-    pub fn close_connections(&self) {
+    pub(super) fn close_connections(&self) {
         self.closing.send_replace(true);
     }
 
     /// Returns once connections are to close.
-    pub async fn connections_closing(&self) {
+    pub(super) async fn wait_until_closing(&self) {
         let mut closing = self.closing.subscribe();
-        // The sender lives as long as `self`, so that this can't fail.
+        // The wait fails only without a sender, and the sender lives as long as `self`.
         let _ = closing.wait_for(|closing| *closing).await;
     }
 
-    /// Whether a connection should close after its current response.
-    pub fn is_last_response(&self) -> bool {
+    /// Returns whether a connection should close after its current response.
+    pub(super) fn is_last_response(&self) -> bool {
         self.has_successor.get() || *self.closing.borrow()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/balancer-proxy/src/downstream/mod.rs
+++ b/crates/balancer-proxy/src/downstream/mod.rs
@@ -12,6 +12,7 @@
 mod request_error;
 mod request_handler;
 mod request_head;
+mod request_progress;
 mod response;
 mod response_body;
 pub mod server;
--- a/crates/balancer-proxy/src/downstream/request.rs
+++ b/crates/balancer-proxy/src/downstream/request.rs
@@ -2,7 +2,7 @@
 //! enough and streamed otherwise.
 
 use super::client_connection::ReceivedHead;
-use super::forwarded_headers::forwarded_headers;
+use super::forwarded_headers::remove_hop_by_hop_headers;
 use super::request_error::RequestError;
 use super::request_head::ParsedHead;
 use crate::limits::{Budget, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, Permit};
@@ -18,55 +18,55 @@
 use std::rc::Rc;
 
 /// A request that has been read and checked.
-pub struct ParsedRequest {
+pub(super) struct ParsedRequest {
     parts: Parts,
     head: ParsedHead,
     body: ForwardedBody,
-    /// The settings that it was checked by.
+    /// The settings by which the request was checked.
     settings: Rc<SettingsSnapshot>,
     /// The memory for the buffered part of the body.
     body_permit: Permit,
 }
 
 /// A request in the form that the engine takes.
-pub struct Submission {
+pub(super) struct Submission {
     /// The id that the client gave the request.
-    pub client_request_id: u64,
+    pub(super) client_request_id: u64,
     /// The request as the decision module sees it.
-    pub request: Request,
-    /// What is sent to a backend.
-    pub forwarded: ForwardedRequest,
-    /// The memory for the buffered part of the body, which is needed until there is a final response.
-    pub body_permit: Permit,
+    pub(super) request: Request,
+    /// The request in the form in which attempts send it to backends.
+    pub(super) forwarded: ForwardedRequest,
+    /// The memory for the buffered part of the body, which is needed until the final response.
+    pub(super) body_permit: Permit,
 }
 
 impl ParsedRequest {
-    /// The name of its class.
-    pub fn class(&self) -> &str {
+    /// Returns the name of the request's class.
+    pub(super) fn class(&self) -> &str {
         &self.settings.proxy.classes[self.head.request.class]
     }
 
-    /// The id that the client gave it.
-    pub fn client_request_id(&self) -> u64 {
+    /// Returns the id that the client gave the request.
+    pub(super) fn client_request_id(&self) -> u64 {
         self.head.client_request_id
     }
 
-    /// The body, if it is still arriving.
-    pub fn streamed_body(&self) -> Option<Rc<StreamedRequestBody>> {
+    /// Returns the body if it is still arriving.
+    pub(super) fn streamed_body(&self) -> Option<Rc<StreamedRequestBody>> {
         match &self.body {
             ForwardedBody::Buffered(_) => None,
             ForwardedBody::Streamed { body, .. } => Some(body.clone()),
         }
     }
 
-    /// Checks the request again if `settings` are not those that it was checked by. They may have
-    /// changed while the body arrived, and the decision module knows classes and tenants only by their
-    /// indices in the settings in force.
+    /// Checks the request again if the settings in force have changed since the first check, as may happen
+    /// while the body arrives. The decision module knows classes and tenants only by their indices in the
+    /// settings in force.
     ///
     /// # Errors
     ///
-    /// If the request does not fit these settings.
-    pub fn revalidate(&mut self, settings: Rc<SettingsSnapshot>) -> Result<(), RequestError> {
+    /// Returns an error if the request does not fit these settings.
+    pub(super) fn revalidate(&mut self, settings: Rc<SettingsSnapshot>) -> Result<(), RequestError> {
         if !Rc::ptr_eq(&settings, &self.settings) {
             self.head = ParsedHead::parse(&self.parts.method, &self.parts.headers, &settings)?;
             self.settings = settings;
@@ -74,12 +74,12 @@
         Ok(())
     }
 
-    /// The request in the form that the engine takes.
-    pub fn into_submission(self) -> Submission {
+    /// Converts the request to the form that the engine takes.
+    pub(super) fn into_submission(self) -> Submission {
         let ParsedHead { client_request_id, request } = self.head;
         let streaming_body = matches!(self.body, ForwardedBody::Streamed { .. });
         let Parts { method, uri, headers, .. } = self.parts;
-        let headers = forwarded_headers(headers);
+        let headers = remove_hop_by_hop_headers(headers);
         Submission {
             client_request_id,
             request: Request { streaming_body, ..request },
@@ -89,14 +89,14 @@
     }
 }
 
-/// Reads a request: all of it if it can be buffered, else the beginning of its body. What can be
-/// rejected by the head alone is rejected before the body is read.
+/// Reads a complete request if the body can be buffered, else the head and the beginning of the body. A
+/// request that can be rejected by its head alone is rejected before the body is read.
 ///
 /// # Errors
 ///
-/// If the request is malformed, does not fit the settings, is too large or does not arrive in time, or
-/// if `body_budget` has no memory left for its body.
-pub async fn read(
+/// Returns an error if the request is malformed, does not fit the settings, is too large or does not
+/// arrive in time, or if `body_budget` has no memory left for its body.
+pub(super) async fn read(
     request: hyper::Request<Incoming>,
     received_head: ReceivedHead,
     settings: Rc<SettingsSnapshot>,
@@ -120,17 +120,19 @@
     Ok(ParsedRequest { parts, head, body, settings, body_permit })
 }
 
+/// Checks that the request target is a path.
 fn check_target(target: &Uri) -> Result<(), RequestError> {
     let is_path = target.path().starts_with('/') && target.authority().is_none();
     if is_path { Ok(()) } else { Err(RequestError::InvalidTarget) }
 }
 
-/// How much of a body of this length is buffered, in bytes.
+/// Returns the number of bytes that are buffered of a body of this length.
 fn buffered_bytes(length: Option<u64>) -> usize {
     let length = length.and_then(|length| usize::try_from(length).ok());
     length.unwrap_or(MAX_BUFFERED_BODY_BYTES).min(MAX_BUFFERED_BODY_BYTES)
 }
 
+/// Reads the complete body if it can be buffered, else its beginning.
 async fn read_body(
     body: Incoming,
     length: Option<u64>,
--- a/crates/balancer-proxy/src/downstream/request_error.rs
+++ b/crates/balancer-proxy/src/downstream/request_error.rs
@@ -1,19 +1,19 @@
-//! Why a request of a client is rejected before the decision module sees it, and the status that the
-//! client gets. The text of an error is the body of the response.
+//! The reasons why a request of a client is rejected before the decision module sees the request, with
+//! the status that the client gets. The text of an error is the body of the response.
 
 use crate::stream_error::StreamError;
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Why a request is rejected.
+/// The reason why a request is rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum RequestError {
+pub(super) enum RequestError {
     /// A header is missing, repeated or malformed.
     #[error("{name}: expected {expected}")]
     InvalidHeader {
         /// The name of the header.
         name: &'static str,
-        /// What its value should have been.
+        /// The form that its value should have had.
         expected: &'static str,
     },
     /// The class of the request does not allow its method.
@@ -46,8 +46,8 @@
 }
 
 impl RequestError {
-    /// The status of the response.
-    pub fn status(&self) -> StatusCode {
+    /// Returns the status of the response.
+    pub(super) fn status(&self) -> StatusCode {
         match self {
             Self::InvalidHeader { .. }
             | Self::MethodNotAllowed
--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -1,6 +1,6 @@
-//! Handles one request of a client: reads and checks it, submits it to the engine, and turns the final
-//! response into an HTTP response. It notifies the engine when a client disconnects, and counts each
-//! complete request in the metrics.
+//! Handles one request of a client: reads and checks the request, submits it to the engine, and turns
+//! the final response into an HTTP response. The handler notifies the engine when a client disconnects,
+//! and counts each complete request in the metrics.
 
 use super::client_connection::{ClientConnection, ReceivedHead};
 use super::lifecycle::Lifecycle;
@@ -20,64 +20,66 @@
 
 /// The path on which the proxy reports its readiness.
 const READINESS_PATH: &str = "/-/ready";
-/// How long a request waits for another one with the same client request id to end. A client whose
-/// connection broke sends its request again on another one, perhaps before the end of the first has
-/// been read here.
+/// Longest time for which a request waits for the end of another one with the same client request id. A
+/// client whose connection broke sends its request again on another connection, perhaps before the proxy
+/// has read the end of the first connection.
 const DUPLICATE_ID_TIMEOUT: Duration = Duration::from_millis(50);
-/// How often such a request checks whether the other one has ended.
+/// Interval at which such a request checks whether the other one has ended.
 const DUPLICATE_ID_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What happens to the requests of a connection.
+/// The treatment of the requests of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
-    /// They are served.
+pub(super) enum Admission {
+    /// The requests are served.
     Serve,
-    /// They are read and rejected, as too many connections are busy.
+    /// The requests are read and rejected, as too many connections are busy.
     Reject,
 }
 
 /// Handles the requests of all clients.
-pub struct RequestHandler {
+pub(super) struct RequestHandler {
     engine: Rc<Engine>,
     lifecycle: Rc<Lifecycle>,
-    /// Bytes of request bodies that are buffered at the same time.
+    /// The budget for the bytes of request bodies that are buffered at the same time.
     body_budget: Rc<Budget>,
 }
 
 impl RequestHandler {
-    /// A handler that submits requests to `engine`.
-    pub fn new(engine: Rc<Engine>, lifecycle: Rc<Lifecycle>, body_budget: Rc<Budget>) -> Self {
+    /// Creates a handler that submits requests to `engine`.
+    pub(super) fn new(engine: Rc<Engine>, lifecycle: Rc<Lifecycle>, body_budget: Rc<Budget>) -> Self {
         Self { engine, lifecycle, body_budget }
     }
 
-    /// Whether the proxy accepts requests and has backends to send them to.
-    pub fn is_ready(&self) -> bool {
+    /// Returns whether the proxy accepts requests and has listed a backend for them.
+    pub(super) fn is_ready(&self) -> bool {
         self.engine.has_listed_backend() && self.lifecycle.is_serving()
     }
 
     /// Handles the request whose head has arrived, and returns the response to it.
-    pub async fn handle(
+    pub(super) async fn handle(
         &self,
         request: Request<Incoming>,
         client: &Rc<ClientConnection>,
         admission: Admission,
     ) -> ClientResponse {
-        let received_head = client.head_received();
+        let received_head = client.complete_head();
         if request.uri().path() == READINESS_PATH {
-            return self.readiness(client);
+            return self.report_readiness(client);
         }
         let handled = self.forward(request, received_head, client, admission).await;
         handled.unwrap_or_else(|error| response::from_error(&error, client))
     }
 
-    fn readiness(&self, client: &Rc<ClientConnection>) -> ClientResponse {
+    /// Returns the response to a readiness request.
+    fn report_readiness(&self, client: &Rc<ClientConnection>) -> ClientResponse {
         if self.is_ready() {
-            response::text(StatusCode::OK, "ready\n", client)
+            response::from_text(StatusCode::OK, "ready\n", client)
         } else {
-            response::text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n", client)
+            response::from_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n", client)
         }
     }
 
+    /// Reads a request, has the engine process it, and returns the response.
     async fn forward(
         &self,
         request: Request<Incoming>,
@@ -90,12 +92,12 @@
         let mut accounting = RequestAccounting::new(client, self.engine.metrics().for_class(request.class()));
         let streamed_body = request.streamed_body();
         if streamed_body.is_none() {
-            accounting.request_complete();
+            accounting.complete_request();
         }
         let received = Instant::now();
         self.wait_for_request_id(request.client_request_id()).await;
-        // Nothing is awaited between here and the engine, so that the decision module has the same
-        // settings.
+        // No await may stand between this line and the submission: the settings could change meanwhile,
+        // and the decision module would take the indices of class and tenant for those of other settings.
         request.revalidate(self.engine.settings())?;
         let mut submission = request.into_submission();
         submission.request.timeout = self.time_left(submission.request.timeout, received);
@@ -109,8 +111,8 @@
         Ok(response)
     }
 
-    /// Reads and checks a request. One that is rejected for lack of memory counts in the metrics, as it
-    /// was well-formed.
+    /// Reads and checks a request. A request that is rejected for lack of memory counts in the metrics, as
+    /// it is well-formed.
     async fn read(
         &self,
         request: Request<Incoming>,
@@ -133,9 +135,9 @@
         }
     }
 
-    /// How much of `timeout`, in seconds, is left to a request that was received at `received`. During a
-    /// shutdown it ends when all responses must be out: the engine enforces that, and the decision
-    /// module has to know it.
+    /// Returns the rest of `timeout`, in seconds, of a request that was received at `received`. During a
+    /// shutdown the rest is bounded by the deadline of all responses, so that the decision module knows
+    /// the limit that the engine enforces.
     fn time_left(&self, timeout: Time, received: Instant) -> Time {
         let timeout = timeout - received.elapsed().as_secs_f64();
         match self.lifecycle.shutdown() {
@@ -164,14 +166,14 @@
                 end = body.wait_until_complete() => end?,
             }
             self.engine.complete_body(id);
-            accounting.request_complete();
+            accounting.complete_request();
         }
         Ok(receiver.await.unwrap_or(FinalResponse::Failed))
     }
 }
 
-/// Notifies the engine, when dropped, that the client has disconnected. The engine ignores it if the
-/// request has had its final response.
+/// Notifies the engine, when dropped, that the client has disconnected. The engine ignores the
+/// notification if the request has had its final response.
 struct DisconnectGuard<'a> {
     engine: &'a Engine,
     id: RequestId,
@@ -183,11 +185,11 @@
     }
 }
 
-/// A request and its response, as the connection and the metrics see them.
+/// The account of one request in its connection and in the metrics.
 struct RequestAccounting<'a> {
     client: &'a ClientConnection,
     class_metrics: ClassMetrics,
-    /// Set once the request is complete.
+    /// The request in the metrics, once the request is complete.
     outstanding: Option<OutstandingRequest>,
 }
 
@@ -196,14 +198,14 @@
         Self { client, class_metrics, outstanding: None }
     }
 
-    /// The request is complete: it counts as outstanding from now on.
-    fn request_complete(&mut self) {
+    /// Records that the request is complete, and counts it as outstanding from now on.
+    fn complete_request(&mut self) {
         self.outstanding = Some(self.class_metrics.request_started());
-        self.client.request_received();
+        self.client.progress().complete_request();
     }
 
-    /// The request in the metrics. It is counted even if the response came before the request was
-    /// complete.
+    /// Returns the request in the metrics. A request whose response came before the request was complete
+    /// is counted too.
     fn into_outstanding(self) -> OutstandingRequest {
         self.outstanding.unwrap_or_else(|| self.class_metrics.request_started())
     }
--- a/crates/balancer-proxy/src/downstream/request_head.rs
+++ b/crates/balancer-proxy/src/downstream/request_head.rs
@@ -1,5 +1,4 @@
-//! Parses the method and headers of a client's request into the form that the decision
-//! module sees.
+//! Parses the method and headers of a client's request into the form that the decision module sees.
 
 use super::request_error::RequestError;
 use crate::settings::SettingsSnapshot;
@@ -15,14 +14,14 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
-/// What the method and headers of a request say.
+/// The content of the method and headers of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct ParsedHead {
+pub(super) struct ParsedHead {
     /// The id that the client gave the request, unique among its requests in flight.
-    pub client_request_id: u64,
-    /// The request as the decision module sees it, without an id, which the engine assigns, and with
-    /// `streaming_body` unset, which depends on the body.
-    pub request: Request,
+    pub(super) client_request_id: u64,
+    /// The request as the decision module sees it. The id is not assigned yet, as the engine assigns the
+    /// id, and `streaming_body` is not set, as the flag depends on the body.
+    pub(super) request: Request,
 }
 
 impl ParsedHead {
@@ -30,19 +29,19 @@
     ///
     /// # Errors
     ///
-    /// If a required header is missing, a header is repeated or malformed, or the method or the
-    /// idempotency key does not fit the class.
-    pub fn parse(
+    /// Returns an error if a required header is missing, a header is repeated or malformed, or the method
+    /// or the idempotency key does not fit the class.
+    pub(super) fn parse(
         method: &Method,
         headers: &HeaderMap,
         settings: &SettingsSnapshot,
     ) -> Result<Self, RequestError> {
         single_value(headers, "host")?;
-        let client_request_id = client_request_id(headers)?;
-        let class_index = class_index(headers, &settings.proxy.classes)?;
-        let tenant = tenant_index(headers, &settings.proxy.tenants)?;
+        let client_request_id = parse_client_request_id(headers)?;
+        let class_index = parse_class_index(headers, &settings.proxy.classes)?;
+        let tenant = parse_tenant_index(headers, &settings.proxy.tenants)?;
         let class = &settings.balancer.classes[class_index];
-        let timeout = timeout(headers, class.max_timeout)?;
+        let timeout = parse_timeout(headers, class.max_timeout)?;
         let idempotency_key = single_value(headers, "idempotency-key")?;
         check_method(method, class.effect)?;
         check_idempotency_key(idempotency_key, class.effect)?;
@@ -50,7 +49,7 @@
             id: RequestId::default(),
             class: class_index,
             tenant,
-            key: session_key(headers),
+            key: parse_session_key(headers),
             timeout,
             streaming_body: false,
         };
@@ -62,8 +61,8 @@
     RequestError::InvalidHeader { name, expected }
 }
 
-/// The value of a header, or `None` if it is absent. A repeated header is rejected, as it is unknown
-/// which of the values is meant.
+/// Returns the value of a header, or `None` if the header is absent. A repeated header is rejected, as
+/// the proxy cannot know which of the values the client means.
 fn single_value<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let invalid = || invalid_header(name, "one value, of plain text");
     let mut values = headers.get_all(name).into_iter();
@@ -77,7 +76,8 @@
     Ok(Some(text.trim()))
 }
 
-fn client_request_id(headers: &HeaderMap) -> Result<u64, RequestError> {
+/// Returns the id that the client gave the request.
+fn parse_client_request_id(headers: &HeaderMap) -> Result<u64, RequestError> {
     let is_well_formed =
         |id: &&str| id.len() == CLIENT_REQUEST_ID_DIGITS && id.bytes().all(|byte| byte.is_ascii_hexdigit());
     single_value(headers, "x-txn")?
@@ -86,18 +86,20 @@
         .ok_or(invalid_header("X-Txn", "16 hex digits"))
 }
 
+/// Returns the index of a name among the names of the settings.
 fn index_of(name: &str, names: &[String]) -> Option<usize> {
     names.iter().position(|candidate| candidate == name)
 }
 
-fn class_index(headers: &HeaderMap, classes: &[String]) -> Result<usize, RequestError> {
+/// Returns the index of the request's class.
+fn parse_class_index(headers: &HeaderMap, classes: &[String]) -> Result<usize, RequestError> {
     single_value(headers, "x-lane")?
         .and_then(|name| index_of(name, classes))
         .ok_or(invalid_header("X-Lane", "a known class"))
 }
 
-/// The index of the request's tenant. The header is ignored where the settings name no tenants.
-fn tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<Option<usize>, RequestError> {
+/// Returns the index of the request's tenant. The header is ignored where the settings name no tenants.
+fn parse_tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<Option<usize>, RequestError> {
     match single_value(headers, "x-org")? {
         Some(name) if !tenants.is_empty() => {
             let index = index_of(name, tenants).ok_or(invalid_header("X-Org", "a known tenant"))?;
@@ -107,9 +109,9 @@
     }
 }
 
-/// The time in seconds that the client waits for its response, at most the deadline of the class: a
-/// longer wait would keep timers for weeks.
-fn timeout(headers: &HeaderMap, class_deadline: Time) -> Result<Time, RequestError> {
+/// Returns the time in seconds for which the client waits for its response, at most the deadline of the
+/// class: a longer time would keep timers for weeks.
+fn parse_timeout(headers: &HeaderMap, class_deadline: Time) -> Result<Time, RequestError> {
     let Some(text) = single_value(headers, "x-remaining-ms")? else {
         return Ok(class_deadline);
     };
@@ -119,6 +121,7 @@
     Ok((Time::from(milliseconds) / MILLISECONDS_PER_SECOND).min(class_deadline))
 }
 
+/// Checks that the method is one that requests of this effect use.
 fn check_method(method: &Method, effect: Effect) -> Result<(), RequestError> {
     let is_allowed = match effect {
         Effect::Safe => method == Method::GET || method == Method::HEAD,
@@ -127,6 +130,7 @@
     if is_allowed { Ok(()) } else { Err(RequestError::MethodNotAllowed) }
 }
 
+/// Checks that an idempotency key is present exactly where the effect needs one.
 fn check_idempotency_key(key: Option<&str>, effect: Effect) -> Result<(), RequestError> {
     match effect {
         Effect::Idempotent { .. } if key.is_none_or(str::is_empty) => {
@@ -137,9 +141,9 @@
     }
 }
 
-/// The ordering key of a request: the value of its cookie `sid` if that is a hexadecimal number, else
-/// the hash of the value.
-fn session_key(headers: &HeaderMap) -> Option<u64> {
+/// Returns the ordering key of a request: the value of its cookie `sid` if the value is a hexadecimal
+/// number, else the hash of the value.
+fn parse_session_key(headers: &HeaderMap) -> Option<u64> {
     let values = headers.get_all("cookie").into_iter().filter_map(|value| value.to_str().ok());
     let cookies = values.flat_map(|value| value.split(';'));
     let mut pairs = cookies.filter_map(|cookie| cookie.trim().split_once('='));
@@ -147,6 +151,7 @@
     Some(u64::from_str_radix(session_id, 16).unwrap_or_else(|_| fnv1a(session_id)))
 }
 
+/// Computes the 64-bit FNV-1a hash of a text.
 fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
--- /dev/null
+++ b/crates/balancer-proxy/src/downstream/request_progress.rs
@@ -0,0 +1,207 @@
+//! The progress of the requests and responses of one client connection, with the timeouts that follow
+//! from the progress. The table of connections reads the progress to decide which connections time out or
+//! are evicted.
+
+use std::cell::Cell;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Time from the first byte of a request head to its end, and from the accept of a connection to the end
+/// of its first head. Guards against clients that send nothing, stop half way, or never end the head.
+const HEADER_TIMEOUT: Duration = Duration::from_millis(2400);
+/// Least time allowed for a body. Otherwise a body may take the part of [`HEADER_TIMEOUT`] that its head
+/// left over.
+const MIN_BODY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time without reading after which a client is not expected to read the rest of its response.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after which an idle connection is closed.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
+/// Time after which an idle connection may be evicted.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
+/// Time without received bytes after which a connection that has never completed a request may be
+/// evicted.
+const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(500);
+
+/// The phase of the current request of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RequestPhase {
+    /// No byte of a request has arrived.
+    Idle,
+    /// The head is arriving, or is expected because the connection has just been accepted.
+    Head {
+        /// The time at which the first byte arrived or the connection was accepted.
+        started: Instant,
+    },
+    /// The body is arriving. The reader of the body enforces its timeout.
+    Body,
+    /// The request is complete, and the response is not finished.
+    AwaitingResponse,
+}
+
+/// The record of the bytes that have arrived on a connection.
+struct ReceivedBytes {
+    /// Set once a byte has arrived.
+    any: Cell<bool>,
+    /// The time at which bytes last arrived; at first, the time at which the connection was accepted.
+    last: Cell<Instant>,
+    /// Set once bytes of the next request have arrived while the current one awaits its response.
+    pipelined: Cell<bool>,
+}
+
+impl ReceivedBytes {
+    fn new(now: Instant) -> Self {
+        Self { any: Cell::new(false), last: Cell::new(now), pipelined: Cell::new(false) }
+    }
+
+    fn record(&self) {
+        self.any.set(true);
+        self.last.set(Instant::now());
+    }
+
+    fn silence(&self) -> Duration {
+        self.last.get().elapsed()
+    }
+}
+
+/// The progress of the requests and responses of one client connection.
+pub(super) struct RequestProgress {
+    phase: Cell<RequestPhase>,
+    /// Set once a request has been complete.
+    has_completed_request: Cell<bool>,
+    /// The time at which the last response finished; at first, the time at which the connection was
+    /// accepted.
+    idle_since: Cell<Instant>,
+    received: ReceivedBytes,
+    /// The time since which the client has read no byte of a response that is being written.
+    write_blocked_since: Cell<Option<Instant>>,
+}
+
+/// The events of requests and responses.
+impl RequestProgress {
+    /// Creates the progress of a connection that has just been accepted.
+    pub(super) fn new() -> Self {
+        let now = Instant::now();
+        Self {
+            phase: Cell::new(RequestPhase::Head { started: now }),
+            has_completed_request: Cell::new(false),
+            idle_since: Cell::new(now),
+            received: ReceivedBytes::new(now),
+            write_blocked_since: Cell::new(None),
+        }
+    }
+
+    /// Records that bytes have arrived from the client.
+    pub(super) fn record_bytes(&self) {
+        self.received.record();
+        match self.phase.get() {
+            RequestPhase::Idle => self.phase.set(RequestPhase::Head { started: Instant::now() }),
+            RequestPhase::AwaitingResponse => self.received.pipelined.set(true),
+            RequestPhase::Head { .. } | RequestPhase::Body => {}
+        }
+    }
+
+    /// Records that the head of a request is complete. Returns the time that the body may take, however
+    /// short the body is.
+    pub(super) fn complete_head(&self) -> Duration {
+        let head_duration = match self.phase.replace(RequestPhase::Body) {
+            RequestPhase::Head { started } => started.elapsed(),
+            _ => Duration::ZERO,
+        };
+        HEADER_TIMEOUT.saturating_sub(head_duration).max(MIN_BODY_TIMEOUT)
+    }
+
+    /// Records that a request is complete.
+    pub(super) fn complete_request(&self) {
+        self.phase.set(RequestPhase::AwaitingResponse);
+        self.has_completed_request.set(true);
+    }
+
+    /// Records that the response to the current request is finished.
+    pub(super) fn finish_response(&self) {
+        let now = Instant::now();
+        self.idle_since.set(now);
+        let next_has_started = self.received.pipelined.take();
+        let phase = if next_has_started { RequestPhase::Head { started: now } } else { RequestPhase::Idle };
+        self.phase.set(phase);
+    }
+
+    /// Records that a write has to wait, as the client does not read.
+    pub(super) fn record_blocked_write(&self) {
+        let since = self.write_blocked_since.get().unwrap_or_else(Instant::now);
+        self.write_blocked_since.set(Some(since));
+    }
+
+    /// Records that a write did not have to wait.
+    pub(super) fn record_write(&self) {
+        self.write_blocked_since.set(None);
+    }
+}
+
+/// The conditions under which connections are closed and evicted.
+impl RequestProgress {
+    /// Returns whether a complete request has no finished response, and the client reads the response as
+    /// far as it is written.
+    pub(super) fn is_busy(&self) -> bool {
+        self.phase.get() == RequestPhase::AwaitingResponse && !self.is_write_timed_out()
+    }
+
+    /// Returns whether the head of the current request is complete and its response is not finished.
+    pub(super) fn is_response_due(&self) -> bool {
+        matches!(self.phase.get(), RequestPhase::Body | RequestPhase::AwaitingResponse)
+    }
+
+    /// Returns whether a part of a request has arrived whose response is not finished.
+    pub(super) fn has_request_in_flight(&self) -> bool {
+        self.is_receiving_head() || self.is_response_due()
+    }
+
+    /// Returns whether a part of a head has arrived.
+    pub(super) fn is_receiving_head(&self) -> bool {
+        matches!(self.phase.get(), RequestPhase::Head { .. }) && self.received.any.get()
+    }
+
+    /// Returns whether a head is arriving, with its latest bytes recently, and has not timed out.
+    pub(super) fn is_head_progressing(&self) -> bool {
+        let has_received_recently = self.received.silence() < MIN_SILENCE_BEFORE_EVICTION;
+        self.is_receiving_head() && has_received_recently && !self.is_timed_out()
+    }
+
+    /// Returns whether the timeout of the current phase has passed.
+    pub(super) fn is_timed_out(&self) -> bool {
+        match self.phase.get() {
+            RequestPhase::Idle => self.idle_since.get().elapsed() > KEEP_ALIVE_TIMEOUT,
+            RequestPhase::Head { started } => started.elapsed() > HEADER_TIMEOUT,
+            RequestPhase::Body | RequestPhase::AwaitingResponse => self.is_write_timed_out(),
+        }
+    }
+
+    /// Returns whether the connection has been idle for long enough to be evicted.
+    pub(super) fn is_evictable_as_idle(&self) -> bool {
+        self.phase.get() == RequestPhase::Idle && self.idle_since.get().elapsed() >= MIN_IDLE_BEFORE_EVICTION
+    }
+
+    /// Returns whether the connection has never completed a request, and has received no byte for long
+    /// enough to be evicted.
+    pub(super) fn is_evictable_as_silent(&self) -> bool {
+        !self.has_completed_request.get() && self.received.silence() >= MIN_SILENCE_BEFORE_EVICTION
+    }
+
+    /// Returns the time at which the last response finished; at first, the time at which the connection
+    /// was accepted.
+    pub(super) fn idle_since(&self) -> Instant {
+        self.idle_since.get()
+    }
+
+    /// Returns the time at which bytes last arrived; at first, the time at which the connection was
+    /// accepted.
+    pub(super) fn last_received(&self) -> Instant {
+        self.received.last.get()
+    }
+
+    fn is_write_timed_out(&self) -> bool {
+        self.write_blocked_since.get().is_some_and(|since| since.elapsed() > WRITE_TIMEOUT)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/balancer-proxy/src/downstream/request_progress/tests.rs
@@ -0,0 +1,77 @@
+//! Tests of the progress of requests and responses on one connection.
+
+use super::{HEADER_TIMEOUT, MIN_SILENCE_BEFORE_EVICTION, RequestProgress};
+
+#[test]
+fn a_new_connection_has_no_request_in_flight_until_bytes_arrive() {
+    let progress = RequestProgress::new();
+    assert!(!progress.has_request_in_flight());
+
+    progress.record_bytes();
+
+    assert!(progress.has_request_in_flight());
+    assert!(progress.is_receiving_head());
+    assert!(progress.is_head_progressing());
+    assert!(!progress.is_busy());
+}
+
+#[test]
+fn a_request_is_in_flight_until_its_response_is_finished() {
+    let progress = RequestProgress::new();
+    progress.record_bytes();
+
+    let body_timeout = progress.complete_head();
+    let is_due_during_body = progress.is_response_due();
+    let is_busy_during_body = progress.is_busy();
+    progress.complete_request();
+    let is_busy_after_request = progress.is_busy();
+    progress.finish_response();
+
+    assert!(body_timeout <= HEADER_TIMEOUT);
+    assert!(is_due_during_body);
+    assert!(!is_busy_during_body);
+    assert!(is_busy_after_request);
+    assert!(!progress.has_request_in_flight());
+}
+
+#[test]
+fn bytes_that_arrive_before_the_response_start_the_next_head_after_it() {
+    let progress = RequestProgress::new();
+    progress.record_bytes();
+    progress.complete_head();
+    progress.complete_request();
+
+    progress.record_bytes();
+    progress.finish_response();
+
+    assert!(progress.is_receiving_head());
+}
+
+#[test]
+fn only_a_connection_that_never_completed_a_request_is_evictable_as_silent() {
+    let silent = RequestProgress::new();
+    let served = RequestProgress::new();
+    served.record_bytes();
+    served.complete_head();
+    served.complete_request();
+    served.finish_response();
+    assert!(!silent.is_evictable_as_silent());
+
+    std::thread::sleep(MIN_SILENCE_BEFORE_EVICTION);
+
+    assert!(silent.is_evictable_as_silent());
+    assert!(!served.is_evictable_as_silent());
+}
+
+#[test]
+fn a_client_that_does_not_read_stays_busy_until_the_write_timeout() {
+    let progress = RequestProgress::new();
+    progress.record_bytes();
+    progress.complete_head();
+    progress.complete_request();
+
+    progress.record_blocked_write();
+
+    assert!(progress.is_busy());
+    assert!(!progress.is_timed_out());
+}
--- a/crates/balancer-proxy/src/downstream/response.rs
+++ b/crates/balancer-proxy/src/downstream/response.rs
@@ -1,7 +1,7 @@
-//! The responses that clients get: those of backends, and those that the proxy makes itself.
+//! The responses that clients get, from backends and from the proxy itself.
 
 use super::client_connection::ClientConnection;
-use super::forwarded_headers::forwarded_headers;
+use super::forwarded_headers::remove_hop_by_hop_headers;
 use super::request_error::RequestError;
 use super::response_body::ResponseBody;
 use crate::engine::FinalResponse;
@@ -13,34 +13,39 @@
 use std::rc::Rc;
 
 /// A response to a client.
-pub type ClientResponse = Response<ResponseBody>;
+pub(super) type ClientResponse = Response<ResponseBody>;
 
-/// A response with a plain text as its body.
-pub fn text(status: StatusCode, text: impl Into<String>, client: &Rc<ClientConnection>) -> ClientResponse {
+/// Creates a response with a plain text as its body.
+pub(super) fn from_text(
+    status: StatusCode,
+    text: impl Into<String>,
+    client: &Rc<ClientConnection>,
+) -> ClientResponse {
     let content = ResponseContent::Buffered(text.into().into());
     let mut response = Response::new(ResponseBody::new(content, None, client.clone()));
     *response.status_mut() = status;
     response
 }
 
-/// The response to a request that is rejected because of `error`.
-pub fn from_error(error: &RequestError, client: &Rc<ClientConnection>) -> ClientResponse {
-    text(error.status(), format!("{error}\n"), client)
+/// Creates the response to a request that is rejected because of `error`.
+pub(super) fn from_error(error: &RequestError, client: &Rc<ClientConnection>) -> ClientResponse {
+    from_text(error.status(), format!("{error}\n"), client)
 }
 
-/// The response for the final response of the engine to a request with this method.
-pub fn from_final_response(
+/// Converts the final response of the engine to a request with this method.
+pub(super) fn from_final_response(
     final_response: FinalResponse,
     method: &Method,
     client: &Rc<ClientConnection>,
 ) -> ClientResponse {
     match final_response {
         FinalResponse::Success(response) => from_backend(response, method, client),
-        FinalResponse::Rejected(retry_after) => rejected(retry_after, client),
-        FinalResponse::Failed => text(StatusCode::BAD_GATEWAY, "failed\n", client),
+        FinalResponse::Rejected(retry_after) => from_rejection(retry_after, client),
+        FinalResponse::Failed => from_text(StatusCode::BAD_GATEWAY, "failed\n", client),
     }
 }
 
+/// Converts the response of a backend to a request with this method.
 fn from_backend(
     backend_response: BackendResponse,
     method: &Method,
@@ -50,7 +55,7 @@
     let mut response = Response::new(ResponseBody::new(content, length, client.clone()));
     // For HEAD, the header states the length of the body that GET would return.
     let content_length = headers.get(CONTENT_LENGTH).filter(|_| method == Method::HEAD).cloned();
-    *response.headers_mut() = forwarded_headers(headers);
+    *response.headers_mut() = remove_hop_by_hop_headers(headers);
     // Load reports are for the proxy alone.
     response.headers_mut().remove(LOAD_REPORT_HEADER);
     if let Some(content_length) = content_length {
@@ -59,9 +64,9 @@
     response
 }
 
-/// The response to a request that the engine rejected; `retry_after` in seconds.
-fn rejected(retry_after: Option<Time>, client: &Rc<ClientConnection>) -> ClientResponse {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "refused, try again\n", client);
+/// Creates the response to a request that the engine rejected; `retry_after` is in seconds.
+fn from_rejection(retry_after: Option<Time>, client: &Rc<ClientConnection>) -> ClientResponse {
+    let mut response = from_text(StatusCode::SERVICE_UNAVAILABLE, "refused, try again\n", client);
     let retry_after = retry_after.and_then(|seconds| HeaderValue::from_str(&format!("{seconds:.3}")).ok());
     if let Some(retry_after) = retry_after {
         response.headers_mut().insert(RETRY_AFTER, retry_after);
--- a/crates/balancer-proxy/src/downstream/response_body.rs
+++ b/crates/balancer-proxy/src/downstream/response_body.rs
@@ -1,5 +1,5 @@
-//! The body of a response on its way to a client. It owns the outstanding request in the metrics until
-//! it ends or is dropped, and then notifies the connection that the response is finished.
+//! The body of a response on its way to a client. The body owns the outstanding request in the metrics
+//! until the body ends or is dropped, and then notifies the connection that the response is finished.
 
 use super::client_connection::ClientConnection;
 use crate::metrics::OutstandingRequest;
@@ -19,18 +19,18 @@
 }
 
 /// The body of a response to a client.
-pub struct ResponseBody {
-    /// What is still to be sent.
+pub(super) struct ResponseBody {
+    /// The content that is still to be sent.
     content: Option<ResponseContent>,
-    /// How many bytes are still to be sent, if the length is known.
+    /// The number of bytes that are still to be sent, if the length is known.
     remaining_bytes: Option<u64>,
     pending_result: Option<PendingResult>,
     client: Rc<ClientConnection>,
 }
 
 impl ResponseBody {
-    /// A body for a client. `length` is the length of streamed content in bytes, if it is known.
-    pub fn new(content: ResponseContent, length: Option<u64>, client: Rc<ClientConnection>) -> Self {
+    /// Creates a body for a client. `length` is the length of streamed content in bytes, if known.
+    pub(super) fn new(content: ResponseContent, length: Option<u64>, client: Rc<ClientConnection>) -> Self {
         let remaining_bytes = match &content {
             ResponseContent::Buffered(data) => Some(data.len() as u64),
             ResponseContent::Streamed(_) => length,
@@ -41,8 +41,8 @@
         Self { content, remaining_bytes, pending_result: None, client }
     }
 
-    /// Counts the request with this status: at once if the body is buffered, else once it has ended.
-    pub fn count_at_end(&mut self, outstanding: OutstandingRequest, status: StatusCode) {
+    /// Counts the request with this status: at once if the body is buffered, else at the end of the body.
+    pub(super) fn count_at_end(&mut self, outstanding: OutstandingRequest, status: StatusCode) {
         match self.content {
             Some(ResponseContent::Streamed(_)) => {
                 self.pending_result = Some(PendingResult { outstanding, status });
@@ -51,6 +51,7 @@
         }
     }
 
+    /// Returns the next part of the content, or `None` at the end.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamError>>> {
         match &mut self.content {
             None => Poll::Ready(None),
@@ -100,7 +101,7 @@
 
 impl Drop for ResponseBody {
     fn drop(&mut self) {
-        self.client.response_finished();
+        self.client.progress().finish_response();
     }
 }
 
--- a/crates/balancer-proxy/src/downstream/server.rs
+++ b/crates/balancer-proxy/src/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The server for clients: it owns the listener and the table of connections, starts a task for each
+//! The server for clients, which owns the listener and the table of connections, starts a task for each
 //! connection, and shuts down gracefully after SIGTERM.
 
 use super::connection_table::ConnectionTable;
@@ -17,11 +17,11 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How many connections the system holds that the proxy has not accepted yet.
+/// Number of connections that the system holds until the proxy accepts them.
 const LISTEN_BACKLOG: u32 = 1024;
-/// The pause after a connection could not be accepted.
+/// Pause after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
-/// How often connections that have timed out are closed.
+/// Interval at which connections that have timed out are closed.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The server for clients.
@@ -30,16 +30,16 @@
     handler: Rc<RequestHandler>,
     lifecycle: Rc<Lifecycle>,
     connections: Rc<ConnectionTable>,
-    /// Bytes of request bodies that are buffered at the same time.
+    /// The budget for the bytes of request bodies that are buffered at the same time.
     body_budget: Rc<Budget>,
-    /// The lock by which a second process on the same address is seen, if there may be one.
+    /// The lock that shows whether a second process serves the same address, if the address is shared.
     instance_lock: Option<Rc<InstanceLock>>,
-    /// A connection that is accepted and waits for a slot. A shutdown must not lose it.
+    /// A connection that is accepted and waits for a slot. A shutdown must not lose this connection.
     pending: Cell<Option<TcpStream>>,
 }
 
 impl Server {
-    /// A server within these capacities, which submits requests to `engine`.
+    /// Creates a server within these capacities, which submits requests to `engine`.
     #[must_use]
     pub fn new(
         engine: Rc<Engine>,
@@ -60,17 +60,17 @@
         })
     }
 
-    /// Whether the proxy accepts requests and has backends to send them to.
+    /// Returns whether the proxy accepts requests and has listed a backend for them.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.handler.is_ready()
     }
 
-    /// The metrics, as a line of JSON.
+    /// Returns the metrics as a line of JSON.
     ///
     /// # Errors
     ///
-    /// If they can't be serialized.
+    /// Returns an error if the metrics cannot be serialized.
     pub fn metrics_json(&self) -> serde_json::Result<String> {
         self.engine.metrics_json()
     }
@@ -82,14 +82,14 @@
         self.engine.set_connection_limit(capacities.backend_connections);
     }
 
-    /// Serves clients until `stop_signal` is ready, then shuts down gracefully: it goes on serving for
-    /// a while, responds to each request that has arrived, and returns.
+    /// Serves clients until `stop_signal` is ready, then shuts down gracefully: serves them for some time
+    /// as before, responds to each request that has arrived, and returns.
     pub async fn run(self: Rc<Self>, listener: TcpListener, stop_signal: impl Future<Output = ()>) {
         self.lifecycle.start();
         tokio::select! {
             () = self.accept(&listener) => {}
             () = self.close_timed_out() => {}
-            () = self.begin_shutdown_on(stop_signal) => {}
+            () = self.start_shutdown_on(stop_signal) => {}
         }
         self.serve_accepted(listener);
         self.serve_beside_successor().await;
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Serves a connection once there is a slot for it. Other connections are evicted only now that
-    /// there is a new one. They keep their descriptors until they have closed, and the descriptors that
-    /// are not for clients must stay free, for example for discovery.
+    /// Serves a connection once a slot is free. Other connections are evicted only now that a new one
+    /// needs a slot. An evicted connection keeps its descriptor until it has closed, and the descriptors
+    /// that are not for clients must stay free, for example for discovery.
     async fn serve_with_slot(&self, stream: TcpStream) {
         self.pending.set(Some(stream));
         self.connections.evict_for_new_connection();
@@ -126,6 +126,7 @@
         self.serve_pending();
     }
 
+    /// Serves the connection that waits for a slot, if a connection waits.
     fn serve_pending(&self) {
         if let Some(stream) = self.pending.take() {
             self.serve(stream);
@@ -135,7 +136,7 @@
     /// Adds a connection to the table, and starts the task that serves it.
     fn serve(&self, stream: TcpStream) {
         let slot = self.connections.add();
-        let _ = stream.set_nodelay(true); // without it, it is only slower
+        let _ = stream.set_nodelay(true); // without this option, responses are only slower
         let admission = if self.connections.is_full() { Admission::Reject } else { Admission::Serve };
         let task = ConnectionTask {
             handler: self.handler.clone(),
@@ -148,7 +149,7 @@
         tokio::task::spawn_local(task.run());
     }
 
-    /// Closes connections that time out, forever.
+    /// Closes connections that time out. Never returns.
     async fn close_timed_out(&self) {
         loop {
             tokio::time::sleep(TIMEOUT_CHECK_INTERVAL).await;
@@ -156,21 +157,22 @@
         }
     }
 
-    /// Waits for the signal, begins the shutdown, and returns once no more connections need be accepted.
-    async fn begin_shutdown_on(&self, stop_signal: impl Future<Output = ()>) {
+    /// Waits for the signal, starts the shutdown, and returns once no more connections need be accepted.
+    async fn start_shutdown_on(&self, stop_signal: impl Future<Output = ()>) {
         stop_signal.await;
         let schedule = ShutdownSchedule::new(self.engine.longest_deadline());
-        self.lifecycle.begin_shutdown(schedule);
+        self.lifecycle.start_shutdown(schedule);
         self.engine.finish_by(schedule.response_deadline.into_std());
         log!("balancer-proxy: stopping");
         let has_successor = self.instance_lock.as_ref().is_some_and(|lock| lock.other_is_listening());
-        self.lifecycle.set_has_successor(has_successor);
-        if !has_successor {
+        if has_successor {
+            self.lifecycle.record_successor();
+        } else {
             tokio::time::sleep(schedule.full_service()).await;
         }
     }
 
-    /// Serves what has been accepted, by the proxy or by the system on its behalf, and closes the
+    /// Serves the connections that the proxy, or the system on its behalf, has accepted, and closes the
     /// listener.
     fn serve_accepted(&self, listener: TcpListener) {
         self.serve_pending();
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Accepts the rest of the backlog, closes the listener, and serves the connections. The listener
-    /// is closed right after the last accept: a connection that arrived in between would be reset.
+    /// Accepts the rest of the backlog, closes the listener, and serves the connections. The listener is
+    /// closed right after the last accept: a connection that arrived in between would be reset.
     fn serve_backlog(&self, listener: TcpListener) -> io::Result<()> {
         let listener = listener.into_std()?;
         let mut streams = Vec::new();
@@ -195,7 +197,7 @@
         Ok(())
     }
 
-    /// Serves the open connections for a while if another process takes the new ones.
+    /// Serves the open connections for some time if another process accepts the new ones.
     async fn serve_beside_successor(&self) {
         let Some(schedule) = self.lifecycle.shutdown().filter(|_| self.lifecycle.has_successor()) else {
             return;
@@ -208,15 +210,24 @@
     }
 }
 
-/// Binds the listener for clients. With `shared`, a second process may listen on the same address.
+/// Whether a second process may listen on the address for clients.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AddressSharing {
+    /// Only this process may listen on the address.
+    Exclusive,
+    /// A second process may listen on the same address, as during an upgrade.
+    Shared,
+}
+
+/// Binds the listener for clients.
 ///
 /// # Errors
 ///
-/// If the address can't be bound.
-pub fn bind(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
+/// Returns an error if the address cannot be bound.
+pub fn bind(address: SocketAddr, sharing: AddressSharing) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
-    socket.set_reuseport(shared)?;
+    socket.set_reuseport(sharing == AddressSharing::Shared)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
 }
--- a/crates/balancer-proxy/src/main.rs
+++ b/crates/balancer-proxy/src/main.rs
@@ -12,7 +12,7 @@
 use balancer_proxy::control::management::{self, MAX_MANAGEMENT_CONNECTIONS, Management};
 use balancer_proxy::control::reload::{ReloadTargets, Reloader};
 use balancer_proxy::control::state_files;
-use balancer_proxy::downstream::server::{self, Server};
+use balancer_proxy::downstream::server::{self, AddressSharing, Server};
 use balancer_proxy::engine::Engine;
 use balancer_proxy::limits::Capacities;
 use balancer_proxy::log;
@@ -176,7 +176,8 @@
     if replaces_another {
         proxy.wait_for_endpoint_list().await;
     }
-    let listener = server::bind(config.listen, is_managed)?;
+    let sharing = if is_managed { AddressSharing::Shared } else { AddressSharing::Exclusive };
+    let listener = server::bind(config.listen, sharing)?;
     log!("balancer-proxy: listening on {}", listener.local_addr()?);
 
     let targets = ReloadTargets {
