--- a/crates/fleet-bench/src/added.rs
+++ b/crates/fleet-bench/src/added.rs
@@ -28,7 +28,7 @@
 use tables::Tables;
 use verdict::MAX_GENERATOR_DELAY_FRACTION;
 
-/// Runs the command.
+/// Runs `fleet-bench added`.
 ///
 /// # Errors
 ///
--- a/crates/fleet-bench/src/added/analysis.rs
+++ b/crates/fleet-bench/src/added/analysis.rs
@@ -8,7 +8,7 @@
 use crate::latency::LatencyHistogram;
 use std::time::Duration;
 
-/// Longer latencies count as this.
+/// Maximum of the measured latencies; a longer latency counts as the maximum.
 const MAX_LATENCY: Duration = Duration::from_secs(60);
 /// Number of equal parts of the measured time; the added latency of each part shows how steady the run
 /// was.
@@ -18,7 +18,7 @@
 
 /// The measured calls of one route.
 pub struct RouteLatencies {
-    /// The route.
+    /// The route of the calls.
     pub route: Route,
     /// Latencies of the successful calls.
     pub latencies: LatencyHistogram,
@@ -29,15 +29,15 @@
 /// The lowest and highest latency added in a part of the measured time, in milliseconds at the 99th
 /// percentile.
 pub struct SegmentRange {
-    /// The lowest.
+    /// Lowest added latency, in milliseconds.
     pub min_ms: f64,
-    /// The highest.
+    /// Highest added latency, in milliseconds.
     pub max_ms: f64,
 }
 
 /// Cost of a proxied call at the proxy, in microseconds.
 pub struct ProxyCost {
-    /// Processor time.
+    /// Processor time of the proxy.
     pub processor_us: f64,
     /// Time in which the proxy was runnable but waited for a processor.
     pub run_queue_wait_us: f64,
@@ -45,9 +45,9 @@
 
 /// Statistics of the calls of one measurement.
 pub struct Analysis {
-    /// Direct calls.
+    /// Statistics of the direct calls.
     pub direct: RouteLatencies,
-    /// Proxied calls.
+    /// Statistics of the proxied calls.
     pub proxied: RouteLatencies,
     /// Range of the added latency over the measured time.
     pub segment_range: SegmentRange,
--- a/crates/fleet-bench/src/added/load.rs
+++ b/crates/fleet-bench/src/added/load.rs
@@ -10,14 +10,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Load ahead of the measured one, in seconds: connections are opened in that time.
+/// Duration of the load before the measured load, in seconds, in which connections are opened.
 pub const WARM_UP_SECONDS: f64 = 1.5;
 /// Maximum number of calls in flight. A further call waits for a caller, and the wait counts as latency
 /// of the call.
 pub const CALLERS: usize = 128;
 /// Time within which all callers have connected.
 const CONNECT_TIME: Duration = Duration::from_millis(200);
-/// A sleep ends late by some tens of microseconds, so that the last part of a wait is a busy loop.
+/// Duration of the busy loop at the end of a wait, as a sleep ends late by some tens of microseconds.
 const SPIN_TIME: Duration = Duration::from_micros(150);
 
 /// Route of a call to the backend.
@@ -25,7 +25,7 @@
 pub enum Route {
     /// The client calls the backend directly.
     Direct,
-    /// Through the proxy.
+    /// The client calls the backend through the proxy.
     Proxied,
 }
 
--- a/crates/fleet-bench/src/control.rs
+++ b/crates/fleet-bench/src/control.rs
@@ -21,7 +21,7 @@
 use list_changes::{ListChangeRates, MIN_CHANGES_PER_WINDOW};
 use std::path::Path;
 
-/// Runs the command.
+/// Runs `fleet-bench control`.
 ///
 /// # Errors
 ///
--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -105,7 +105,7 @@
     median: f64,
     /// The 99th percentile over proxies and changes.
     p99: f64,
-    /// At the last proxy, of the slowest change.
+    /// The slowest change at the last proxy.
     last: f64,
 }
 
@@ -125,7 +125,7 @@
 struct Costs {
     changes_per_second: f64,
     polls_per_second: f64,
-    /// Traffic in both directions.
+    /// Bytes of polls and responses per second.
     bytes_per_second: f64,
     /// Processor time as a fraction of a core, on average.
     mean_cores: f64,
--- a/crates/fleet-bench/src/control/group.rs
+++ b/crates/fleet-bench/src/control/group.rs
@@ -32,10 +32,10 @@
 pub struct ProxyGroup<'a> {
     /// Size of the list and of the group.
     pub size: GroupSize,
-    /// Interrupts all waits.
+    /// The signal that interrupts all waits.
     pub shutdown: &'a ShutdownSignal,
     // Fields are dropped in this order: the proxies end before the discovery server.
-    /// The proxies.
+    /// The proxies of the group.
     pub proxies: Vec<ProxyProcess>,
     /// The discovery server that the proxies poll.
     pub discovery: Discovery,
--- a/crates/fleet-bench/src/control/plan.rs
+++ b/crates/fleet-bench/src/control/plan.rs
@@ -13,7 +13,7 @@
 pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Polls are observed for this long after an outage of discovery.
 pub const RECOVERY_WINDOW: Duration = Duration::from_secs(6);
-/// Longer than a proxy waits for a response of discovery.
+/// Delay of a slow response, which is longer than a proxy waits for discovery.
 const OVERLONG_DELAY: Duration = Duration::from_secs(10);
 /// Number of windows that are measured in addition to the rates of the plan: without changes, and at the
 /// rate of the fleet.
@@ -137,7 +137,7 @@
 /// Sizes of a group of proxies that have the same list.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupSize {
-    /// Entries of the list.
+    /// Number of entries in the list.
     pub listed: usize,
     /// Number of proxies that have the list.
     pub proxies: usize,
--- a/crates/fleet-bench/src/discovery/list.rs
+++ b/crates/fleet-bench/src/discovery/list.rs
@@ -10,7 +10,7 @@
 pub enum Change {
     /// The weight of an instance changes.
     Weight {
-        /// The instance.
+        /// The index of the instance.
         index: usize,
         /// New weight of the instance, relative to that of the others.
         weight: f64,
--- a/crates/fleet-bench/src/discovery/poll_log.rs
+++ b/crates/fleet-bench/src/discovery/poll_log.rs
@@ -5,17 +5,17 @@
 use crate::latency::LatencyHistogram;
 use std::time::{Duration, Instant};
 
-/// Longer propagation counts as this.
+/// Maximum of the measured propagation; a longer time counts as the maximum.
 const MAX_PROPAGATION: Duration = Duration::from_secs(600);
 
 /// Polls and bytes of one proxy since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollCounts {
-    /// Polls.
+    /// Number of polls.
     pub polls: u64,
-    /// Bytes of the polls.
+    /// Size of the polls, in bytes.
     pub poll_bytes: u64,
-    /// Bytes of the responses.
+    /// Size of the responses, in bytes.
     pub response_bytes: u64,
 }
 
@@ -42,9 +42,9 @@
 /// Time from a change at discovery until the change is in force.
 #[derive(Debug)]
 pub struct PropagationLatency {
-    /// At each proxy.
+    /// Latencies at each proxy.
     pub per_proxy: LatencyHistogram,
-    /// At the last of all proxies.
+    /// Latency at the last of all proxies, for each change.
     pub last_proxy: LatencyHistogram,
 }
 
--- a/crates/fleet-bench/src/discovery/server.rs
+++ b/crates/fleet-bench/src/discovery/server.rs
@@ -52,16 +52,16 @@
 
 /// The list, and the log of the polls.
 pub struct State {
-    /// The list.
+    /// The instance list in its present version.
     pub list: VersionedList,
-    /// The polls.
+    /// The polls of all proxies.
     pub log: PollLog,
 }
 
 /// State that all connections share.
 pub struct Shared {
     state: Mutex<State>,
-    /// Wakes the waiting polls.
+    /// The present status; a change wakes the waiting polls.
     pub status: watch::Sender<Status>,
 }
 
@@ -95,7 +95,7 @@
     }
 }
 
-/// A parsed poll.
+/// The parameters of a poll.
 #[derive(Clone, Copy)]
 struct Poll {
     /// The version that the proxy has.
--- a/crates/fleet-bench/src/error.rs
+++ b/crates/fleet-bench/src/error.rs
@@ -25,7 +25,7 @@
         /// Description of the error, with the number of the line.
         message: String,
     },
-    /// An argument is invalid.
+    /// The value of an argument is invalid.
     #[error("{name}: expected {expected}, got {got}")]
     Argument {
         /// Name of the argument.
@@ -50,7 +50,7 @@
     /// A rule of the proxy was broken in a simulated fleet.
     #[error("broken rule: call {call} {rule}; seed {seed}, phase {phase}, machine {machine}, {at:.6} s")]
     Rule {
-        /// The rule.
+        /// The violated rule.
         rule: Rule,
         /// Number of the call at its proxy.
         call: u64,
@@ -98,7 +98,7 @@
     InvalidStats {
         /// The proxy's management address.
         address: SocketAddr,
-        /// The response.
+        /// Response of the proxy.
         response: String,
     },
     /// A proxy has not polled discovery in time.
@@ -114,7 +114,7 @@
         late: usize,
         /// Number of all proxies.
         proxies: usize,
-        /// The expected state.
+        /// Description of the expected state.
         expected: String,
         /// The timeout, in seconds.
         timeout_s: u64,
@@ -126,7 +126,7 @@
     /// The proxies rejected an unexpected number of settings files.
     #[error("settings, {scenario}: {rejected} files were rejected, not {expected}")]
     RejectedFiles {
-        /// The scenario.
+        /// Name of the scenario.
         scenario: String,
         /// Number of files that the proxies rejected.
         rejected: u64,
--- a/crates/fleet-bench/src/fleet/parameters.rs
+++ b/crates/fleet-bench/src/fleet/parameters.rs
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 3]", into = "[f64; 3]")]
 pub struct RoundTrips {
-    /// Within a zone.
+    /// Round-trip time within a zone.
     pub same_zone: f64,
-    /// Between two zones of a region.
+    /// Round-trip time between two zones of a region.
     pub same_region: f64,
-    /// Between regions.
+    /// Round-trip time between regions.
     pub cross_region: f64,
 }
 
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -51,7 +51,7 @@
     recording: &'a Recording,
     records: Peekable<Iter<'a, Record>>,
     balancer: Balancer,
-    /// Dropped after each event.
+    /// Actions of the balancer, which are dropped after each event.
     actions: Vec<Action>,
     measure_from: Time,
 }
--- a/crates/fleet-bench/src/fleet/results.rs
+++ b/crates/fleet-bench/src/fleet/results.rs
@@ -76,7 +76,7 @@
 /// The coverage of a service's backends by the subsets of its callers.
 #[derive(Clone, Debug)]
 pub struct Coverage {
-    /// At each sample.
+    /// Coverage at each sample.
     pub samples: Vec<CoverageSample>,
     /// Backends that were at some time in service and in no subset for several samples in a row.
     pub long_unassigned: usize,
--- a/crates/fleet-bench/src/report.rs
+++ b/crates/fleet-bench/src/report.rs
@@ -13,9 +13,9 @@
 pub enum Value {
     /// A number in the unit of its column.
     Number(f64),
-    /// A text.
+    /// A text, such as the name of a phase.
     Text(String),
-    /// Not measured.
+    /// A value that was not measured.
     Absent,
 }
 
@@ -83,7 +83,7 @@
         Self { name: name.to_string(), columns, rows: Vec::new() }
     }
 
-    /// Adds a row.
+    /// Adds a row, with one value for each column.
     pub fn row(&mut self, row: impl IntoIterator<Item = Value>) {
         self.rows.push(row.into_iter().collect());
     }
@@ -111,7 +111,7 @@
 /// The results of one run of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The command.
+    /// Name of the command.
     pub command: String,
     /// Commit of the tree in which the command ran, with `-dirty` if the tree had changes; empty if git
     /// does not return a commit.
@@ -120,7 +120,7 @@
     pub seed: u64,
     /// The complete plan that was run.
     pub arguments: serde_json::Value,
-    /// The results.
+    /// Results of the run.
     pub tables: Vec<Table>,
     /// Notes for the reader: figures that were not measured, and times when the machine was too busy.
     pub notes: Vec<String>,
--- a/crates/fleet-bench/src/request_head.rs
+++ b/crates/fleet-bench/src/request_head.rs
@@ -12,7 +12,7 @@
 /// The head of a request.
 #[derive(Debug)]
 pub struct RequestHead {
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
     /// Whether the request has the request id of a client.
     pub has_request_id: bool,
--- a/crates/fleet-bench/src/rollout/managed_proxy.rs
+++ b/crates/fleet-bench/src/rollout/managed_proxy.rs
@@ -39,7 +39,7 @@
 pub struct ManagedProxy<'a> {
     /// Index of the proxy among the proxies of the rollout.
     pub index: usize,
-    /// The process.
+    /// The process of the proxy.
     pub process: &'a mut ProxyProcess,
     /// The stats at the start of a scenario, or of the process if the process started later.
     pub initial_stats: SettingsStats,
--- a/crates/fleet-bench/src/rollout/proxy_set.rs
+++ b/crates/fleet-bench/src/rollout/proxy_set.rs
@@ -178,8 +178,8 @@
 /// Counts of settings files, summed over all proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct FileCounts {
-    /// Files that came into force.
+    /// Number of files that came into force.
     pub applied: u64,
-    /// Files that were rejected.
+    /// Number of files that were rejected.
     pub rejected: u64,
 }
--- a/crates/fleet-bench/src/usage.rs
+++ b/crates/fleet-bench/src/usage.rs
@@ -18,7 +18,7 @@
     pub resident_bytes: u64,
     /// The peak of the resident memory, in bytes.
     pub peak_resident_bytes: u64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     pub open_files: usize,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl MachineLoad {
-    /// Reads the present load.
+    /// Reads the present load of the machine.
     ///
     /// # Errors
     ///
