--- a/crates/balancer-proxy/tests/client_disconnects.rs
+++ b/crates/balancer-proxy/tests/client_disconnects.rs
@@ -1,6 +1,6 @@
-//! Clients that disconnect while their request waits for a connection, or as the request arrives: what
-//! has not been written completely to a backend by then never is, whether or not attempts may be
-//! cancelled.
+//! Clients that disconnect while their request waits for a connection, or as the request arrives: a
+//! request that has not been written completely to a backend by then is never written, whether or not
+//! attempts may be cancelled.
 
 mod common;
 
@@ -19,11 +19,11 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// Time for a connection that served a request to return to its pool.
+/// Time in which a connection that served a request returns to its pool.
 const SETTLING_TIME: Duration = Duration::from_millis(50);
 
-/// A request waits for a connection to its backend, its client disconnects, and the connection is
-/// established.
+/// Disconnects the client of a request that waits for a connection to its backend, then establishes the
+/// connection, and checks that no byte is written.
 fn disconnects_while_connecting(cancel: bool, disconnect: Disconnect) {
     let backend = LateServer::with_full_backlog();
     let cached_list = endpoint_list(1, true, &[listed_endpoint("s-0", backend.address, "SERVING")]);
@@ -68,7 +68,7 @@
 #[test]
 fn notices_a_disconnect_behind_a_body_that_the_backend_does_not_read() {
     for cancel in [true, false] {
-        // The whole body is on its way: more than the buffers up to the backend hold, which reads none.
+        // The whole body is on its way. It exceeds the buffers up to the backend, which reads no byte.
         let (release, released) = channel();
         let (report_completeness, completeness) = channel();
         let (released, report_completeness) = (Mutex::new(released), Mutex::new(report_completeness));
@@ -87,8 +87,8 @@
 
         drop(stream);
         wait_for("end of the client", || sockets_on_port(port, ESTABLISHED) == 0);
-        // The end has reached the proxy's system, as far as its buffers hold what comes before it.
-        // The proxy closes its side, or has had ample time to do so.
+        // The end has reached the proxy's system, as far as the buffers hold the bytes before the end. The
+        // proxy closes its side, or has had ample time for that.
         let start = Instant::now();
         while sockets_to_port(port, CLOSE_WAIT) > 0 && start.elapsed() < Duration::from_secs(3) {
             std::thread::sleep(Duration::from_millis(5));
@@ -100,14 +100,14 @@
     }
 }
 
-/// What the client has sent before the rest of its request arrives together with its disconnect.
+/// The bytes that the client has sent before the rest of its request arrives with the disconnect.
 #[derive(Clone, Copy, Debug)]
 enum SentBefore {
     /// An earlier request, which left a connection to the backend ready for use.
     EarlierRequest,
-    /// An earlier request, and all but the end of the body of this one.
+    /// An earlier request, and this request but for the end of its body.
     PartOfTheBody,
-    /// Nothing: the connection of the client waits in the listener's backlog.
+    /// No byte: the connection of the client waits in the listener's backlog.
     Nothing,
 }
 
@@ -154,8 +154,8 @@
     }
 }
 
-/// A pooled connection ends under a request whose body is still coming. The attempt opens a new
-/// connection, which is not yet established as the client disconnects.
+/// Ends a pooled connection under a request whose body is still arriving, so that the attempt opens a new
+/// connection. Disconnects the client before that one is established, and checks that no byte is written.
 fn disconnects_while_the_attempt_reconnects(cancel: bool, disconnect: Disconnect) {
     let mut backend = LateServer::with_empty_backlog();
     let cached_list = endpoint_list(1, true, &[listed_endpoint("s-0", backend.address, "SERVING")]);
@@ -167,7 +167,7 @@
     assert_eq!(read_message(&mut first_client).expect("a response").status(), 200);
     std::thread::sleep(SETTLING_TIME);
     backend.fill_backlog();
-    // The next request begins on the pooled connection; what is lost with it is still buffered.
+    // The next request starts on the pooled connection; its beginning is still buffered when that ends.
     let head = request_with_framing("order", "Content-Length: 200000\r\n\r\n");
     let mut stream = proxy.begin_request(&head);
     let port = stream.get_ref().local_addr().unwrap().port();
--- a/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
+++ b/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect after the first attempt of their request: it is neither retried nor hedged,
-//! whether or not attempts may be cancelled.
+//! Clients that disconnect after the first attempt of their request: the request is neither retried nor
+//! hedged, whether or not attempts may be cancelled.
 
 mod common;
 
@@ -28,7 +28,7 @@
             let rejection = || response(REJECTION, "");
             let backends = [0, 1].map(|_| StubServer::new(move |_, _| Reply::Respond(rejection())));
             let proxy = proxy_with_cancellation(cancel, &serving_list(&[&backends[0], &backends[1]]));
-            // Its next timer is due 0.4 s after its arrival.
+            // The next timer of the request is due 0.4 s after the arrival.
             let stream = proxy.begin_request(&request("order", 1000));
             let attempts = || backends[0].request_count() + backends[1].request_count();
             wait_for("attempt", || attempts() == 1);
@@ -52,8 +52,8 @@
     IsRejected,
 }
 
-/// The retry timer of a request falls due while the process is stopped, and the client disconnects
-/// meanwhile.
+/// Lets the retry timer of a request fall due while the process is stopped and the client disconnects,
+/// and checks that the request is not sent again.
 fn timer_falls_due_with_the_disconnect(cancel: bool, disconnect: Disconnect, first_attempt: FirstAttempt) {
     let rejection = || response(REJECTION, "");
     let backends = [0, 1].map(|_| {
@@ -64,7 +64,7 @@
         })
     });
     let proxy = proxy_with_cancellation(cancel, &serving_list(&[&backends[0], &backends[1]]));
-    // Its next timer is due 0.8 s after its arrival, plus or minus a tenth.
+    // The next timer of the request is due 0.8 s after the arrival, plus or minus a tenth.
     let stream = proxy.begin_request(&request("look", 2000));
     let attempts = || received_of_class(&backends[0], "look") + received_of_class(&backends[1], "look");
     wait_for("attempt", || attempts() == 1);
@@ -115,7 +115,7 @@
 #[test]
 fn does_not_retry_after_a_failed_connection_once_the_client_disconnected() {
     for cancel in [true, false] {
-        // Bound, but not yet listening.
+        // The socket is bound, but not listening yet.
         let sockets = [0, 1].map(|_| {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
             socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -147,8 +147,8 @@
     }
 }
 
-/// A backend that never completes its responses of class `look`, and reports when the proxy closes
-/// such a connection.
+/// Starts a backend that never completes its responses of class `look`, and reports when the proxy closes
+/// the connection of such a response.
 fn incomplete_backend(report_close: Sender<()>) -> StubServer {
     let report_close = Mutex::new(report_close);
     StubServer::with_connection_handler(move |stream| {
--- a/crates/balancer-proxy/tests/connection_limits.rs
+++ b/crates/balancer-proxy/tests/connection_limits.rs
@@ -16,7 +16,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// A proxy with capacity for some twenty client connections.
+/// Starts a proxy with capacity for some twenty client connections.
 fn proxy_with_few_sockets(backend: &StubServer) -> ProxyProcess {
     ProxyProcess::with_socket_limit(&[backend], 64)
 }
@@ -43,7 +43,7 @@
 fn responds_to_a_request_that_arrives_as_its_idle_connection_is_chosen_for_closing() {
     let backend = StubServer::responding_with("hello");
     let proxy = proxy_with_few_sockets(&backend);
-    // Near the limit with connections that may be closed, as they have been idle for 2 s.
+    // The number of connections is near the limit, and the proxy may close all that were idle for 2 s.
     let mut idle: Vec<_> = (0..10)
         .map(|_| {
             let mut stream = proxy.connect();
@@ -54,7 +54,7 @@
     std::thread::sleep(Duration::from_millis(2200));
 
     proxy.signal("-STOP");
-    // New connections first, so that idle ones are closed before the requests are read.
+    // New connections come first, so that idle ones are closed before the requests are read.
     let new = open_connections(&proxy, 40);
     for stream in &mut idle {
         stream.get_mut().write_all(request("order", 9000).as_bytes()).unwrap();
@@ -103,7 +103,7 @@
         })
         .collect();
 
-    // Each of them displaces an older one.
+    // Each new connection displaces an older one.
     let new: Vec<_> = (0..60)
         .map(|_| {
             std::thread::sleep(Duration::from_millis(15));
@@ -117,7 +117,7 @@
     drop(new);
 }
 
-/// A discovery that sends no response until it is up. Then it has the list.
+/// Starts a discovery that sends no response until the flag is set, and then responds with the list.
 fn discovery_that_is_down_at_first(is_up: Arc<AtomicBool>, list: String) -> StubServer {
     StubServer::new(move |_, message| {
         if is_up.load(Ordering::SeqCst) && !message.start_line.contains("since=2&") {
@@ -128,17 +128,17 @@
     })
 }
 
-/// Who fills the descriptors of the proxy as discovery returns.
+/// The connections that fill the descriptors of the proxy as discovery returns.
 #[derive(Clone, Copy, Debug)]
 struct Clients {
     /// Whether the connections that are idle before have had a request.
     had_request: bool,
-    /// Connections to the management address, if there is one.
+    /// The number of connections to the management address, if the proxy has one.
     management_calls: Option<usize>,
 }
 
-/// Idle connections use up the capacity. Then many more come at once, also to the management address,
-/// if there is one, just as discovery returns.
+/// Uses up the capacity with idle connections. Then opens many more at once, also to the management
+/// address if the proxy has one, just as discovery returns.
 fn reaches_discovery_as_it_returns(clients: Clients) {
     let Clients { had_request, management_calls } = clients;
     let (old, new) = (StubServer::responding_with("old"), StubServer::responding_with("new"));
--- a/crates/balancer-proxy/tests/connection_reuse.rs
+++ b/crates/balancer-proxy/tests/connection_reuse.rs
@@ -1,4 +1,5 @@
-//! Reuse of connections to backends: when a pooled connection serves a further request, and when not.
+//! Reuse of connections to backends: the conditions under which a pooled connection serves a further
+//! request.
 
 mod common;
 
@@ -15,7 +16,7 @@
 use std::time::Duration;
 
 const RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
-/// Time for a connection that served a request to return to its pool.
+/// Time in which a connection that served a request returns to its pool.
 const SETTLING_TIME: Duration = Duration::from_millis(100);
 
 #[test]
@@ -103,9 +104,9 @@
 
 #[test]
 fn does_not_take_an_early_response_on_a_reused_connection_for_that_of_the_request() {
-    // The backend responds twice, the second time as the next request begins to arrive, and reports
+    // The backend responds twice, the second time as the next request starts to arrive, and reports
     // whether that response was ahead of the request's end. The proxy withholds the last byte for a
-    // moment, so that mostly it is.
+    // moment, so that the response mostly is ahead.
     let (report_ahead, ahead) = channel();
     let report_ahead = Mutex::new(report_ahead);
     let backend = StubServer::with_connection_handler(move |stream| {
@@ -127,7 +128,7 @@
     let (mut is_reused, mut times_ahead) = (false, 0);
     for _ in 0..500 {
         let reply = proxy.exchange(&request("order", 9000));
-        // Over a reused connection, unless the last one was invalid and closed.
+        // The request uses a reused connection, unless the last one was invalid and closed.
         is_reused = !is_reused || ahead.recv_timeout(TEST_TIMEOUT).unwrap();
         if is_reused {
             assert_eq!((reply.status(), reply.body.as_slice()), (200, b"hello".as_slice()));
@@ -141,8 +142,8 @@
     panic!("{times_ahead} times ahead");
 }
 
-/// A backend that serves one request on each connection, and resets the connection at the first bytes
-/// of the next one.
+/// Starts a backend that serves one request on each connection, and resets the connection at the first
+/// bytes of the next request.
 fn backend_that_resets_reused_connections() -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -152,7 +153,7 @@
                 let mut stream = BufReader::with_capacity(4096, stream);
                 if read_message(&mut stream).is_some() {
                     stream.get_mut().write_all(RESPONSE.as_bytes()).unwrap();
-                    // Dropped with something unread, which resets the connection.
+                    // A drop with unread bytes resets the connection.
                     let _ = stream.get_mut().read(&mut [0]);
                 }
             });
--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -1,5 +1,5 @@
-//! Backends that are replaced again and again: removed ones are forgotten, and not before the last
-//! reference to them is gone.
+//! Backends that are replaced again and again: a removed backend is forgotten, but not before the last
+//! attempt that uses it has ended.
 
 mod common;
 
@@ -36,7 +36,7 @@
     ListedEndpoint { endpoint: Endpoint { id: BackendId(id), ..Endpoint::default() }, address }
 }
 
-/// An engine whose discovery notifies it of removed backends, with a short grace period.
+/// Starts an engine with a short grace period for backends that are removed.
 fn start_engine() -> Rc<Engine> {
     let proxy = ProxySettings {
         connect_timeout: TEST_TIMEOUT,
@@ -75,12 +75,12 @@
             engine.on_watch_event(WatchEvent::Full(vec![listed(id, backend.address)]));
         }
 
-        // Many times the grace period and the interval of the next sweep.
+        // The bound is many times the grace period and the interval of the sweeps.
         let mut pauses = 0;
         while (2..49).any(|id| engine.is_backend_known(BackendId(id))) {
             pause().await;
             pauses += 1;
-            assert!(pauses < 1000, "they are not forgotten");
+            assert!(pauses < 1000, "the removed backends are not forgotten");
         }
         assert!(engine.is_backend_known(BackendId(49)), "the one that is listed");
         assert!(engine.is_backend_known(BackendId(1)), "the one with an attempt in flight");
@@ -88,7 +88,7 @@
         while engine.is_backend_known(BackendId(1)) {
             pause().await;
             pauses += 1;
-            assert!(pauses < 2000, "it is not forgotten");
+            assert!(pauses < 2000, "the backend of the ended attempt is not forgotten");
         }
     });
     wait_for_disconnect(&disconnected);
--- a/crates/balancer-proxy/tests/faulty_backends.rs
+++ b/crates/balancer-proxy/tests/faulty_backends.rs
@@ -14,7 +14,7 @@
 
 const RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-/// A response whose head exceeds every limit.
+/// Returns a response whose head exceeds every limit.
 fn response_with_long_head() -> &'static str {
     let mut head = String::from("HTTP/1.1 200 OK\r\n");
     for number in 0..2000 {
@@ -44,7 +44,7 @@
         let status = proxy.exchange(&request("order", 19_000)).status();
 
         assert!(status != 200 && status != 429 && status != 503, "{status} for {bytes:.60}");
-        // Far sooner than the 19 s that the client would wait.
+        // The failure comes far sooner than the 19 s for which the client would wait.
         assert!(start.elapsed() < Duration::from_secs(10), "{:?} for {bytes:.60}", start.elapsed());
         assert_eq!(backend.request_count(), 1, "{bytes:.60}");
     }
@@ -78,10 +78,10 @@
     }
 }
 
-/// The system drops the first connection attempt, and repeats it after a second.
+/// Time after which the system repeats a connection attempt that the backend's system dropped.
 const SYN_RETRANSMISSION: Duration = Duration::from_secs(1);
-/// Half of this time passes before the proxy starts a second connection attempt: well after the test
-/// has seen the first one, and before the system repeats the first one.
+/// Connect timeout of the proxy. After half of it, the proxy starts a second connection attempt: well after
+/// the test has seen the first one, and before the system repeats the first one.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1600);
 
 /// Sends a request to a backend that drops the first connection attempt. Returns the port of that
@@ -118,7 +118,7 @@
     Some(Ports { first_attempt, used })
 }
 
-/// The proxy's ports in an exchange.
+/// The ports of the proxy in an exchange.
 #[derive(Debug)]
 struct Ports {
     first_attempt: u16,
--- a/crates/balancer-proxy/tests/forwarding.rs
+++ b/crates/balancer-proxy/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests forwarded to backends, and what clients get when an attempt fails.
+//! Requests forwarded to backends, and the responses that clients get when an attempt fails.
 
 mod common;
 
--- a/crates/balancer-proxy/tests/graceful_shutdown.rs
+++ b/crates/balancer-proxy/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown by SIGTERM: what has arrived completely on an open connection before the process
-//! is gone gets a response, and what is still arriving is waited for.
+//! Graceful shutdown by SIGTERM: a request that arrives completely on an open connection before the
+//! process is gone gets a response, and a request that is still arriving is waited for.
 
 mod common;
 
@@ -16,13 +16,13 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Sends a signal, given as an option of `kill`; returns whether that worked.
+/// Sends a signal, given as an option of `kill`. Returns whether the process existed.
 #[must_use]
 fn send_signal(child: &Child, signal: &str) -> bool {
     Command::new("kill").args([signal, &child.id().to_string()]).status().unwrap().success()
 }
 
-/// Waits until the proxy closes its idle connections, this one among them.
+/// Waits until the proxy closes its idle connections, including this one.
 fn wait_for_idle_close(idle: &mut BufReader<TcpStream>) {
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
 }
@@ -56,7 +56,7 @@
 
 #[test]
 fn keeps_idle_connections_open_until_a_proxy_restarted_before_is_back() {
-    // In a rolling restart the proxy before was seen to be back up to 2.2 s after the next signal.
+    // In a rolling restart, a proxy was seen to return up to 2.2 s after the signal to the next one.
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut idle = proxy.connect();
@@ -89,17 +89,17 @@
 struct PartialRequest {
     class: &'static str,
     /// Whether an earlier request was served on the connection.
-    after_another: bool,
+    follows_earlier_request: bool,
     /// The number of bytes that arrive late.
-    missing: usize,
+    late_bytes: usize,
 }
 
-/// The end of a head, of a later head, and of bodies.
+/// Requests that lack the end of a head, of a later head, or of a body.
 const PARTIAL_REQUESTS: [PartialRequest; 4] = [
-    PartialRequest { class: "look", after_another: false, missing: 30 },
-    PartialRequest { class: "look", after_another: true, missing: 30 },
-    PartialRequest { class: "order", after_another: false, missing: 1 },
-    PartialRequest { class: "save", after_another: true, missing: 1 },
+    PartialRequest { class: "look", follows_earlier_request: false, late_bytes: 30 },
+    PartialRequest { class: "look", follows_earlier_request: true, late_bytes: 30 },
+    PartialRequest { class: "order", follows_earlier_request: false, late_bytes: 1 },
+    PartialRequest { class: "save", follows_earlier_request: true, late_bytes: 1 },
 ];
 
 #[test]
@@ -109,15 +109,15 @@
     let mut idle = proxy.connect();
     assert_eq!(exchange(&mut idle, &request("look", 9000)).status(), 200);
     proxy.signal("-TERM");
-    // They have 2.4 s to arrive; the idle connections are closed 2.4 s after the signal.
+    // The requests have 2.4 s to arrive; the idle connections are closed 2.4 s after the signal.
     std::thread::sleep(Duration::from_millis(1500));
     let mut arriving = PARTIAL_REQUESTS.map(|partial| {
         let mut stream = proxy.connect();
-        if partial.after_another {
+        if partial.follows_earlier_request {
             assert_eq!(exchange(&mut stream, &request("look", 9000)).status(), 200);
         }
         let text = request(partial.class, 20_000).into_bytes();
-        let (first, rest) = text.split_at(text.len() - partial.missing);
+        let (first, rest) = text.split_at(text.len() - partial.late_bytes);
         stream.get_mut().write_all(first).unwrap();
         (stream, rest.to_vec(), partial)
     });
@@ -127,7 +127,7 @@
     std::thread::sleep(Duration::from_millis(700));
 
     for (stream, rest, partial) in &mut arriving {
-        let case = format!("{}, after another {}", partial.class, partial.after_another);
+        let case = format!("{}, after another {}", partial.class, partial.follows_earlier_request);
         let written = stream.get_mut().write_all(rest);
         let reply = read_message(stream).unwrap_or_else(|| panic!("{case}: no response, {written:?}"));
         assert!([200, 503].contains(&reply.status()), "{case}: {}", reply.start_line);
@@ -164,7 +164,7 @@
     let backend = StubServer::new(move |_, _| Reply::Hang);
     let mut proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut buffered = proxy.begin_request(&request("order", 20_000));
-    // A long body, which is complete only later.
+    // The body is long, and complete only later.
     let mut streamed = proxy.connect();
     let body = vec![b'x'; 100_000];
     let head = request_with_framing("save", &format!("Content-Length: {}\r\n\r\n", body.len() + 1));
@@ -174,7 +174,7 @@
 
     let start = Instant::now();
     proxy.signal("-TERM");
-    // Neither ends the graceful shutdown, nor delays it.
+    // Neither signal ends the graceful shutdown or delays it.
     proxy.signal("-TERM");
     proxy.signal("-HUP");
     streamed.get_mut().write_all(b"x").unwrap();
@@ -184,7 +184,7 @@
         assert!(reply.status() >= 500, "{}", reply.start_line);
         assert_eq!(reply.header("connection"), Some("close"));
     }
-    // Long before their deadline, as SIGKILL would come 3.7 s after the signal.
+    // The responses come long before the deadlines, as SIGKILL would come 3.7 s after the signal.
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     assert_eq!(exit_code(&mut proxy.child), Some(0));
 }
@@ -214,7 +214,7 @@
     let shared_address = SharedAddress::new();
     let mut configuration = configuration(&default_settings(), &serving_list(&[&backend]));
     let _old = shared_address.start(&configuration);
-    // While another process runs, it waits for a list before it listens, and this discovery is silent.
+    // While another process runs, the new one waits for a list before it listens; discovery is silent.
     let silent = silent_discovery();
     configuration["management"] = json!("127.0.0.1:0");
     let mut next = shared_address.spawn(&configuration, silent.address);
--- a/crates/balancer-proxy/tests/http_forms.rs
+++ b/crates/balancer-proxy/tests/http_forms.rs
@@ -8,7 +8,7 @@
 use common::stub_server::StubServer;
 use std::io::{Read, Write};
 
-/// A backend that sends an interim response before each final one, and no body to HEAD.
+/// Starts a backend that sends an interim response before each final one, and no body to HEAD.
 fn backend_with_interim_responses() -> StubServer {
     StubServer::with_connection_handler(|stream| {
         while let Some(message) = read_message(stream) {
@@ -47,7 +47,7 @@
     stream.get_mut().write_all(b"body").unwrap();
     assert_eq!(read_message(&mut stream).expect("a response").body, b"hello");
 
-    // HTTP/1.0 without a Connection header: the connection is closed behind the response.
+    // HTTP/1.0 without a Connection header: the connection is closed after the response.
     stream.get_mut().write_all(request("save", 9000).replace("HTTP/1.1", "HTTP/1.0").as_bytes()).unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
--- a/crates/balancer-proxy/tests/load_shedding.rs
+++ b/crates/balancer-proxy/tests/load_shedding.rs
@@ -23,8 +23,8 @@
     settings
 }
 
-/// Backends that respond after `response_time`. While `stuck` is set they do not respond, for
-/// `TEST_TIMEOUT` at most.
+/// Starts backends that respond after `response_time`. While `stuck` is set, the backends do not respond,
+/// for `TEST_TIMEOUT` at most.
 fn backends_that_get_stuck<const COUNT: usize>(
     stuck: &Arc<AtomicBool>,
     response_time: Duration,
@@ -46,7 +46,7 @@
     backends.iter().map(StubServer::request_count).sum()
 }
 
-/// A backend that responds after 50 ms, unless it is stuck.
+/// Starts a backend that responds after 50 ms, unless the backend is stuck.
 struct StallingBackend {
     server: StubServer,
     is_stuck: Arc<AtomicBool>,
@@ -71,7 +71,7 @@
     let cached_list = serving_list(&backends.each_ref().map(|backend| &backend.server));
     let proxy = ProxyProcess::start(&entry_settings(20.0), &cached_list, silent_discovery().address);
     let send = || proxy.exchange(&request("order", 19_000)).status();
-    // Sent two at a time, as single requests may all go to the backend that was faster by a little.
+    // Two requests are sent at a time: single ones may all go to the backend that was a little faster.
     wait_for("responses of each", || {
         std::thread::scope(|scope| {
             let clients = [(); 2].map(|()| scope.spawn(send));
@@ -80,7 +80,7 @@
         backends.iter().all(|backend| backend.server.request_count() > 1)
     });
 
-    // The backend to which the proxy sends the next request stays stuck, whichever that is.
+    // The backend to which the proxy happens to send the next request stays stuck.
     let counts_before = backends.each_ref().map(|backend| backend.server.request_count());
     let next_receiver =
         || (0..backends.len()).find(|index| backends[*index].server.request_count() > counts_before[*index]);
@@ -93,7 +93,7 @@
         let outlier = next_receiver().unwrap();
         backends[1 - outlier].set_stuck(false);
 
-        // Twenty times the usual latency, so that the silence shows.
+        // This is twenty times the usual latency, so that the silence shows.
         std::thread::sleep(Duration::from_secs(1));
         for _ in 0..5 {
             let clients = [(); 3].map(|()| scope.spawn(send));
@@ -152,7 +152,7 @@
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..30).map(|_| scope.spawn(send)).collect();
         wait_for("requests", || total_requests(&backends) > 32);
-        // Time for all of them to arrive, and far less than they may wait.
+        // All requests arrive in this time, which is far less than they may wait.
         std::thread::sleep(Duration::from_millis(500));
         // Not all are sent to the backend that is overloaded.
         assert!(total_requests(&backends) < 55, "{}", total_requests(&backends));
@@ -162,7 +162,7 @@
     });
 }
 
-/// What a client got, and when.
+/// The response that a client got, with its time.
 #[derive(Debug)]
 struct TimedResponse {
     status: u16,
--- a/crates/balancer-proxy/tests/malformed_clients.rs
+++ b/crates/balancer-proxy/tests/malformed_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that send malformed, incomplete or no requests: they soon get an error or a close, reach no
-//! backend, and keep no other client out.
+//! Clients that send malformed, incomplete or no requests: such clients soon get an error or a close, reach
+//! no backend, and keep no other client out.
 
 mod common;
 
@@ -14,20 +14,20 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// Waits for an error response or the end of the connection; returns the status, if any.
+/// Waits for an error response or the end of the connection. Returns the status of the response, if any.
 fn wait_for_error(stream: &mut BufReader<TcpStream>) -> Option<u16> {
     let status = read_message(stream).map(|reply| reply.status());
     assert!(status.is_none_or(|status| status >= 400), "{status:?}");
     status
 }
 
-/// A proxy with capacity for some twenty client connections.
+/// Starts a proxy with capacity for some twenty client connections.
 fn proxy_with_few_sockets(backend: &StubServer) -> ProxyProcess {
     ProxyProcess::with_socket_limit(&[backend], 64)
 }
 
-/// Sends a request on a new connection until one is served. What is closed or rejected for lack of
-/// capacity is repeated. Returns the connection.
+/// Sends a request on a new connection, again and again while it is closed or rejected for lack of
+/// capacity. Returns the connection on which the request is served.
 fn connect_until_served(proxy: &ProxyProcess) -> BufReader<TcpStream> {
     let mut stream = proxy.connect();
     wait_for("response", || {
@@ -46,7 +46,7 @@
 fn closes_connections_without_a_request_for_the_sake_of_others() {
     let backend = StubServer::responding_with("hello");
     let proxy = proxy_with_few_sockets(&backend);
-    // More of either kind than it has descriptors.
+    // The connections of either kind alone exceed the descriptors of the proxy.
     let idle: Vec<_> = (0..70).map(|_| connect_until_served(&proxy)).collect();
     let without_request: Vec<_> = (0..70).map(|_| proxy.connect()).collect();
 
@@ -64,7 +64,7 @@
 
     let without_request: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
 
-    // Those without a request are all closed in time; the one with a request is not.
+    // All connections without a request are closed in time; the connection with a request is not.
     for mut stream in without_request {
         assert_eq!(wait_for_error(&mut stream), None);
     }
@@ -80,7 +80,7 @@
     let start = Instant::now();
     let parts = ["", "GET /api HT", complete.strip_suffix("dy").unwrap()];
     let mut streams = parts.map(|part| proxy.begin_request(part));
-    // The same behind a request that has been served.
+    // The same holds after a request that has been served.
     let mut after_another = proxy.connect();
     assert_eq!(exchange(&mut after_another, &request("look", 9000)).status(), 200);
     after_another.get_mut().write_all(b"GET /api HT").unwrap();
@@ -128,7 +128,7 @@
 
         wait_for_error(&mut stream);
 
-        // Nor does anything behind it.
+        // The bytes after the malformed request do not reach a backend either.
         assert!(read_message(&mut stream).is_none(), "{framing}");
     }
     assert_eq!(backend.request_count(), 0);
@@ -142,7 +142,7 @@
         request("save", 9000).replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n");
     let mut stream = proxy.begin_request(&text);
 
-    // The response comes although nothing of the body has been sent, and then the end.
+    // The response comes although no byte of the body has been sent, and then the connection ends.
     let reply = read_message(&mut stream).expect("a response");
 
     assert_eq!((reply.status(), reply.header("connection")), (413, Some("close")));
@@ -260,7 +260,7 @@
     first.get_mut().write_all(text.as_bytes()).unwrap();
     wait_for("attempt", || backend.request_count() == 1);
 
-    // Both have arrived when the process goes on, and in this order.
+    // Both have arrived, in this order, when the process goes on.
     proxy.signal("-STOP");
     second.get_mut().write_all(text.as_bytes()).unwrap();
     SockRef::from(first.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
--- a/crates/balancer-proxy/tests/queued_client_disconnects.rs
+++ b/crates/balancer-proxy/tests/queued_client_disconnects.rs
@@ -1,5 +1,6 @@
 //! Clients that disconnect while their request is queued in the proxy: behind another request of the
-//! connection, of the ordering key or of the same id, or for capacity. It is then never forwarded.
+//! connection, of the ordering key or of the same id, or for capacity. The request is then never
+//! forwarded.
 
 mod common;
 
@@ -27,7 +28,7 @@
 /// A proxy whose class `look` keeps the order of a key, with one request of that class in flight.
 struct OccupiedKey {
     proxy: ProxyProcess,
-    /// Holds its response to the first request until it is released.
+    /// Holds the response to the first request until the response is released.
     backend: StubServer,
     /// The connection whose client waits for the first response.
     first_client: BufReader<TcpStream>,
@@ -41,7 +42,7 @@
 }
 
 impl HeldResponse {
-    /// Lets the backend respond, and returns when it has written the response.
+    /// Lets the backend respond, and returns once the response has been written.
     fn write(self) {
         self.release.send(()).unwrap();
         self.written.recv_timeout(TEST_TIMEOUT).unwrap();
@@ -59,7 +60,7 @@
     }
 }
 
-/// A backend that holds its first response, on whichever connection.
+/// Starts a backend that holds its first response, on any connection.
 fn backend_with_held_response() -> (StubServer, HeldResponse) {
     let (release, released) = channel::<()>();
     let (report_write, written) = channel();
@@ -101,7 +102,7 @@
     }
 }
 
-/// The limit on sockets where the test does not need a low one.
+/// The limit on sockets in tests that need no low limit.
 const AMPLE_SOCKETS: u64 = 1024;
 
 #[test]
@@ -205,8 +206,8 @@
     }
 }
 
-/// Opens connections with a request each until the proxy rejects one for lack of capacity. Returns
-/// those that wait behind the first, and the rejected one.
+/// Opens connections with a request each until the proxy rejects a request for lack of capacity. Returns
+/// the connections that wait behind the first, and the rejected one.
 fn fill_client_connections(
     proxy: &ProxyProcess,
     first_client: BufReader<TcpStream>,
@@ -223,14 +224,14 @@
 
 fn disconnects_while_connections_are_at_their_limit(disconnect: Disconnect) {
     let OccupiedKey { proxy, backend, first_client, first_response } = OccupiedKey::new(true, 64);
-    // The limit is reached by requests that wait behind the first, and by connections without one.
+    // The limit is reached by requests that wait behind the first, and by connections without a request.
     let (mut waiting, rejected) = fill_client_connections(&proxy, first_client);
     let without_request: Vec<_> = (0..waiting.len() / 7 + 2).map(|_| proxy.connect()).collect();
     let awaits_close = |port| sockets_to_port(port, CLOSE_WAIT) == 1;
 
     let (readable_stream, mut remaining_client) = proxy.while_stopped(|| {
-        // Two clients come, one of which disconnects. Then there is capacity for both, as others have
-        // disconnected, and the connections without a request have been idle for long.
+        // Two clients come, and one of them disconnects. Then capacity for both becomes free, as others
+        // have disconnected, and the connections without a request have been idle for long.
         let (mut stream, mut remaining_client) = (proxy.connect(), proxy.connect());
         let port = stream.get_ref().local_addr().unwrap().port();
         stream.get_mut().write_all(disconnect.written_text(&request("order", 20_000)).as_bytes()).unwrap();
@@ -267,7 +268,7 @@
         let connecting = proxy.begin_request(&request("order", 20_000));
         wait_for("connection attempt", || backend.has_pending_connection());
 
-        // Another request is in the listener's backlog, its client gone, as the signal comes.
+        // As the signal comes, another request is in the listener's backlog, and its client is gone.
         let readable_streams = proxy.while_stopped(|| {
             let in_backlog = proxy.begin_request(&request("order", 20_000));
             proxy.signal("-TERM");
--- a/crates/balancer-proxy/tests/race_conditions.rs
+++ b/crates/balancer-proxy/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Two events that end a request at the same moment: both happen while the process is stopped. Whichever
-//! the proxy handles first, each request has one final response, one outcome and one count.
+//! Two events that end a request at the same moment, as both happen while the process is stopped. In
+//! either order of their handling, each request has one final response, one outcome and one count.
 
 mod common;
 
@@ -79,7 +79,7 @@
             None => assert!(counts.iter().sum::<u64>() <= 1),
         }
         assert_eq!(proxy.stats()["forwards"], json!(1), "an unsafe request has one attempt");
-        // Nothing more comes of it on its connection, and the proxy goes on.
+        // No second response comes on the connection, and the proxy goes on.
         drop(release_response);
         if let Some(mut stream) = client {
             assert_eq!(exchange(&mut stream, READINESS_REQUEST).status(), 200);
@@ -132,13 +132,13 @@
         [listed_endpoint("s-0", late.address, "SERVING"), listed_endpoint("s-1", failing.address, "SERVING")];
     let cached_list = endpoint_list(1, true, &endpoints);
     let mut retries_seen = 0;
-    // Which of the two members comes first is drawn; that it is the late one each time is next to
-    // impossible.
+    // The proxy draws the member to which it sends first; that it draws the late one each time is next
+    // to impossible.
     for _ in 0..20 {
         let proxy = ProxyProcess::start(&settings, &cached_list, silent_discovery().address);
         let failed_before = failing.request_count();
         let mut stream = proxy.connect();
-        // Its timer fires 1.6 s after its arrival, well inside the window, and it has 4 s in all.
+        // The timer fires 1.6 s after the arrival, well inside the window; the request has 4 s in all.
         stream.get_mut().write_all(request("save", 4000).as_bytes()).unwrap();
         wait_for("connection attempt", || late.has_pending_connection());
         if failing.request_count() == failed_before {
--- a/crates/balancer-proxy/tests/request_streaming.rs
+++ b/crates/balancer-proxy/tests/request_streaming.rs
@@ -1,4 +1,4 @@
-//! Request bodies: streamed where they are long, buffered where they are short, and sent by slow clients.
+//! Request bodies: long ones are streamed, short ones are buffered, and slow clients are served.
 
 mod common;
 
@@ -102,13 +102,13 @@
     wait_for_disconnect(&disconnected);
 }
 
-/// A part of a request, and the pause behind it.
+/// A part of a request, with the pause after the part.
 struct PacedPart {
     bytes: Vec<u8>,
     pause: Duration,
 }
 
-/// The bytes in parts of this length with the same pause behind each.
+/// Divides bytes into parts of this length, with the same pause after each part.
 fn paced(bytes: &[u8], part_length: usize, pause: Duration) -> Vec<PacedPart> {
     bytes.chunks(part_length).map(|part| PacedPart { bytes: part.to_vec(), pause }).collect()
 }
@@ -117,7 +117,7 @@
 fn serves_slow_clients() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
-    // A head and a short body that take 2 s together, and a long body at 100 kB a second.
+    // A head and a short body take 2 s together; a long body arrives at 100 kB a second.
     let text = request("save", 9000);
     let short = paced(text.as_bytes(), text.len() / 19, Duration::from_millis(100));
     let body = pattern(300_000);
--- a/crates/balancer-proxy/tests/response_streaming.rs
+++ b/crates/balancer-proxy/tests/response_streaming.rs
@@ -1,4 +1,5 @@
-//! Response bodies: forwarded before they are complete, and recognizably incomplete if they stay so.
+//! Response bodies, which are forwarded before they are complete, and which a client can recognise as
+//! incomplete if they break off.
 
 mod common;
 
@@ -13,8 +14,8 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::Duration;
 
-/// A backend that responds with these headers and this encoded body, and pauses in the middle until
-/// the returned sender sends. It closes the connection there when the sender is dropped.
+/// Starts a backend that responds with these headers and this encoded body, and pauses in the middle until
+/// the returned sender sends. If the sender is dropped, the backend closes the connection there.
 fn backend_that_pauses(headers: String, encoded_body: Vec<u8>) -> (StubServer, Sender<()>) {
     let (release, released) = channel();
     let released = Mutex::new(released);
@@ -50,7 +51,7 @@
 
             assert_eq!((head.status(), head.header("content-type")), (200, Some("text/x")), "{framing}");
             assert_eq!(head.header("x-other"), Some("y"), "{framing}");
-            // The body begins before the backend goes on.
+            // The beginning of the body arrives before the backend goes on.
             assert!(!stream.fill_buf().unwrap().is_empty());
             release.send(()).unwrap();
             assert!(read_body(&mut stream, &head).expect("a body") == body, "{framing}");
@@ -76,7 +77,7 @@
         drop(release);
 
         assert!(read_body(&mut stream, &head).is_none());
-        // It counts as failed, and is not retried.
+        // The request counts as failed, and is not retried.
         wait_for("count", || proxy.stats()["results"]["order"]["aborted"] == 1);
         assert_eq!(proxy.stats()["outstanding"], 0);
         assert_eq!(proxy.stats()["forwards"], 1);
--- a/crates/balancer-proxy/tests/streaming_memory.rs
+++ b/crates/balancer-proxy/tests/streaming_memory.rs
@@ -10,17 +10,17 @@
 use common::waiting::{TEST_TIMEOUT, wait_for};
 use std::io::Write;
 
-/// The memory that a proxy may use while many long bodies are streamed, in kilobytes.
+/// Upper bound on the memory of a proxy while many long bodies are streamed, in kilobytes.
 const MAX_MEMORY_KB: usize = 32 << 10;
 
-/// The resident memory of the process in kilobytes.
+/// Returns the resident memory of the process in kilobytes.
 fn memory_kb(proxy: &ProxyProcess) -> usize {
     let status = std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).unwrap();
     let line = status.lines().find(|line| line.starts_with("VmRSS")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// A backend that responds with this long body, and reads no body of a POST during the test.
+/// Starts a backend that responds with this long body, and reads no body of a POST during the test.
 fn backend_with_long_response(body: &'static [u8]) -> StubServer {
     StubServer::with_connection_handler(move |stream| {
         let Some(head) = read_head(stream) else { return };
--- a/crates/balancer-proxy/tests/withheld_last_byte.rs
+++ b/crates/balancer-proxy/tests/withheld_last_byte.rs
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Everything that has arrived over a connection.
+/// All bytes that have arrived over a connection.
 fn read_available(stream: &mut TcpStream) -> String {
     let mut buffer = [0; 4096];
     stream.set_nonblocking(true).unwrap();
@@ -64,13 +64,13 @@
             assert!(!poll_attempt().await);
             received += &read_available(&mut stream);
         }
-        // The time for which the byte is withheld passes, which the process notices long after.
+        // The time for which the byte is withheld passes, and the process notices the end long after.
         let_runtime_run().await;
         std::thread::sleep(Duration::from_millis(200));
         assert!(!poll_attempt().await);
         assert_eq!(read_available(&mut stream), "", "the client may have disconnected meanwhile");
         assert!(!written.is_set());
-        // If it has not, the request is sent, however slow the process may be.
+        // If the client has not disconnected, the request is sent, however slow the process may be.
         let_runtime_run().await;
         std::thread::sleep(Duration::from_millis(200));
         assert!(!poll_attempt().await);
