--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -4,7 +4,7 @@
     T1, TIMEOUT, attempt, backend_indices, call_of, request, request_class, safe_call, settings_with_effect,
 };
 use crate::decisions::calls::{Call, CallTable, InitialState};
-use crate::interface::{Effect, Outcome, Request, Settings, Tenant, Time};
+use crate::interface::{AttemptNumber, Effect, Outcome, Request, Settings, Tenant, Time};
 use crate::support::tests::assertions::assert_close;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -100,9 +100,9 @@
     let states = |call: &Call| [call.has_reached_no_backend(), call.has_attempt_in_flight()];
 
     let in_flight = states(&call);
-    call.record_outcome(1, Outcome::NoConnection);
+    call.record_outcome(AttemptNumber(1), Outcome::NoConnection);
     let without_connection = states(&call);
-    call.record_outcome(1, Outcome::Rejected);
+    call.record_outcome(AttemptNumber(1), Outcome::Rejected);
     let rejected = states(&call);
 
     assert_eq!(in_flight, [false, true]);
--- a/crates/balancer/tests/concerns/ordered_keys.rs
+++ b/crates/balancer/tests/concerns/ordered_keys.rs
@@ -3,7 +3,7 @@
 use super::fixtures::{attempt, backend_indices, call_keys, safe_call};
 use crate::decisions::calls::{Call, CallKey};
 use crate::decisions::ordered_keys::{OrderedKeys, may_still_run};
-use crate::interface::{Outcome, RequestId, Time};
+use crate::interface::{AttemptNumber, Outcome, RequestId, Time};
 
 /// An ordering key.
 const KEY: u64 = 7;
@@ -64,8 +64,8 @@
 
     keys.remove(KEY, ended, &call_with_attempt(None));
     let while_in_flight = next_key(&keys);
-    let settled = keys.settle_orphan(RequestId(1), 0);
-    let settled_again = keys.settle_orphan(RequestId(1), 0);
+    let settled = keys.settle_orphan(RequestId(1), AttemptNumber(0));
+    let settled_again = keys.settle_orphan(RequestId(1), AttemptNumber(0));
 
     assert_eq!(while_in_flight, None);
     assert_eq!(settled, Some(KEY));
@@ -83,7 +83,7 @@
     keys.remove(KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
 
     assert_eq!(next_key(&keys), Some(waiting));
-    assert_eq!(keys.settle_orphan(RequestId(1), 0), None);
+    assert_eq!(keys.settle_orphan(RequestId(1), AttemptNumber(0)), None);
 }
 
 #[test]
