--- a/crates/balancer-proxy/src/process/mod.rs
+++ b/crates/balancer-proxy/src/process/mod.rs
@@ -26,7 +26,7 @@
 use crate::control::config::{Config, FileStamp, LoadMode};
 use crate::control::management::MAX_MANAGEMENT_CONNECTIONS;
 use crate::control::reload::{ReloadTargets, Reloader};
-use crate::downstream::server;
+use crate::downstream::server::{self, AddressSharing};
 use crate::limits::{Capacities, OtherProcess};
 use crate::log;
 use std::rc::Rc;
@@ -65,7 +65,8 @@
     if other_process.is_running() {
         proxy.wait_for_endpoint_list().await;
     }
-    let listener = server::bind(config.listen, has_management)?;
+    let sharing = if has_management { AddressSharing::Shared } else { AddressSharing::Exclusive };
+    let listener = server::bind(config.listen, sharing)?;
     log!("balancer-proxy: listening on {}", listener.local_addr()?);
 
     let targets = ReloadTargets {
--- a/crates/fleet-bench/tests/common/mod.rs
+++ b/crates/fleet-bench/tests/common/mod.rs
@@ -12,7 +12,7 @@
         let directory = program.parent().unwrap();
         let mut build = Command::new(env!("CARGO"));
         build.args(["build", "--locked", "--bin", "balancer-proxy", "--manifest-path"]);
-        build.arg(concat!(env!("CARGO_MANIFEST_DIR"), "/../Cargo.toml"));
+        build.arg(concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml"));
         build.arg("--target-dir").arg(directory.parent().unwrap());
         if directory.ends_with("release") {
             build.arg("--release");
