--- a/crates/balancer-proxy/src/downstream/request.rs
+++ b/crates/balancer-proxy/src/downstream/request.rs
@@ -43,7 +43,7 @@
 impl ParsedRequest {
     /// Returns the name of the request's class.
     pub(super) fn class(&self) -> &str {
-        &self.settings.proxy.classes[self.head.request.class]
+        self.settings.proxy.class_name(self.head.request.class)
     }
 
     /// Returns the id that the client gave the request.
@@ -113,7 +113,7 @@
     check_target(&parts.uri)?;
     let head = ParsedHead::parse(&parts.method, &parts.headers, &settings)?;
     let Some(body_permit) = body_budget.try_acquire(buffered_bytes(length)) else {
-        let class = settings.proxy.classes[head.request.class].clone();
+        let class = settings.proxy.class_name(head.request.class).to_string();
         return Err(RequestError::BodyCapacityExhausted { class });
     };
     let body = read_body(body, length, received_head).await?;
--- a/crates/balancer-proxy/src/downstream/request_head.rs
+++ b/crates/balancer-proxy/src/downstream/request_head.rs
@@ -1,8 +1,8 @@
 //! Parses the method and headers of a client's request into the form that the decision module sees.
 
 use super::request_error::RequestError;
-use crate::settings::SettingsSnapshot;
-use balancer::{Effect, Request, RequestId, Time};
+use crate::settings::{ProxySettings, SettingsSnapshot};
+use balancer::{ClassIndex, Effect, Request, RequestId, TenantIndex, Time};
 use hyper::Method;
 use hyper::header::HeaderMap;
 
@@ -38,9 +38,9 @@
     ) -> Result<Self, RequestError> {
         single_value(headers, "host")?;
         let client_request_id = parse_client_request_id(headers)?;
-        let class_index = parse_class_index(headers, &settings.proxy.classes)?;
-        let tenant = parse_tenant_index(headers, &settings.proxy.tenants)?;
-        let class = &settings.balancer.classes[class_index];
+        let class_index = parse_class_index(headers, &settings.proxy)?;
+        let tenant = parse_tenant_index(headers, &settings.proxy)?;
+        let class = settings.balancer.class(class_index);
         let timeout = parse_timeout(headers, class.max_timeout)?;
         let idempotency_key = single_value(headers, "idempotency-key")?;
         check_method(method, class.effect)?;
@@ -86,23 +86,21 @@
         .ok_or(invalid_header("X-Txn", "16 hex digits"))
 }
 
-/// Returns the index of a name among the names of the settings.
-fn index_of(name: &str, names: &[String]) -> Option<usize> {
-    names.iter().position(|candidate| candidate == name)
-}
-
 /// Returns the index of the request's class.
-fn parse_class_index(headers: &HeaderMap, classes: &[String]) -> Result<usize, RequestError> {
+fn parse_class_index(headers: &HeaderMap, settings: &ProxySettings) -> Result<ClassIndex, RequestError> {
     single_value(headers, "x-lane")?
-        .and_then(|name| index_of(name, classes))
+        .and_then(|name| settings.class_index(name))
         .ok_or(invalid_header("X-Lane", "a known class"))
 }
 
 /// Returns the index of the request's tenant. The header is ignored where the settings name no tenants.
-fn parse_tenant_index(headers: &HeaderMap, tenants: &[String]) -> Result<Option<usize>, RequestError> {
+fn parse_tenant_index(
+    headers: &HeaderMap,
+    settings: &ProxySettings,
+) -> Result<Option<TenantIndex>, RequestError> {
     match single_value(headers, "x-org")? {
-        Some(name) if !tenants.is_empty() => {
-            let index = index_of(name, tenants).ok_or(invalid_header("X-Org", "a known tenant"))?;
+        Some(name) if !settings.tenants.is_empty() => {
+            let index = settings.tenant_index(name).ok_or(invalid_header("X-Org", "a known tenant"))?;
             Ok(Some(index))
         }
         _ => Ok(None),
--- a/crates/balancer-proxy/src/settings.rs
+++ b/crates/balancer-proxy/src/settings.rs
@@ -3,7 +3,7 @@
 //! Each open request refers to the snapshot that it was accepted with, so that a reload never changes
 //! a request half way.
 
-use balancer::{Settings, Time};
+use balancer::{ClassIndex, Settings, TenantIndex, Time};
 use std::time::Duration;
 use thiserror::Error;
 
@@ -96,3 +96,27 @@
     /// Maximum number of requests that may be open at once.
     pub max_open_requests: usize,
 }
+
+impl ProxySettings {
+    /// Returns the index of the class with this name.
+    #[must_use]
+    pub fn class_index(&self, name: &str) -> Option<ClassIndex> {
+        self.classes.iter().position(|class| class == name).map(ClassIndex)
+    }
+
+    /// Returns the name of the class with this index.
+    ///
+    /// # Panics
+    ///
+    /// If the settings have no class with this index.
+    #[must_use]
+    pub fn class_name(&self, index: ClassIndex) -> &str {
+        &self.classes[index.0]
+    }
+
+    /// Returns the index of the tenant with this name.
+    #[must_use]
+    pub fn tenant_index(&self, name: &str) -> Option<TenantIndex> {
+        self.tenants.iter().position(|tenant| tenant == name).map(TenantIndex)
+    }
+}
--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -5,7 +5,7 @@
 use super::admission_queue::{AdmissionQueue, Rank};
 use super::quotas::QuotaStatus;
 use super::traffic::Traffic;
-use crate::interface::{Request, Settings, Time};
+use crate::interface::{ClassIndex, Request, Settings, Time};
 use crate::support::DecayingRate;
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -60,22 +60,22 @@
 impl Admission {
     /// Adopts new classes. `previous` has the index of each class in the settings before, if it was
     /// there; such a class keeps its arrival rates.
-    pub fn apply_settings(&mut self, previous: &[Option<usize>], now: Time) {
+    pub fn apply_settings(&mut self, previous: &[Option<ClassIndex>], now: Time) {
         let fresh = ArrivalRates::starting_at(now);
-        let arrivals = previous.iter().map(|class| class.map_or(fresh, |class| self.arrivals[class]));
+        let arrivals = previous.iter().map(|class| class.map_or(fresh, |class| self.arrivals[class.0]));
         self.arrivals = arrivals.collect();
     }
 
     /// Counts a request of a class.
-    pub fn record_arrival(&mut self, class: usize, quota: QuotaStatus, now: Time, time_constant: Time) {
-        self.arrivals[class].get_mut(quota).record(now, time_constant);
+    pub fn record_arrival(&mut self, class: ClassIndex, quota: QuotaStatus, now: Time, time_constant: Time) {
+        self.arrivals[class.0].get_mut(quota).record(now, time_constant);
     }
 
     /// Returns the rank of a request of a class. Among requests of equal priority the rank is drawn at
     /// random.
     pub fn rank(
         &self,
-        class: usize,
+        class: ClassIndex,
         quota: QuotaStatus,
         now: Time,
         settings: &Settings,
@@ -87,6 +87,7 @@
         let mut equal = 0.0;
         let mut all = 0.0;
         for (other_class, arrivals) in self.arrivals.iter().enumerate() {
+            let other_class = ClassIndex(other_class);
             for other_quota in [QuotaStatus::Within, QuotaStatus::Exceeded] {
                 // A copy, so that the recorded rate decays at arrivals only.
                 let mut rate = arrivals.get(other_quota);
@@ -115,26 +116,26 @@
 }
 
 /// Returns the priority weight of a request over the work that the request takes a backend.
-fn priority_per_work(class: usize, quota: QuotaStatus, settings: &Settings, traffic: &Traffic) -> f64 {
+fn priority_per_work(class: ClassIndex, quota: QuotaStatus, settings: &Settings, traffic: &Traffic) -> f64 {
     let quota_weight = match quota {
         QuotaStatus::Within => 1.0,
         QuotaStatus::Exceeded => settings.over_quota_weight,
     };
     let work = traffic.expected_latency(class).max(settings.quantum);
-    quota_weight * settings.classes[class].priority_weight / work
+    quota_weight * settings.class(class).priority_weight / work
 }
 
 /// Returns the time in which a response to a request is of use, in seconds. A response must be out before
 /// the client gives up. Where a late response is worth nothing, a call that waits for one only keeps
 /// backends busy.
 pub(super) fn useful_timeout(request: &Request, settings: &Settings) -> Time {
-    let class = &settings.classes[request.class];
+    let class = settings.class(request.class);
     let timeout = request.timeout - RESPONSE_QUANTA * settings.quantum;
     if class.late_priority_weight <= 0.0 { timeout.min(class.latency_objective) } else { timeout }
 }
 
 /// Returns the least time left with which a call of a class is dispatched, in seconds.
-pub(super) fn min_time_left(class: usize, traffic: &Traffic) -> Time {
+pub(super) fn min_time_left(class: ClassIndex, traffic: &Traffic) -> Time {
     MIN_TIME_LEFT_FRACTION * traffic.expected_latency(class)
 }
 
--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -6,14 +6,14 @@
 use crate::decisions::calls::{Call, CallKey, InitialState};
 use crate::decisions::retransmission::first_interval;
 use crate::decisions::timer::Timer;
-use crate::interface::{Action, Request, RequestId, Time};
+use crate::interface::{Action, ClassIndex, Request, RequestId, Time};
 
 impl Balancer {
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let timeout = useful_timeout(&request, &self.settings);
         let rank = self.record_arrival(&request);
         let t1 = self.t1(request.class, timeout);
-        let ordering_key = request.key.filter(|_| self.settings.classes[request.class].ordered_by_key);
+        let ordering_key = request.key.filter(|_| self.settings.class(request.class).ordered_by_key);
         let must_wait = !self.admits(rank);
         let is_too_late = timeout <= self.min_timeout(request.class, ordering_key);
         if is_too_late || must_wait && ordering_key.is_some() {
@@ -46,13 +46,13 @@
 
     /// Returns the timeout in seconds up to which a request is rejected, as its response would come too
     /// late: the least time left for the request and for each request of its ordering key that is ahead.
-    fn min_timeout(&self, class: usize, ordering_key: Option<u64>) -> Time {
+    fn min_timeout(&self, class: ClassIndex, ordering_key: Option<u64>) -> Time {
         let ahead = ordering_key.map_or(0, |key| self.ordered_keys.queue_len(key));
         min_time_left(class, &self.traffic) * (ahead + 1) as f64
     }
 
     /// Returns T1 in seconds for a call of a class with this time left, in seconds.
-    fn t1(&self, class: usize, time_left: Time) -> Time {
+    fn t1(&self, class: ClassIndex, time_left: Time) -> Time {
         first_interval(self.traffic.latency(class), time_left, self.settings.quantum)
     }
 
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -2,7 +2,9 @@
 
 use crate::decisions::attempts::Attempt;
 use crate::decisions::retransmission::RetryTimer;
-use crate::interface::{AttemptNumber, Outcome, Request, RequestClass, RequestId, Settings, Time};
+use crate::interface::{
+    AttemptNumber, ClassIndex, Outcome, Request, RequestClass, RequestId, Settings, TenantIndex, Time,
+};
 use crate::support::BackendIndex;
 use rand::rngs::SmallRng;
 use std::sync::Arc;
@@ -25,11 +27,11 @@
     /// The settings in force at the arrival, which hold for the call until its end.
     settings: Arc<Settings>,
     /// The index of the class in these settings.
-    class: usize,
+    class: ClassIndex,
     /// The index of the class in the settings now in force, by which latencies are kept.
-    current_class: usize,
+    current_class: ClassIndex,
     /// The index of the tenant in the settings now in force.
-    tenant: Option<usize>,
+    tenant: Option<TenantIndex>,
     /// The time of the arrival, or of the dispatch if the call was queued, in seconds.
     dispatched_at: Time,
     /// The time by which the final response is due, in seconds; infinite while the body is being received.
@@ -89,17 +91,17 @@
 
     /// Returns the class of the call, by the settings in force at its arrival.
     pub fn request_class(&self) -> &RequestClass {
-        &self.settings.classes[self.class]
+        self.settings.class(self.class)
     }
 
     /// Returns the index of the class in the settings now in force; their number of classes if the class no
     /// longer exists.
-    pub fn current_class(&self) -> usize {
+    pub fn current_class(&self) -> ClassIndex {
         self.current_class
     }
 
     /// Returns the index of the tenant in the settings now in force, if the call has one.
-    pub fn tenant(&self) -> Option<usize> {
+    pub fn tenant(&self) -> Option<TenantIndex> {
         self.tenant
     }
 
@@ -214,7 +216,7 @@
     /// Follows a change of settings, in which classes and tenants may get other indices.
     pub(super) fn follow_settings(&mut self, old: &Settings, new: &Settings) {
         let class = new.class_index(&self.request_class().name);
-        self.current_class = class.unwrap_or(new.classes.len());
-        self.tenant = self.tenant.and_then(|tenant| new.tenant_index(&old.tenants[tenant].name));
+        self.current_class = class.unwrap_or(ClassIndex(new.classes.len()));
+        self.tenant = self.tenant.and_then(|tenant| new.tenant_index(&old.tenant(tenant).name));
     }
 }
--- a/crates/balancer/src/decisions/quotas.rs
+++ b/crates/balancer/src/decisions/quotas.rs
@@ -1,6 +1,6 @@
 //! Quotas: whether a request lies within the quota of its tenant.
 
-use crate::interface::{Settings, Tenant, Time};
+use crate::interface::{Settings, Tenant, TenantIndex, Time};
 use crate::support::TokenBucket;
 
 /// The time for which the unused quota of a tenant is kept, in seconds. Quotas are given per second.
@@ -44,13 +44,13 @@
 impl Quotas {
     /// Applies new settings. `previous` has the index of each tenant in the settings before, if it was
     /// there; such a tenant keeps the quota that it has left.
-    pub fn apply_settings(&mut self, settings: &Settings, previous: &[Option<usize>], now: Time) {
+    pub fn apply_settings(&mut self, settings: &Settings, previous: &[Option<TenantIndex>], now: Time) {
         let instances = settings.instance_count.max(1) as f64;
         let mut quotas = Vec::with_capacity(settings.tenants.len());
         for (tenant, previous) in settings.tenants.iter().zip(previous) {
             let mut quota = Quota::new(tenant, instances, now);
             if let Some(previous) = *previous {
-                quota.available = self.quotas[previous].available;
+                quota.available = self.quotas[previous.0].available;
             }
             quotas.push(quota);
         }
@@ -58,8 +58,8 @@
     }
 
     /// Returns whether a request of a tenant, if it has one, lies within the quota at `now`.
-    pub fn status(&mut self, tenant: Option<usize>, now: Time) -> QuotaStatus {
-        let Some(quota) = tenant.and_then(|tenant| self.quotas.get_mut(tenant)) else {
+    pub fn status(&mut self, tenant: Option<TenantIndex>, now: Time) -> QuotaStatus {
+        let Some(quota) = tenant.and_then(|tenant| self.quotas.get_mut(tenant.0)) else {
             return QuotaStatus::Within;
         };
         let available = quota.available.refill(now, quota.requests_per_second, quota.burst);
@@ -69,8 +69,8 @@
     /// Takes one request from the quota of a tenant, if the request has one. Called for admitted requests
     /// only: clients retry rejected requests, and under overload these retries would put every tenant
     /// over its quota.
-    pub fn consume(&mut self, tenant: Option<usize>) {
-        if let Some(quota) = tenant.and_then(|tenant| self.quotas.get_mut(tenant)) {
+    pub fn consume(&mut self, tenant: Option<TenantIndex>) {
+        if let Some(quota) = tenant.and_then(|tenant| self.quotas.get_mut(tenant.0)) {
             quota.available.take_available();
         }
     }
--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -1,7 +1,7 @@
 //! The traffic of this balancer: the rates of sends and successful responses, and the expected latencies.
 
 use super::retransmission::MAX_T1_FRACTION;
-use crate::interface::{Settings, Time};
+use crate::interface::{ClassIndex, Settings, Time};
 use crate::support::{DecayingRate, LatencyEstimate};
 
 /// The time constant of rates, in T1s of the class with the longest objective: the paper's weight with
@@ -57,9 +57,9 @@
 
     /// Adopts new classes. `previous` has the index of each class in the settings before, if it was
     /// there; such a class keeps its expected latency.
-    pub fn apply_settings(&mut self, settings: &Settings, previous: &[Option<usize>]) {
+    pub fn apply_settings(&mut self, settings: &Settings, previous: &[Option<ClassIndex>]) {
         let unknown = LatencyEstimate::default();
-        let latencies = previous.iter().map(|class| class.map_or(unknown, |class| self.latencies[class]));
+        let latencies = previous.iter().map(|class| class.map_or(unknown, |class| self.latencies[class.0]));
         self.latencies = latencies.chain([unknown]).collect();
         // Rates are counts over this, which must not be 0 whatever the settings are.
         let least = settings.quantum.max(f64::EPSILON);
@@ -83,9 +83,9 @@
     }
 
     /// Records the latency of a successful attempt of a class with an `objective`, both in seconds.
-    pub fn record_latency(&mut self, class: usize, latency: Time, objective: Time, load: LoadState) {
+    pub fn record_latency(&mut self, class: ClassIndex, latency: Time, objective: Time, load: LoadState) {
         let latency = latency.min(MAX_EXPECTED_LATENCY_FRACTION * objective);
-        for estimate in [&mut self.latencies[class], &mut self.overall_latency] {
+        for estimate in [&mut self.latencies[class.0], &mut self.overall_latency] {
             let weight = sample_weight(estimate.samples() + 1.0, load);
             estimate.record(latency, weight);
         }
@@ -104,13 +104,13 @@
     }
 
     /// Returns the latency estimate of a class.
-    pub fn latency(&self, class: usize) -> &LatencyEstimate {
-        &self.latencies[class]
+    pub fn latency(&self, class: ClassIndex) -> &LatencyEstimate {
+        &self.latencies[class.0]
     }
 
     /// Returns the expected latency of a class, in seconds; 0 if none has been observed.
-    pub fn expected_latency(&self, class: usize) -> Time {
-        self.latencies[class].mean()
+    pub fn expected_latency(&self, class: ClassIndex) -> Time {
+        self.latencies[class.0].mean()
     }
 
     /// Returns the expected latency over all classes, in seconds; 0 if none has been observed.
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -2,7 +2,7 @@
 
 use super::action::TimerToken;
 use super::endpoint::EndpointUpdate;
-use super::ids::{AttemptNumber, BackendId, RequestId, Time};
+use super::ids::{AttemptNumber, BackendId, ClassIndex, RequestId, TenantIndex, Time};
 use super::settings::Settings;
 
 /// A request that has arrived.
@@ -11,9 +11,9 @@
     /// The id of the request.
     pub id: RequestId,
     /// The index of its class in the settings in force.
-    pub class: usize,
+    pub class: ClassIndex,
     /// The index of its tenant in the settings in force, where a deployment has tenants.
-    pub tenant: Option<usize>,
+    pub tenant: Option<TenantIndex>,
     /// The ordering key, which has an effect only where the class is ordered by key.
     pub key: Option<u64>,
     /// The time until the client gives up, in seconds. The time of a streamed body starts at the end of the
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Times, and the identifiers of requests, attempts and backends.
+//! Times, and the identifiers of requests, attempts, classes, tenants and backends.
 
 /// A point in time or a span of time, in seconds. The caller chooses the origin of the clock.
 pub type Time = f64;
@@ -12,6 +12,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendId(pub u32);
 
+/// The index of a class among the classes of the settings.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ClassIndex(pub usize);
+
+/// The index of a tenant among the tenants of the settings.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct TenantIndex(pub usize);
+
 /// The number of an attempt among the attempts of its request, from 0, in the order of the sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptNumber(pub usize);
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a balancer. Their names in the configuration are those of the protocol page; see
 //! `docs/GLOSSARY.md`.
 
-use super::ids::Time;
+use super::ids::{ClassIndex, TenantIndex, Time};
 
 /// The backends that recognise a repeat of a request which one of them has processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -130,16 +130,34 @@
 }
 
 impl Settings {
+    /// Returns the class with this index.
+    ///
+    /// # Panics
+    /// If the settings have no class with this index.
+    #[must_use]
+    pub fn class(&self, index: ClassIndex) -> &RequestClass {
+        &self.classes[index.0]
+    }
+
+    /// Returns the tenant with this index.
+    ///
+    /// # Panics
+    /// If the settings have no tenant with this index.
+    #[must_use]
+    pub fn tenant(&self, index: TenantIndex) -> &Tenant {
+        &self.tenants[index.0]
+    }
+
     /// Returns the index of the class with this name.
     #[must_use]
-    pub fn class_index(&self, name: &str) -> Option<usize> {
-        self.classes.iter().position(|class| class.name == name)
+    pub fn class_index(&self, name: &str) -> Option<ClassIndex> {
+        self.classes.iter().position(|class| class.name == name).map(ClassIndex)
     }
 
     /// Returns the index of the tenant with this name.
     #[must_use]
-    pub fn tenant_index(&self, name: &str) -> Option<usize> {
-        self.tenants.iter().position(|tenant| tenant.name == name)
+    pub fn tenant_index(&self, name: &str) -> Option<TenantIndex> {
+        self.tenants.iter().position(|tenant| tenant.name == name).map(TenantIndex)
     }
 }
 
--- a/crates/balancer/tests/concerns/admission.rs
+++ b/crates/balancer/tests/concerns/admission.rs
@@ -5,15 +5,15 @@
 use crate::decisions::admission_queue::Rank;
 use crate::decisions::quotas::QuotaStatus;
 use crate::decisions::traffic::{LoadState, Traffic};
-use crate::interface::{Effect, Request, RequestClass, Settings, Time};
+use crate::interface::{ClassIndex, Effect, Request, RequestClass, Settings, Time};
 use crate::support::tests::assertions::assert_close;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
 /// The index of a class with a priority weight of 1.
-const PLAIN: usize = 0;
+const PLAIN: ClassIndex = ClassIndex(0);
 /// The index of a class with a priority weight of 2.
-const IMPORTANT: usize = 1;
+const IMPORTANT: ClassIndex = ClassIndex(1);
 /// The time at which requests are ranked, in seconds.
 const NOW: Time = 1.0;
 
@@ -39,13 +39,13 @@
         Self { settings, traffic, admission, random: SmallRng::seed_from_u64(1) }
     }
 
-    fn record_arrivals(&mut self, class: usize, quota: QuotaStatus, count: usize) {
+    fn record_arrivals(&mut self, class: ClassIndex, quota: QuotaStatus, count: usize) {
         for _ in 0..count {
             self.admission.record_arrival(class, quota, NOW, self.traffic.time_constant());
         }
     }
 
-    fn rank(&mut self, class: usize, quota: QuotaStatus, now: Time) -> f64 {
+    fn rank(&mut self, class: ClassIndex, quota: QuotaStatus, now: Time) -> f64 {
         let Self { settings, traffic, admission, random } = self;
         let Rank(rank) = admission.rank(class, quota, now, settings, traffic, random);
         rank
@@ -53,7 +53,7 @@
 
     /// Asserts that the ranks of a class are spread evenly over a range.
     #[track_caller]
-    fn assert_ranks_spread(&mut self, class: usize, quota: QuotaStatus, least: f64, greatest: f64) {
+    fn assert_ranks_spread(&mut self, class: ClassIndex, quota: QuotaStatus, least: f64, greatest: f64) {
         let ranks: Vec<f64> = (0..1000).map(|_| self.rank(class, quota, NOW)).collect();
         let mean = ranks.iter().sum::<f64>() / ranks.len() as f64;
         assert!(ranks.iter().all(|rank| (least..=greatest).contains(rank)));
@@ -121,9 +121,9 @@
     let settings = Settings { classes, quantum: 0.01, ..Settings::default() };
     let useful = |class, timeout| useful_timeout(&Request { class, timeout, ..request(1) }, &settings);
 
-    assert_close(useful(0, 2.0), 1.0);
-    assert_close(useful(0, 0.5), 0.48);
-    assert_close(useful(1, 2.0), 1.98);
+    assert_close(useful(ClassIndex(0), 2.0), 1.0);
+    assert_close(useful(ClassIndex(0), 0.5), 0.48);
+    assert_close(useful(ClassIndex(1), 2.0), 1.98);
 }
 
 #[test]
--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -4,7 +4,9 @@
     T1, TIMEOUT, attempt, backend_indices, call_of, request, request_class, safe_call, settings_with_effect,
 };
 use crate::decisions::calls::{Call, CallTable, InitialState};
-use crate::interface::{AttemptNumber, Effect, Outcome, Request, Settings, Tenant, Time};
+use crate::interface::{
+    AttemptNumber, ClassIndex, Effect, Outcome, Request, Settings, Tenant, TenantIndex, Time,
+};
 use crate::support::tests::assertions::assert_close;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -130,7 +132,7 @@
         Settings { classes: classes(&["b", "a"]), tenants: tenants(&["y", "x"]), ..Settings::default() };
     let without = Settings { classes: classes(&["b"]), tenants: tenants(&["y"]), ..Settings::default() };
     let mut table = CallTable::default();
-    let of_tenant = Request { tenant: Some(0), ..request(1) };
+    let of_tenant = Request { tenant: Some(TenantIndex(0)), ..request(1) };
     let key = table.insert(call_of(of_tenant, old.clone()), InitialState::Dispatched);
 
     table.follow_settings(&old, &moved);
@@ -138,9 +140,9 @@
     let moved_tenant = table[key].tenant();
     table.follow_settings(&moved, &without);
 
-    assert_eq!(moved_class, 1);
-    assert_eq!(moved_tenant, Some(1));
-    assert_eq!(table[key].current_class(), without.classes.len());
+    assert_eq!(moved_class, ClassIndex(1));
+    assert_eq!(moved_tenant, Some(TenantIndex(1)));
+    assert_eq!(table[key].current_class(), ClassIndex(without.classes.len()));
     assert_eq!(table[key].tenant(), None);
     assert_eq!(table[key].settings(), &old);
     assert_eq!(table[key].request_class().name, "a");
--- a/crates/balancer/tests/concerns/quotas.rs
+++ b/crates/balancer/tests/concerns/quotas.rs
@@ -1,10 +1,10 @@
 //! Quotas: which requests lie within the quota of their tenant.
 
 use crate::decisions::quotas::{QuotaStatus, Quotas};
-use crate::interface::{Settings, Tenant, Time};
+use crate::interface::{Settings, Tenant, TenantIndex, Time};
 
 /// The index of the only tenant, or of the first one.
-const TENANT: Option<usize> = Some(0);
+const TENANT: Option<TenantIndex> = Some(TenantIndex(0));
 
 fn tenant(name: &str, quota_per_second: f64) -> Tenant {
     Tenant { name: name.to_string(), quota_per_second }
@@ -87,6 +87,6 @@
 
     quotas.apply_settings(&settings, &[None, TENANT], 0.0);
 
-    assert_eq!(quotas.status(Some(0), 0.0), QuotaStatus::Within);
-    assert_eq!(quotas.status(Some(1), 0.0), QuotaStatus::Exceeded);
+    assert_eq!(quotas.status(Some(TenantIndex(0)), 0.0), QuotaStatus::Within);
+    assert_eq!(quotas.status(Some(TenantIndex(1)), 0.0), QuotaStatus::Exceeded);
 }
--- a/crates/balancer/tests/concerns/traffic.rs
+++ b/crates/balancer/tests/concerns/traffic.rs
@@ -2,13 +2,15 @@
 
 use super::fixtures::request_class;
 use crate::decisions::traffic::{LoadState, Traffic};
-use crate::interface::{Effect, RequestClass, Settings, Time};
+use crate::interface::{ClassIndex, Effect, RequestClass, Settings, Time};
 use crate::support::tests::assertions::assert_close;
 
 /// The time constant of rates where the longest objective is 1 s, in seconds.
 const TIME_CONSTANT: Time = 8.0;
 /// The latency objective of the first class, in seconds.
 const OBJECTIVE: Time = 1.0;
+/// The index of the only class, or of the first one.
+const CLASS: ClassIndex = ClassIndex(0);
 
 /// Returns settings with classes of a latency objective of 1 s.
 fn settings_with_classes(count: usize) -> Settings {
@@ -66,15 +68,15 @@
 #[test]
 fn the_first_latencies_count_as_in_a_plain_mean_also_under_overload() {
     let mut traffic = traffic_of_one_class();
-    let before_the_first = traffic.expected_latency(0);
+    let before_the_first = traffic.expected_latency(CLASS);
 
-    traffic.record_latency(0, 0.1, OBJECTIVE, LoadState::Overloaded);
-    traffic.record_latency(0, 0.2, OBJECTIVE, LoadState::Normal);
+    traffic.record_latency(CLASS, 0.1, OBJECTIVE, LoadState::Overloaded);
+    traffic.record_latency(CLASS, 0.2, OBJECTIVE, LoadState::Normal);
 
     assert_close(before_the_first, 0.0);
-    assert_close(traffic.expected_latency(0), 0.15);
+    assert_close(traffic.expected_latency(CLASS), 0.15);
     assert_close(traffic.overall_expected_latency(), 0.15);
-    assert_close(traffic.latency(0).samples(), 2.0);
+    assert_close(traffic.latency(CLASS).samples(), 2.0);
 }
 
 #[test]
@@ -82,10 +84,10 @@
     let rise_after_many = |load: LoadState| {
         let mut traffic = traffic_of_one_class();
         for _ in 0..50 {
-            traffic.record_latency(0, 0.1, OBJECTIVE, LoadState::Normal);
+            traffic.record_latency(CLASS, 0.1, OBJECTIVE, LoadState::Normal);
         }
-        traffic.record_latency(0, 0.2, OBJECTIVE, load);
-        traffic.expected_latency(0) - 0.1
+        traffic.record_latency(CLASS, 0.2, OBJECTIVE, load);
+        traffic.expected_latency(CLASS) - 0.1
     };
 
     let normal = rise_after_many(LoadState::Normal);
@@ -99,21 +101,21 @@
 fn caps_a_latency_at_a_quarter_of_the_objective() {
     let mut traffic = traffic_of_one_class();
 
-    traffic.record_latency(0, 0.9 * OBJECTIVE, OBJECTIVE, LoadState::Normal);
+    traffic.record_latency(CLASS, 0.9 * OBJECTIVE, OBJECTIVE, LoadState::Normal);
 
-    assert_close(traffic.expected_latency(0), 0.25 * OBJECTIVE);
+    assert_close(traffic.expected_latency(CLASS), 0.25 * OBJECTIVE);
 }
 
 #[test]
 fn a_class_keeps_its_expected_latency_over_a_settings_change() {
     let mut traffic = traffic_of_one_class();
-    traffic.record_latency(0, 0.1, OBJECTIVE, LoadState::Normal);
+    traffic.record_latency(CLASS, 0.1, OBJECTIVE, LoadState::Normal);
 
-    traffic.apply_settings(&settings_with_classes(2), &[None, Some(0)]);
+    traffic.apply_settings(&settings_with_classes(2), &[None, Some(CLASS)]);
 
-    let of_vanished_classes = 2;
-    assert_close(traffic.expected_latency(0), 0.0);
-    assert_close(traffic.expected_latency(1), 0.1);
+    let of_vanished_classes = ClassIndex(2);
+    assert_close(traffic.expected_latency(CLASS), 0.0);
+    assert_close(traffic.expected_latency(ClassIndex(1)), 0.1);
     assert_close(traffic.expected_latency(of_vanished_classes), 0.0);
     assert_close(traffic.overall_expected_latency(), 0.1);
 }
@@ -121,7 +123,7 @@
 #[test]
 fn the_calls_in_flight_on_average_are_known_after_most_of_a_time_constant() {
     let mut traffic = traffic_of_one_class();
-    traffic.record_latency(0, 0.2, OBJECTIVE, LoadState::Normal);
+    traffic.record_latency(CLASS, 0.2, OBJECTIVE, LoadState::Normal);
 
     // The window decays, so that half of it has filled after ln 2 = 0.69 time constants.
     send_ten_per_second(&mut traffic, 0.68 * TIME_CONSTANT);
--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -1,7 +1,8 @@
 //! A checker of the decision module's invariants that sees only events and actions.
 
 use balancer::{
-    Action, BackendId, Effect, Endpoint, IdempotencyGroup, Outcome, RequestId, Settings, Status, Time,
+    Action, BackendId, ClassIndex, Effect, Endpoint, IdempotencyGroup, Outcome, RequestId, Settings, Status,
+    Time,
 };
 use std::collections::HashMap;
 
@@ -38,7 +39,7 @@
 /// A request, as seen from outside the decision module.
 pub struct ObservedRequest {
     /// The index of the class.
-    pub class: usize,
+    pub class: ClassIndex,
     /// The ordering key.
     pub key: Option<u64>,
     /// The deadline, in seconds.
@@ -51,7 +52,7 @@
 
 impl ObservedRequest {
     /// Creates a request without attempts.
-    pub fn new(class: usize, key: Option<u64>, deadline: Time) -> Self {
+    pub fn new(class: ClassIndex, key: Option<u64>, deadline: Time) -> Self {
         Self { class, key, deadline, attempts: vec![], is_finished: false }
     }
 }
@@ -89,7 +90,7 @@
     /// Returns the violation of the order of an ordering key, if sending this request now is one.
     pub fn order_violation(&self, now: Time, id: u64) -> Option<&'static str> {
         let is_ordered = |request: &&ObservedRequest| {
-            self.settings.classes[request.class].ordered_by_key && request.key.is_some()
+            self.settings.class(request.class).ordered_by_key && request.key.is_some()
         };
         let key = self.requests.get(&id).filter(is_ordered)?.key;
         let is_earlier = |(other, request): &(&u64, &ObservedRequest)| {
@@ -188,7 +189,7 @@
     fn client_may_retry(&self, id: u64) -> bool {
         self.requests.get(&id).is_some_and(|request| {
             let may_run_twice = matches!(
-                self.settings.classes[request.class].effect,
+                self.settings.class(request.class).effect,
                 Effect::Safe | Effect::Idempotent { group: IdempotencyGroup::All, .. }
             );
             may_run_twice || !request.attempts.iter().any(Attempt::may_have_run)
@@ -235,7 +236,7 @@
         violations.push("hedging is not allowed");
     }
     if let Some(first) = request.attempts.iter().find(|attempt| attempt.may_have_run()) {
-        match settings.classes[request.class].effect {
+        match settings.class(request.class).effect {
             Effect::Safe => {}
             Effect::Unsafe => violations.push("second attempt of an unsafe request"),
             Effect::Idempotent { group, window } => {
--- a/crates/balancer/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -7,7 +7,7 @@
 mod checker;
 mod random_events;
 
-use balancer::{Action, BackendId, Endpoint, Outcome, RequestId, Status, Time};
+use balancer::{Action, BackendId, ClassIndex, Endpoint, Outcome, RequestId, Status, Time};
 use checker::{Checker, ObservedRequest};
 use common::actions::TimedAction;
 use common::fixtures::endpoint;
@@ -36,9 +36,9 @@
 /// The request that planted violations are about.
 const REQUEST: RequestId = RequestId(1);
 /// The indices of classes in the settings.
-const SAFE: usize = 0;
-const ORDERED_UNSAFE: usize = 1;
-const IDEMPOTENT_IN_CELL: usize = 4;
+const SAFE: ClassIndex = ClassIndex(0);
+const ORDERED_UNSAFE: ClassIndex = ClassIndex(1);
+const IDEMPOTENT_IN_CELL: ClassIndex = ClassIndex(4);
 
 /// Settings of the entry tier where hedging and cancellation are allowed.
 const PERMISSIVE: SettingsVariant =
@@ -62,7 +62,7 @@
 
 /// Returns the violations that the checker finds in these actions. Backends 1 and 2 are in cells 1 and 2,
 /// backend 3 is draining; request 1 is open until 1 s, request 2 is finished.
-fn violations_in(class: usize, timed_actions: &[TimedAction]) -> Vec<String> {
+fn violations_in(class: ClassIndex, timed_actions: &[TimedAction]) -> Vec<String> {
     let mut checker = Checker::new(settings(SettingsVariant::default()));
     checker.list.insert(1, Endpoint { cell: 1, ..endpoint(1) });
     checker.list.insert(2, Endpoint { cell: 2, ..endpoint(2) });
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -1,8 +1,8 @@
 //! Random legal sequences of events for a balancer whose actions the checker sees.
 
 use balancer::{
-    Action, AttemptNumber, BackendId, Balancer, Effect, EndedAttempt, Endpoint, EndpointUpdate, Event,
-    IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings, Status, Time,
+    Action, AttemptNumber, BackendId, Balancer, ClassIndex, Effect, EndedAttempt, Endpoint, EndpointUpdate,
+    Event, IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings, Status, TenantIndex, Time,
 };
 use proptest::prelude::*;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A request arrives.
-    Request { class: usize, tenant: usize, key: Option<u64>, timeout: Time },
+    Request { class: ClassIndex, tenant: TenantIndex, key: Option<u64>, timeout: Time },
     /// An attempt in flight ends.
     EndAttempt { attempt: usize, outcome: Outcome },
     /// A client disconnects, also after the end of its request.
@@ -50,7 +50,7 @@
 pub fn step() -> impl Strategy<Value = Step> {
     let request = (0..5usize, 0..2usize, 0..3u64, -0.1..2.0f64).prop_map(|(class, tenant, key, timeout)| {
         let key = (key > 0).then_some(key);
-        Step::Request { class, tenant, key, timeout }
+        Step::Request { class: ClassIndex(class), tenant: TenantIndex(tenant), key, timeout }
     });
     let end_attempt = (0..50usize, 0..8usize)
         .prop_map(|(attempt, outcome)| Step::EndAttempt { attempt, outcome: OUTCOMES[outcome] });
@@ -186,7 +186,7 @@
         }
     }
 
-    fn request(&mut self, class: usize, tenant: usize, key: Option<u64>, timeout: Time) {
+    fn request(&mut self, class: ClassIndex, tenant: TenantIndex, key: Option<u64>, timeout: Time) {
         self.last_request += 1;
         let deadline = self.now + timeout.max(0.0);
         self.checker.requests.insert(self.last_request, ObservedRequest::new(class, key, deadline));
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -5,7 +5,9 @@
 use crate::common::actions::{SentAttempt, is_rejected, rejections, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
-use balancer::{Action, Effect, Event, Outcome, Request, RequestClass, RequestId, Settings, Time};
+use balancer::{
+    Action, ClassIndex, Effect, Event, Outcome, Request, RequestClass, RequestId, Settings, TenantIndex, Time,
+};
 
 #[test]
 fn sheds_load_only_at_the_entry_tier() {
@@ -29,13 +31,13 @@
 }
 
 /// Returns the class of a request: the two classes alternate.
-fn class_of(id: RequestId) -> usize {
-    id.0 as usize % 2
+fn class_of(id: RequestId) -> ClassIndex {
+    ClassIndex(id.0 as usize % 2)
 }
 
 /// Returns the tenant of a request: the two tenants alternate after every second request.
-fn tenant_of(id: RequestId) -> usize {
-    id.0 as usize / 2 % 2
+fn tenant_of(id: RequestId) -> TenantIndex {
+    TenantIndex(id.0 as usize / 2 % 2)
 }
 
 /// An attempt without a response so far.
@@ -73,7 +75,7 @@
         in_flight.extend(sends(&actions).into_iter().map(|attempt| Unanswered { attempt, sent_at }));
         for action in &actions {
             if let Action::Reject { id, .. } = action {
-                rejected[class_of(*id)][tenant_of(*id)] += usize::from(id.0 > 500);
+                rejected[class_of(*id).0][tenant_of(*id).0] += usize::from(id.0 > 500);
             }
         }
     }
--- a/crates/balancer/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -3,7 +3,7 @@
 use crate::common::actions::{is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
-use balancer::{Effect, EndpointUpdate, Event, Request, RequestClass, RequestId, Settings};
+use balancer::{Effect, EndpointUpdate, Event, Request, RequestClass, RequestId, Settings, TenantIndex};
 
 /// Returns settings in which every number that may be zero is zero.
 fn zero_settings() -> Settings {
@@ -36,7 +36,8 @@
     let mut harness = BalancerHarness::new(zero_settings(), &list);
 
     for id in 0..20 {
-        let request = Request { id: RequestId(id), tenant: Some(0), timeout: 1.0, ..Request::default() };
+        let request =
+            Request { id: RequestId(id), tenant: Some(TenantIndex(0)), timeout: 1.0, ..Request::default() };
         let actions = harness.handle(Event::Request(request));
         assert!(is_rejected(&actions, id), "no latency objective and no weight: nothing to wait for");
     }
--- a/crates/balancer/tests/decisions/quotas.rs
+++ b/crates/balancer/tests/decisions/quotas.rs
@@ -9,12 +9,12 @@
 use crate::common::actions::{SentAttempt, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings, tenant};
-use balancer::{Action, Event, Outcome, Request, RequestId, Settings, Time};
+use balancer::{Action, Event, Outcome, Request, RequestId, Settings, TenantIndex, Time};
 
 /// The index of the tenant whose quota a test is about.
-const LIMITED: usize = 0;
+const LIMITED: TenantIndex = TenantIndex(0);
 /// The index of a tenant whose quota is never reached.
-const UNLIMITED: usize = 1;
+const UNLIMITED: TenantIndex = TenantIndex(1);
 /// The quota of the limited tenant, in requests per second.
 const QUOTA: f64 = 4.0;
 /// The first of the two requests whose order tells whether a tenant is over quota.
@@ -45,7 +45,7 @@
     harness
 }
 
-fn request_of(harness: &mut BalancerHarness, id: u64, tenant: usize) -> Vec<Action> {
+fn request_of(harness: &mut BalancerHarness, id: u64, tenant: TenantIndex) -> Vec<Action> {
     let request = Request { id: RequestId(id), tenant: Some(tenant), timeout: 2.0, ..Request::default() };
     harness.handle(Event::Request(request))
 }
@@ -59,7 +59,7 @@
 }
 
 /// Returns whether a request of a tenant is sent before a later one of the unlimited tenant, under overload.
-fn is_sent_first(mut harness: BalancerHarness, tenant: usize) -> bool {
+fn is_sent_first(mut harness: BalancerHarness, tenant: TenantIndex) -> bool {
     let overloading = OVERLOADING_REQUESTS.flat_map(|id| sends(&harness.request(id)));
     let mut in_flight: VecDeque<_> = overloading.collect();
     let mut sent = sends(&request_of(&mut harness, FIRST.0, tenant));
@@ -77,7 +77,7 @@
 }
 
 /// Returns whether requests of a tenant count as over quota after `prepare`, by the order of many draws.
-fn is_over_quota(settings: &Settings, tenant: usize, prepare: impl Fn(&mut BalancerHarness)) -> bool {
+fn is_over_quota(settings: &Settings, tenant: TenantIndex, prepare: impl Fn(&mut BalancerHarness)) -> bool {
     let is_sent_first_with = |seed| {
         let mut harness = harness_with_history(seed, settings.clone());
         prepare(&mut harness);
@@ -167,6 +167,6 @@
         harness.handle(Event::Settings(&moved));
     };
 
-    assert!(is_over_quota(&settings, 2, spend_and_move), "the limited tenant");
+    assert!(is_over_quota(&settings, TenantIndex(2), spend_and_move), "the limited tenant");
     assert!(!is_over_quota(&settings, LIMITED, spend_and_move), "the new tenant");
 }
--- a/crates/balancer/tests/replay/attempts.rs
+++ b/crates/balancer/tests/replay/attempts.rs
@@ -3,7 +3,9 @@
 use crate::agenda::{AttemptId, Occurrence};
 use crate::simulated_backends::AttemptEnd;
 use crate::simulation::{OpenRequest, Simulation};
-use balancer::{AttemptNumber, BackendId, EndedAttempt, Event, Outcome, Request, RequestId, Time};
+use balancer::{
+    AttemptNumber, BackendId, ClassIndex, EndedAttempt, Event, Outcome, Request, RequestId, TenantIndex, Time,
+};
 use rand::Rng;
 
 /// The number of ordering keys in use.
@@ -42,13 +44,13 @@
         self.last_request += 1;
         let id = RequestId(self.last_request);
         let traffic = self.scenario.traffic;
-        let class = self.random.random_range(0..self.settings.classes.len());
+        let class = ClassIndex(self.random.random_range(0..self.settings.classes.len()));
         let tenants = self.settings.tenants.len();
-        let tenant = (tenants > 0).then(|| self.random.random_range(0..tenants));
+        let tenant = (tenants > 0).then(|| TenantIndex(self.random.random_range(0..tenants)));
         let key = self.is_drawn(0.9).then(|| self.random.random_range(0..ORDERING_KEYS));
         let timeout_fraction =
             traffic.least_timeout + (1.0 - traffic.least_timeout) * self.random.random::<f64>();
-        let timeout = timeout_fraction * self.settings.classes[class].max_timeout;
+        let timeout = timeout_fraction * self.settings.class(class).max_timeout;
         let streaming_body = self.is_drawn(traffic.streamed);
         let body_duration = if streaming_body { self.plan_body(id) } else { 0.0 };
         let body_received_at = self.now + body_duration;
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use balancer::{
-    Action, BackendId, Effect, Event, IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings,
-    Time,
+    Action, BackendId, ClassIndex, Effect, Event, IdempotencyGroup, Outcome, Request, RequestClass,
+    RequestId, Settings, TenantIndex, Time,
 };
 use common::actions::{send_times, sends};
 use common::balancer_harness::BalancerHarness;
@@ -16,13 +16,13 @@
     RequestClass { name: name.to_string(), ..request_class(effect) }
 }
 
-fn request_of_class(id: u64, class: usize) -> Request {
+fn request_of_class(id: u64, class: ClassIndex) -> Request {
     Request { id: RequestId(id), class, timeout: 2.0, ..Request::default() }
 }
 
 /// Returns the time from the arrival of a request to its first retry, in seconds. The client of the request
 /// disconnects afterwards.
-fn time_to_first_retry(harness: &mut BalancerHarness, id: u64, class: usize) -> Time {
+fn time_to_first_retry(harness: &mut BalancerHarness, id: u64, class: ClassIndex) -> Time {
     let start = harness.now;
     harness.handle(Event::Request(request_of_class(id, class)));
     let timed_actions = harness.advance_to(start + 1.5);
@@ -40,13 +40,13 @@
         harness.serve(id, 0.05);
     }
     // The first retry follows soon after the expected latency of 0.05 s; in an unknown class much later.
-    assert!(time_to_first_retry(&mut harness, 100, 0) < 0.2);
+    assert!(time_to_first_retry(&mut harness, 100, ClassIndex(0)) < 0.2);
 
     let after = Settings { classes: vec![named_class("new", Effect::Safe), classes[0].clone()], ..before };
     harness.handle(Event::Settings(&after));
 
-    assert!(time_to_first_retry(&mut harness, 101, 1) < 0.2);
-    assert!(time_to_first_retry(&mut harness, 102, 0) > 0.4);
+    assert!(time_to_first_retry(&mut harness, 101, ClassIndex(1)) < 0.2);
+    assert!(time_to_first_retry(&mut harness, 102, ClassIndex(0)) > 0.4);
 }
 
 /// A change of the settings between the arrival of a request and the end of its attempt.
@@ -86,7 +86,7 @@
 fn ends_a_request_by_the_settings_in_force_on_its_arrival() {
     for SettingsChange { on_arrival, afterwards, outcome, is_retried } in settings_changes() {
         let mut harness = BalancerHarness::new(on_arrival, &[endpoint(1), endpoint(2)]);
-        let sent = sends(&harness.handle(Event::Request(request_of_class(1, 0))))[0];
+        let sent = sends(&harness.handle(Event::Request(request_of_class(1, ClassIndex(0)))))[0];
 
         harness.handle(Event::Settings(&afterwards));
         let mut actions = harness.end_attempt(sent, outcome, 0.1);
@@ -109,14 +109,15 @@
     };
     let mut harness = BalancerHarness::new(settings.clone(), &[endpoint(1), endpoint(2)]);
     let send_for_tenant = |harness: &mut BalancerHarness, id, tenant| {
-        harness.handle(Event::Request(Request { tenant: Some(tenant), ..request_of_class(id, 0) }))
+        harness
+            .handle(Event::Request(Request { tenant: Some(tenant), ..request_of_class(id, ClassIndex(0)) }))
     };
-    assert_eq!(sends(&send_for_tenant(&mut harness, 1, 0)).len(), 1);
+    assert_eq!(sends(&send_for_tenant(&mut harness, 1, TenantIndex(0))).len(), 1);
 
     // Open requests of tenants that are removed, or have another index, end like all others.
     settings.tenants = vec![tenant("z", 1.0), tenant("x", 1.0)];
     harness.handle(Event::Settings(&settings));
-    assert_eq!(sends(&send_for_tenant(&mut harness, 2, 1)).len(), 1);
+    assert_eq!(sends(&send_for_tenant(&mut harness, 2, TenantIndex(1))).len(), 1);
     settings.tenants.clear();
     harness.handle(Event::Settings(&settings));
     harness.advance_to(5.0);
--- a/crates/fleet-bench/src/fleet/caller/calls.rs
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -68,7 +68,7 @@
         let class = self.workload.draw_class(&mut run.rng);
         let timeout = self.plan.call_timeout;
         let counted = run.accounting.is_in_window(now);
-        let call = NewCall { effect: CLASS_EFFECTS[class], deadline: now + timeout, counted };
+        let call = NewCall { effect: CLASS_EFFECTS[class.0], deadline: now + timeout, counted };
         let id = self.requests.open(call);
         if counted {
             run.accounting.count_call();
--- a/crates/fleet-bench/src/fleet/caller/workload.rs
+++ b/crates/fleet-bench/src/fleet/caller/workload.rs
@@ -4,7 +4,8 @@
 use crate::fleet::plan::Plan;
 use crate::fleet::random;
 use crate::fleet::scenario::Scenario;
-use balancer::Time;
+use crate::fleet::settings::{IDEMPOTENT_CLASS, SAFE_CLASS, UNSAFE_CLASS};
+use balancer::{ClassIndex, Time};
 use rand::Rng;
 use rand::rngs::SmallRng;
 
@@ -66,16 +67,16 @@
         }
     }
 
-    /// Draws the index of a call's class.
-    pub fn draw_class(&self, rng: &mut SmallRng) -> usize {
+    /// Draws the class of a call.
+    pub fn draw_class(&self, rng: &mut SmallRng) -> ClassIndex {
         let drawn: f64 = rng.random();
         let fractions = self.plan.effects;
         if drawn < fractions.safe {
-            0
+            SAFE_CLASS
         } else if drawn < fractions.safe + fractions.idempotent {
-            1
+            IDEMPOTENT_CLASS
         } else {
-            2
+            UNSAFE_CLASS
         }
     }
 }
--- a/crates/fleet-bench/src/fleet/settings.rs
+++ b/crates/fleet-bench/src/fleet/settings.rs
@@ -2,8 +2,14 @@
 
 use super::plan::Plan;
 use super::topology::Topology;
-use balancer::{Effect, IdempotencyGroup, RequestClass, Settings};
+use balancer::{ClassIndex, Effect, IdempotencyGroup, RequestClass, Settings};
 
+/// The class of safe requests.
+pub const SAFE_CLASS: ClassIndex = ClassIndex(0);
+/// The class of idempotent requests.
+pub const IDEMPOTENT_CLASS: ClassIndex = ClassIndex(1);
+/// The class of unsafe requests.
+pub const UNSAFE_CLASS: ClassIndex = ClassIndex(2);
 /// The effect of each request class, by the class's index.
 pub const CLASS_EFFECTS: [Effect; 3] =
     [Effect::Safe, Effect::Idempotent { group: IdempotencyGroup::All, window: 5.0 }, Effect::Unsafe];
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -8,8 +8,8 @@
 use super::open_requests::{Attempt, OpenRequests};
 use crate::thread_clock::thread_time;
 use balancer::{
-    Action, AttemptNumber, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome,
-    Request, RequestId, Status, Time, TimerToken,
+    Action, AttemptNumber, BackendId, Balancer, ClassIndex, EndedAttempt, Endpoint, EndpointUpdate, Event,
+    Outcome, Request, RequestId, Status, TenantIndex, Time, TimerToken,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -161,8 +161,8 @@
         let tenants = self.case.tenants;
         let request = Request {
             id,
-            class: self.rng.random_range(0..self.case.classes),
-            tenant: (tenants > 0).then(|| self.rng.random_range(0..tenants)),
+            class: ClassIndex(self.rng.random_range(0..self.case.classes)),
+            tenant: (tenants > 0).then(|| TenantIndex(self.rng.random_range(0..tenants))),
             timeout: REQUEST_TIMEOUT,
             ..Request::default()
         };
--- a/crates/simulator-adapter/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -130,10 +130,10 @@
         expected: "HELLO before any request",
         got: "QUERY".to_string(),
     })?;
-    let class = names.classes.iter().position(|name| name == class);
+    let class = names.class_index(class);
     let class =
         class.ok_or_else(|| WireError::invalid_value("the class", "a class of the settings", text))?;
-    let tenant = names.tenants.iter().position(|name| name == tenant);
+    let tenant = names.tenant_index(tenant);
     let timeout = values::parse_number("the time left", timeout)?;
     Ok(Request { id: values::parse_request_id(id)?, class, tenant, key, timeout, streaming_body: false })
 }
--- a/crates/simulator-adapter/src/wire/names.rs
+++ b/crates/simulator-adapter/src/wire/names.rs
@@ -1,5 +1,6 @@
 //! The names that lines use, and the indices that stand for these names in the decision module.
 
+use balancer::{ClassIndex, TenantIndex};
 use std::collections::HashMap;
 
 /// Indices of names, assigned in the order in which the names first occur.
@@ -28,3 +29,15 @@
     /// Names of the values of a load report, in the order of the values.
     pub(super) load_report_fields: Vec<String>,
 }
+
+impl InstanceNames {
+    /// Returns the index of the class with this name.
+    pub(super) fn class_index(&self, name: &str) -> Option<ClassIndex> {
+        self.classes.iter().position(|class| class == name).map(ClassIndex)
+    }
+
+    /// Returns the index of the tenant with this name.
+    pub(super) fn tenant_index(&self, name: &str) -> Option<TenantIndex> {
+        self.tenants.iter().position(|tenant| tenant == name).map(TenantIndex)
+    }
+}
