--- a/crates/balancer-proxy/src/control/config/tests/mod.rs
+++ b/crates/balancer-proxy/src/control/config/tests/mod.rs
@@ -8,6 +8,7 @@
 use super::translation::{self, into_snapshot};
 use crate::control::endpoint_list::{RawEndpoint, RawEndpointList};
 use crate::settings::ProxySettings;
+use balancer::ZoneId;
 use balancer_settings::defaults;
 use balancer_settings::keys::{keys_of, settings_keys};
 use page::{OR_NULL, Row, TEXT_TYPES, page, rows};
@@ -228,7 +229,7 @@
         max_open_requests: 70,
     };
     assert_eq!(snapshot.proxy, expected);
-    assert_eq!(snapshot.balancer.zone, 1);
+    assert_eq!(snapshot.balancer.zone, ZoneId(1));
 }
 
 #[test]
@@ -237,6 +238,6 @@
 
     let snapshot = into_snapshot(serde_json::from_value(settings).unwrap()).unwrap();
 
-    assert_eq!(snapshot.balancer.zone, 2);
+    assert_eq!(snapshot.balancer.zone, ZoneId(2));
     assert_eq!(snapshot.proxy.zones, ["north", "east", "west"]);
 }
--- a/crates/balancer-proxy/src/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -3,7 +3,7 @@
 
 use super::error::ConfigError;
 use super::raw::RawLimits;
-use crate::control::endpoint_list::zone_index;
+use crate::control::endpoint_list::zone_id;
 use crate::limits::ProcessLimits;
 use crate::settings::{ProxySettings, SettingsSnapshot};
 use balancer_settings::{InvalidQuantity, RawSettings, VALID_QUANTITY};
@@ -66,9 +66,9 @@
 ///
 /// [`ConfigError::InvalidValue`] if a time-out of the proxy, or a time of a class, is negative or not finite.
 pub(super) fn into_snapshot(mut settings: RawSettings) -> Result<SettingsSnapshot, ConfigError> {
-    let zone_index = zone_index(&mut settings.zones, &settings.zone);
+    let zone = zone_id(&mut settings.zones, &settings.zone);
     let proxy = proxy_settings(&settings)?;
-    let balancer = settings.into_settings(zone_index).map_err(|InvalidQuantity { path, value }| {
+    let balancer = settings.into_settings(zone).map_err(|InvalidQuantity { path, value }| {
         ConfigError::invalid_value(format_args!("settings.{path}"), VALID_QUANTITY, value)
     })?;
     Ok(SettingsSnapshot { balancer, proxy })
--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -21,7 +21,7 @@
 use crate::log;
 use crate::settings::SettingsSnapshot;
 use crate::watch_event::{ListedEndpoint, WatchEvent};
-use balancer::BackendId;
+use balancer::{BackendId, ZoneId};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -39,7 +39,7 @@
     /// Number of changes of the address. A response to a call that began before the last change is
     /// dropped.
     address_epoch: Cell<u64>,
-    /// The ids of backends and the indices of zones.
+    /// The ids of backends and zones.
     names: RefCell<EndpointNames>,
     /// Generation of the current list, from which changes are requested; `None` if the full list has to
     /// be requested.
@@ -104,9 +104,9 @@
         self.address.get()
     }
 
-    /// Returns the index of a zone, which stays the same as long as the process runs.
-    pub fn zone_index(&self, name: &str) -> u32 {
-        self.names.borrow_mut().zone_index(name)
+    /// Returns the id of a zone, which stays the same as long as the process runs.
+    pub fn zone_id(&self, name: &str) -> ZoneId {
+        self.names.borrow_mut().zone_id(name)
     }
 
     /// Returns the id of the backend with this name.
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -1,9 +1,9 @@
 //! The endpoint list in the JSON of discovery, and its translation for the decision module, which has
-//! ids in place of backend names and indices in place of zone names.
+//! ids in place of the names of backends and zones.
 
 use crate::clock::Clock;
 use crate::watch_event::ListedEndpoint;
-use balancer::{BackendId, Endpoint, Status};
+use balancer::{BackendId, CellId, Endpoint, Status, ZoneId};
 use serde::Deserialize;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -69,20 +69,20 @@
     }
 }
 
-/// Returns the index of a zone in `zones`, after appending a zone that is new.
-pub(super) fn zone_index(zones: &mut Vec<String>, name: &str) -> u32 {
+/// Returns the id of a zone, which is the position of its name in `zones`. A new name is appended.
+pub(super) fn zone_id(zones: &mut Vec<String>, name: &str) -> ZoneId {
     let index = zones.iter().position(|zone| zone == name).unwrap_or_else(|| {
         zones.push(name.to_string());
         zones.len() - 1
     });
     // Memory ends long before the number of zones exceeds the range.
-    u32::try_from(index).unwrap_or(u32::MAX)
+    ZoneId(u32::try_from(index).unwrap_or(u32::MAX))
 }
 
-/// The ids of backend names and the indices of zone names in this process.
+/// The ids of backends and zones in this process, by their names.
 #[derive(Debug)]
 pub(super) struct EndpointNames {
-    /// Names of the zones. The index of a zone is its position here, and never changes.
+    /// Names of the zones. The id of a zone is its position here, and never changes.
     zones: Vec<String>,
     /// The id of each backend, by its name.
     ids: HashMap<String, BackendId>,
@@ -96,9 +96,9 @@
         Self { zones, ids: HashMap::new(), assigned_ids: HashSet::new() }
     }
 
-    /// Returns the index of a zone. A new zone gets the next index, and keeps that index.
-    pub(super) fn zone_index(&mut self, name: &str) -> u32 {
-        zone_index(&mut self.zones, name)
+    /// Returns the id of a zone. A new zone gets the next id, and keeps that id.
+    pub(super) fn zone_id(&mut self, name: &str) -> ZoneId {
+        zone_id(&mut self.zones, name)
     }
 
     /// Returns the id of a backend: the hash of its name, or the next free number if another backend has
@@ -133,8 +133,8 @@
         let started_at_seconds = raw.started_at_ms / MILLISECONDS_PER_SECOND;
         let endpoint = Endpoint {
             id: self.id(&raw.instance_id),
-            cell: raw.cell,
-            zone: self.zone_index(&raw.zone),
+            cell: CellId(raw.cell),
+            zone: self.zone_id(&raw.zone),
             weight: raw.weight.filter(is_valid_weight).unwrap_or(DEFAULT_WEIGHT),
             status: raw.lifecycle.into(),
             started_at: (raw.started_at_ms > 0.0).then(|| clock.from_unix_time(started_at_seconds)),
--- a/crates/balancer-proxy/src/control/endpoint_list/tests.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{DEFAULT_WEIGHT, EndpointNames, RawEndpointList, RawLifecycle, fnv1a};
 use crate::clock::Clock;
-use balancer::{BackendId, Endpoint, Status};
+use balancer::{BackendId, CellId, Endpoint, Status, ZoneId};
 
 /// Two names with the same 32-bit FNV-1a hash.
 const COLLIDING_NAMES: [&str; 2] = ["costarring", "liquid"];
@@ -52,12 +52,12 @@
 }
 
 #[test]
-fn zones_keep_the_indices_of_the_settings_and_new_zones_follow() {
+fn zones_keep_the_ids_of_the_settings_and_new_zones_follow() {
     let mut names = EndpointNames::new(vec!["east".to_string(), "west".to_string()]);
 
-    assert_eq!(names.zone_index("north"), 2);
-    assert_eq!(names.zone_index("west"), 1);
-    assert_eq!(names.zone_index("north"), 2);
+    assert_eq!(names.zone_id("north"), ZoneId(2));
+    assert_eq!(names.zone_id("west"), ZoneId(1));
+    assert_eq!(names.zone_id("north"), ZoneId(2));
 }
 
 #[test]
@@ -71,8 +71,8 @@
 
     let expected = Endpoint {
         id: BackendId(fnv1a("s-0")),
-        cell: 0,
-        zone: 0,
+        cell: CellId(0),
+        zone: ZoneId(0),
         weight: DEFAULT_WEIGHT,
         status: Status::InService,
         started_at: None,
--- a/crates/balancer-proxy/src/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -171,7 +171,7 @@
     fn apply_settings(&self, mut snapshot: SettingsSnapshot) -> Result<bool, ConfigError> {
         let ReloadTargets { engine, discovery, .. } = &self.targets;
         // A running proxy has its own zone numbers, in the order in which the zones appeared.
-        snapshot.balancer.zone = discovery.zone_index(&snapshot.proxy.zone);
+        snapshot.balancer.zone = discovery.zone_id(&snapshot.proxy.zone);
         let in_force = engine.settings();
         snapshot.check_supersedes(&in_force)?;
         if snapshot == *in_force {
--- a/crates/balancer-proxy/src/settings.rs
+++ b/crates/balancer-proxy/src/settings.rs
@@ -81,7 +81,7 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones. At startup, the index of a zone is its position here; zones that appear
+    /// Names of the zones. At startup, the id of a zone is its position here; zones that appear
     /// later are numbered by the endpoint list.
     pub zones: Vec<String>,
     /// Name of the zone that this proxy is in.
--- a/crates/balancer-settings/src/lib.rs
+++ b/crates/balancer-settings/src/lib.rs
@@ -11,13 +11,14 @@
 //! that reads the pairs.
 //!
 //! ```
+//! use balancer::ZoneId;
 //! use balancer_settings::RawSettings;
 //!
 //! let text = r#"{"classes": [{"name": "look", "effect": "free", "hard-limit": 2.0}]}"#;
 //! let raw: RawSettings = serde_json::from_str(text)?;
 //!
-//! let zone_index = 0;
-//! let settings = raw.into_settings(zone_index)?;
+//! let zone = ZoneId(0);
+//! let settings = raw.into_settings(zone)?;
 //!
 //! assert_eq!(settings.classes[0].max_timeout, 2.0);
 //! assert_eq!(settings.max_attempts, balancer_settings::defaults::MAX_ATTEMPTS);
--- a/crates/balancer-settings/src/translation.rs
+++ b/crates/balancer-settings/src/translation.rs
@@ -2,7 +2,7 @@
 
 use crate::defaults;
 use crate::raw::{RawClass, RawEffect, RawGroup, RawRegistryMode, RawSettings, RawTenant};
-use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant};
+use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant, ZoneId};
 use std::fmt::Display;
 use thiserror::Error;
 
@@ -30,14 +30,14 @@
 }
 
 impl RawSettings {
-    /// Translates the settings for a balancer in the zone of this index, which the caller has numbered as
-    /// in its endpoint lists. Settings that are absent have their [`defaults`].
+    /// Translates the settings for a balancer in this zone, which the caller has numbered as in its
+    /// endpoint lists. Settings that are absent have their [`defaults`].
     ///
     /// # Errors
     ///
     /// [`InvalidQuantity`] if a latency objective, a deadline or the window of an idempotent class is
     /// negative or not finite. Other quantities are not checked: a proxy that starts accepts them.
-    pub fn into_settings(self, zone_index: u32) -> Result<Settings, InvalidQuantity> {
+    pub fn into_settings(self, zone: ZoneId) -> Result<Settings, InvalidQuantity> {
         let Self { caps, costs, rules, .. } = self;
         let classes = self.classes.into_iter().enumerate();
         Ok(Settings {
@@ -47,7 +47,7 @@
             instance_count: self.n_instances.unwrap_or(defaults::INSTANCE_COUNT),
             instance_index: self.me,
             tier: self.tier,
-            zone: zone_index,
+            zone,
             cross_zone_cost: costs.cross_zone,
             connections_have_cost: costs.connection + costs.handshake > 0.0,
             health_checks_for_load_reports: self.stats.reports_on_health_checks_only() && caps.probing,
--- a/crates/balancer-settings/tests/translation.rs
+++ b/crates/balancer-settings/tests/translation.rs
@@ -1,12 +1,12 @@
 //! The translation of settings: the effect of each key, the defaults, and invalid quantities.
 
-use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant};
+use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant, ZoneId};
 use balancer_settings::keys::settings_keys;
 use balancer_settings::{RawSettings, defaults};
 use serde_json::{Value, json};
 
 /// Index of the zone of the balancer in these tests.
-const ZONE_INDEX: u32 = 3;
+const ZONE: ZoneId = ZoneId(3);
 
 /// Settings in which every key has a value unlike its default.
 fn complete_settings() -> Value {
@@ -42,7 +42,7 @@
         instance_count: 5,
         instance_index: 2,
         tier: 1,
-        zone: ZONE_INDEX,
+        zone: ZONE,
         cross_zone_cost: 0.0625,
         connections_have_cost: true,
         health_checks_for_load_reports: true,
@@ -64,7 +64,7 @@
 
 fn translate(settings: &Value) -> Settings {
     let raw: RawSettings = serde_json::from_value(settings.clone()).unwrap();
-    raw.into_settings(ZONE_INDEX).unwrap()
+    raw.into_settings(ZONE).unwrap()
 }
 
 /// The values of one key, as the parts of its path lead to them: all elements of a list, or one value.
@@ -114,7 +114,7 @@
     let translated = translate(&json!({"classes": []}));
 
     let expected = Settings {
-        zone: ZONE_INDEX,
+        zone: ZONE,
         // What the settings do not permit is not permitted.
         cancellation_allowed: false,
         hedging_allowed: false,
@@ -209,7 +209,7 @@
         settings["classes"][1][key] = json!(-1.5);
         let raw: RawSettings = serde_json::from_value(settings).unwrap();
 
-        let error = raw.into_settings(ZONE_INDEX).unwrap_err();
+        let error = raw.into_settings(ZONE).unwrap_err();
 
         let expected = format!("classes[1].{key}: expected a number not below 0, got '-1.5'");
         assert_eq!(error.to_string(), expected);
--- a/crates/balancer/src/decisions/attempts.rs
+++ b/crates/balancer/src/decisions/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::calls::Call;
 use super::scope::Scope;
-use crate::interface::{Effect, IdempotencyGroup, Outcome, Time};
+use crate::interface::{CellId, Effect, IdempotencyGroup, Outcome, Time, ZoneId};
 use crate::support::BackendIndex;
 
 /// One attempt of a call.
@@ -11,9 +11,9 @@
     /// The backend to which the attempt was sent.
     pub backend: BackendIndex,
     /// The cell of the backend at the time of the send.
-    pub cell: u32,
+    pub cell: CellId,
     /// The zone of the backend at the time of the send.
-    pub zone: u32,
+    pub zone: ZoneId,
     /// The time of the send, in seconds.
     pub sent_at: Time,
     /// None while the attempt is in flight.
--- a/crates/balancer/src/decisions/scope.rs
+++ b/crates/balancer/src/decisions/scope.rs
@@ -1,6 +1,6 @@
 //! The backends to which an attempt may be sent.
 
-use crate::interface::Endpoint;
+use crate::interface::{CellId, Endpoint, ZoneId};
 
 /// The backends to which an attempt may be sent.
 #[derive(Clone, Copy, Debug)]
@@ -8,9 +8,9 @@
     /// All backends.
     Anywhere,
     /// The backends of one zone.
-    Zone(u32),
+    Zone(ZoneId),
     /// The backends of one cell.
-    Cell(u32),
+    Cell(CellId),
 }
 
 impl Scope {
--- a/crates/balancer/src/interface/endpoint.rs
+++ b/crates/balancer/src/interface/endpoint.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: the backends as service discovery knows them.
 
-use super::ids::{BackendId, Time};
+use super::ids::{BackendId, CellId, Time, ZoneId};
 
 /// The lifecycle of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -19,10 +19,10 @@
 pub struct Endpoint {
     /// The backend.
     pub id: BackendId,
-    /// The number of the cell that the backend is in.
-    pub cell: u32,
-    /// The number of the zone that the backend is in.
-    pub zone: u32,
+    /// The cell that the backend is in.
+    pub cell: CellId,
+    /// The zone that the backend is in.
+    pub zone: ZoneId,
     /// The capacity of the backend relative to that of the others; not negative.
     pub weight: f64,
     /// The lifecycle of the backend.
@@ -34,7 +34,14 @@
 
 impl Default for Endpoint {
     fn default() -> Self {
-        Self { id: BackendId(0), cell: 0, zone: 0, weight: 1.0, status: Status::InService, started_at: None }
+        Self {
+            id: BackendId(0),
+            cell: CellId::default(),
+            zone: ZoneId::default(),
+            weight: 1.0,
+            status: Status::InService,
+            started_at: None,
+        }
     }
 }
 
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Times, and the identifiers of requests, attempts, classes, tenants and backends.
+//! Times, and the identifiers of requests, attempts, backends, zones, cells, classes and tenants.
 
 /// A point in time or a span of time, in seconds. The caller chooses the origin of the clock.
 pub type Time = f64;
@@ -12,6 +12,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendId(pub u32);
 
+/// Identifies a zone. The caller numbers the zones of endpoint lists and of settings alike.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ZoneId(pub u32);
+
+/// Identifies a cell, which is a group of backends.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct CellId(pub u32);
+
 /// The index of a class among the classes of the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a balancer. Their names in the configuration are those of the protocol page; see
 //! `docs/GLOSSARY.md`.
 
-use super::ids::{ClassIndex, TenantIndex, Time};
+use super::ids::{ClassIndex, TenantIndex, Time, ZoneId};
 
 /// The backends that recognise a repeat of a request which one of them has processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,8 +90,8 @@
     pub instance_index: usize,
     /// The number of tiers between the clients and this balancer; 0 is the entry tier.
     pub tier: usize,
-    /// The zone of this balancer, as [`Endpoint::zone`](super::Endpoint::zone) numbers them.
-    pub zone: u32,
+    /// The zone of this balancer.
+    pub zone: ZoneId,
     /// The cost of an attempt that crosses zones, as a fraction of the priority weight of an average
     /// request.
     pub cross_zone_cost: f64,
@@ -170,7 +170,7 @@
             instance_count: 1,
             instance_index: 0,
             tier: 0,
-            zone: 0,
+            zone: ZoneId::default(),
             cross_zone_cost: 0.0,
             connections_have_cost: false,
             health_checks_for_load_reports: false,
--- a/crates/balancer/tests/concerns/attempts.rs
+++ b/crates/balancer/tests/concerns/attempts.rs
@@ -4,7 +4,7 @@
 use crate::decisions::attempts::{Attempt, Permission, is_safe_to_retry, next_attempt};
 use crate::decisions::calls::Call;
 use crate::decisions::scope::Scope;
-use crate::interface::{Effect, IdempotencyGroup, Outcome, Request, Settings, Time};
+use crate::interface::{CellId, Effect, IdempotencyGroup, Outcome, Request, Settings, Time, ZoneId};
 use crate::support::tests::assertions::assert_close;
 
 /// The resolution of clocks, in seconds.
@@ -25,7 +25,7 @@
 fn call_after(effect: Effect, outcome: Option<Outcome>) -> Call {
     let [backend] = backend_indices();
     let mut call = call_of(request(1), settings_with_effect(effect));
-    call.add_attempt(Attempt { cell: 3, zone: 4, ..attempt(backend, outcome) });
+    call.add_attempt(Attempt { cell: CellId(3), zone: ZoneId(4), ..attempt(backend, outcome) });
     call
 }
 
@@ -69,8 +69,8 @@
     };
 
     assert!(matches!(scope(IdempotencyGroup::All), Scope::Anywhere));
-    assert!(matches!(scope(IdempotencyGroup::Zone), Scope::Zone(4)));
-    assert!(matches!(scope(IdempotencyGroup::Cell), Scope::Cell(3)));
+    assert!(matches!(scope(IdempotencyGroup::Zone), Scope::Zone(ZoneId(4))));
+    assert!(matches!(scope(IdempotencyGroup::Cell), Scope::Cell(CellId(3))));
 }
 
 #[test]
@@ -89,12 +89,12 @@
     let [backend] = backend_indices();
     let mut call = call_after(idempotent(IdempotencyGroup::Cell), Some(Outcome::NoConnection));
     let second = attempt(backend, Some(Outcome::Timeout));
-    call.add_attempt(Attempt { cell: 5, sent_at: 0.25, ..second });
-    call.add_attempt(Attempt { cell: 6, sent_at: 0.5, ..second });
+    call.add_attempt(Attempt { cell: CellId(5), sent_at: 0.25, ..second });
+    call.add_attempt(Attempt { cell: CellId(6), sent_at: 0.5, ..second });
 
     let permission = permission(&call, 0.75).expect("a repeat is permitted");
 
-    assert!(matches!(permission.scope, Scope::Cell(5)));
+    assert!(matches!(permission.scope, Scope::Cell(CellId(5))));
     assert_close(permission.write_deadline, 0.25 + WINDOW - QUANTUM);
 }
 
--- a/crates/balancer/tests/concerns/endpoint_table.rs
+++ b/crates/balancer/tests/concerns/endpoint_table.rs
@@ -2,7 +2,7 @@
 
 use super::fixtures::endpoint;
 use crate::decisions::endpoint_table::{EndpointChange, EndpointTable};
-use crate::interface::{BackendId, Endpoint, Status};
+use crate::interface::{BackendId, Endpoint, Status, ZoneId};
 
 #[test]
 fn gives_each_new_backend_an_index_of_its_own() {
@@ -22,7 +22,7 @@
 fn reports_a_restart_only_if_the_start_time_differs() {
     let mut table = EndpointTable::default();
     let started = Endpoint { started_at: Some(1.0), ..endpoint(1) };
-    let moved = Endpoint { zone: 2, ..started.clone() };
+    let moved = Endpoint { zone: ZoneId(2), ..started.clone() };
     let restarted = Endpoint { started_at: Some(5.0), ..started.clone() };
     let added = table.upsert(&started);
 
--- a/crates/balancer/tests/concerns/fixtures.rs
+++ b/crates/balancer/tests/concerns/fixtures.rs
@@ -3,7 +3,7 @@
 use crate::decisions::attempts::Attempt;
 use crate::decisions::calls::{Call, CallKey, CallTable, InitialState};
 use crate::interface::{
-    BackendId, Effect, Endpoint, Outcome, Request, RequestClass, RequestId, Settings, Time,
+    BackendId, CellId, Effect, Endpoint, Outcome, Request, RequestClass, RequestId, Settings, Time, ZoneId,
 };
 use crate::support::{BackendIndex, BackendMap};
 use std::sync::Arc;
@@ -62,5 +62,5 @@
 
 /// Returns an attempt that was sent to a backend in cell 0 and zone 0 at time 0.
 pub fn attempt(backend: BackendIndex, outcome: Option<Outcome>) -> Attempt {
-    Attempt { backend, cell: 0, zone: 0, sent_at: 0.0, outcome }
+    Attempt { backend, cell: CellId(0), zone: ZoneId(0), sent_at: 0.0, outcome }
 }
--- a/crates/balancer/tests/concerns/subset.rs
+++ b/crates/balancer/tests/concerns/subset.rs
@@ -4,7 +4,7 @@
 use crate::decisions::endpoint_table::EndpointTable;
 use crate::decisions::maintenance::{Maintenance, PriorUse};
 use crate::decisions::subset::{AssignmentInputs, Subset, assign_alike};
-use crate::interface::{BackendId, Endpoint, Settings};
+use crate::interface::{BackendId, Endpoint, Settings, ZoneId};
 use crate::support::BackendIndex;
 use std::collections::BTreeSet;
 
@@ -128,7 +128,7 @@
 fn has_two_members_in_other_zones_where_crossing_zones_has_a_price() {
     let mut fleet = Fleet::new(10, 100);
     for id in 10..20 {
-        fleet.endpoints.upsert(&Endpoint { zone: 1, ..endpoint(id) });
+        fleet.endpoints.upsert(&Endpoint { zone: ZoneId(1), ..endpoint(id) });
     }
     fleet.settings.cross_zone_cost = 0.5;
     let calls_in_flight = Some(6.0);
@@ -136,7 +136,7 @@
     let mut subset = Subset::default();
     fleet.assign(&mut subset, fleet.all_backends(), calls_in_flight);
 
-    let is_remote = |index: &&BackendIndex| fleet.endpoints.get(**index).zone == 1;
+    let is_remote = |index: &&BackendIndex| fleet.endpoints.get(**index).zone == ZoneId(1);
     assert_eq!(subset.members().len(), 8);
     assert_eq!(subset.members().iter().filter(is_remote).count(), 2);
 }
--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -1,8 +1,8 @@
 //! A checker of the decision module's invariants that sees only events and actions.
 
 use balancer::{
-    Action, BackendId, ClassIndex, Effect, Endpoint, IdempotencyGroup, Outcome, RequestId, Settings, Status,
-    Time,
+    Action, BackendId, CellId, ClassIndex, Effect, Endpoint, IdempotencyGroup, Outcome, RequestId, Settings,
+    Status, Time, ZoneId,
 };
 use std::collections::HashMap;
 
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The cell of the backend.
-    pub cell: u32,
+    pub cell: CellId,
     /// The zone of the backend.
-    pub zone: u32,
+    pub zone: ZoneId,
     /// The time of the send, in seconds.
     pub sent_at: Time,
     /// The outcome; `None` while the attempt is in flight.
--- a/crates/balancer/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -7,7 +7,7 @@
 mod checker;
 mod random_events;
 
-use balancer::{Action, BackendId, ClassIndex, Endpoint, Outcome, RequestId, Status, Time};
+use balancer::{Action, BackendId, CellId, ClassIndex, Endpoint, Outcome, RequestId, Status, Time};
 use checker::{Checker, ObservedRequest};
 use common::actions::TimedAction;
 use common::fixtures::endpoint;
@@ -64,8 +64,8 @@
 /// backend 3 is draining; request 1 is open until 1 s, request 2 is finished.
 fn violations_in(class: ClassIndex, timed_actions: &[TimedAction]) -> Vec<String> {
     let mut checker = Checker::new(settings(SettingsVariant::default()));
-    checker.list.insert(1, Endpoint { cell: 1, ..endpoint(1) });
-    checker.list.insert(2, Endpoint { cell: 2, ..endpoint(2) });
+    checker.list.insert(1, Endpoint { cell: CellId(1), ..endpoint(1) });
+    checker.list.insert(2, Endpoint { cell: CellId(2), ..endpoint(2) });
     checker.list.insert(3, Endpoint { status: Status::Draining, ..endpoint(3) });
     let request = || ObservedRequest::new(class, Some(9), 1.0);
     checker.requests.insert(1, request());
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -1,8 +1,9 @@
 //! Random legal sequences of events for a balancer whose actions the checker sees.
 
 use balancer::{
-    Action, AttemptNumber, BackendId, Balancer, ClassIndex, Effect, EndedAttempt, Endpoint, EndpointUpdate,
-    Event, IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings, Status, TenantIndex, Time,
+    Action, AttemptNumber, BackendId, Balancer, CellId, ClassIndex, Effect, EndedAttempt, Endpoint,
+    EndpointUpdate, Event, IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings, Status,
+    TenantIndex, Time, ZoneId,
 };
 use proptest::prelude::*;
 
@@ -134,7 +135,9 @@
         now: 0.0,
         timers: Vec::new(),
         in_flight: Vec::new(),
-        list: (1..=BACKENDS).map(|id| Endpoint { cell: id % 3, zone: id % 2, ..endpoint(id) }).collect(),
+        list: (1..=BACKENDS)
+            .map(|id| Endpoint { cell: CellId(id % 3), zone: ZoneId(id % 2), ..endpoint(id) })
+            .collect(),
         last_request: 0,
     };
     simulation.send_full_list();
--- a/crates/balancer/tests/decisions/placement.rs
+++ b/crates/balancer/tests/decisions/placement.rs
@@ -5,7 +5,7 @@
 use crate::common::actions::{SentAttempt, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
-use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings};
+use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, ZoneId};
 
 #[test]
 fn prefers_backends_with_fewer_requests_in_flight_per_weight() {
@@ -20,38 +20,41 @@
     assert!((26..=34).contains(&sent[0]), "{sent:?}");
 }
 
+/// The zone of the balancer.
+const OWN_ZONE: ZoneId = ZoneId(1);
+
 /// Returns backends 1 to 8 in two zones, where odd ids are in zone 1.
 fn endpoints_in_two_zones() -> Vec<Endpoint> {
     (1..=8).map(|id| Endpoint { zone: zone_of(BackendId(id)), ..endpoint(id) }).collect()
 }
 
 /// Returns the zone of one of these backends.
-fn zone_of(backend: BackendId) -> u32 {
-    backend.0 % 2
+fn zone_of(backend: BackendId) -> ZoneId {
+    ZoneId(backend.0 % 2)
 }
 
 #[test]
 fn crosses_zones_only_when_the_own_zone_is_much_busier_and_crossing_has_a_cost() {
     // Guards against paying for crossings that gain nothing, and against a zone that is given
     // more traffic than its own backends can carry.
-    let settings = Settings { cross_zone_cost: 0.2, zone: 1, ..safe_settings() };
+    let settings = Settings { cross_zone_cost: 0.2, zone: OWN_ZONE, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints_in_two_zones());
     for id in 0..40 {
-        assert_eq!(zone_of(harness.serve(id, 0.05)), 1, "idle backends of the own zone");
+        assert_eq!(zone_of(harness.serve(id, 0.05)), OWN_ZONE, "idle backends of the own zone");
     }
 
     let sent = (100..140).flat_map(|id| sends(&harness.request(id)));
-    let crossed = sent.filter(|attempt| zone_of(attempt.backend) == 0).count();
+    let crossed = sent.filter(|attempt| zone_of(attempt.backend) != OWN_ZONE).count();
 
     assert!((1..20).contains(&crossed), "{crossed}");
 }
 
 #[test]
 fn ignores_zones_when_crossing_has_no_cost() {
-    let settings = Settings { zone: 1, ..safe_settings() };
+    let settings = Settings { zone: OWN_ZONE, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints_in_two_zones());
 
-    let crossed = (0..40).filter(|id| zone_of(harness.serve(*id, 0.05)) == 0).count();
+    let crossed = (0..40).filter(|id| zone_of(harness.serve(*id, 0.05)) != OWN_ZONE).count();
 
     assert!(crossed > 5, "no cost, no preference: {crossed}");
 }
--- a/crates/balancer/tests/decisions/retransmission.rs
+++ b/crates/balancer/tests/decisions/retransmission.rs
@@ -4,7 +4,8 @@
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
 use balancer::{
-    BackendId, Effect, Endpoint, EndpointUpdate, Event, IdempotencyGroup, Outcome, Settings, Time,
+    BackendId, CellId, Effect, Endpoint, EndpointUpdate, Event, IdempotencyGroup, Outcome, Settings, Time,
+    ZoneId,
 };
 
 #[test]
@@ -200,12 +201,12 @@
     BalancerHarness::with_seed(seed, settings, &endpoints)
 }
 
-fn cell_of(backend: BackendId) -> u32 {
-    (backend.0 - 1) % 4
+fn cell_of(backend: BackendId) -> CellId {
+    CellId((backend.0 - 1) % 4)
 }
 
-fn zone_of(backend: BackendId) -> u32 {
-    (backend.0 - 1) % 2
+fn zone_of(backend: BackendId) -> ZoneId {
+    ZoneId((backend.0 - 1) % 2)
 }
 
 #[test]
--- a/crates/balancer/tests/replay/scenario.rs
+++ b/crates/balancer/tests/replay/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenarios: settings, traffic, backends, and changes at fixed times.
 
-use balancer::{BackendId, Endpoint, MaintenanceChange, Outcome, Settings, Status, Time};
+use balancer::{BackendId, CellId, Endpoint, MaintenanceChange, Outcome, Settings, Status, Time, ZoneId};
 
 /// The behaviour of a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -147,8 +147,8 @@
     let weight = if id.is_multiple_of(4) { 1.5 } else { 1.0 };
     Endpoint {
         id: BackendId(id),
-        cell: id % 3,
-        zone: id % 2,
+        cell: CellId(id % 3),
+        zone: ZoneId(id % 2),
         weight,
         status: Status::InService,
         started_at: None,
--- a/crates/balancer/tests/replay/scenarios/backends.rs
+++ b/crates/balancer/tests/replay/scenarios/backends.rs
@@ -2,7 +2,7 @@
 
 use super::{behaves, listed, maintenance, serves, settings, started};
 use crate::scenario::{Behaviour, Change, Reporting, Scenario, Traffic, endpoints};
-use balancer::{BackendId, MaintenanceChange, Outcome, Settings, Status};
+use balancer::{BackendId, MaintenanceChange, Outcome, Settings, Status, ZoneId};
 
 pub fn slow_start_by_own_rate() -> Scenario {
     let settings = Settings {
@@ -63,7 +63,7 @@
 pub fn cross_zone_cost() -> Scenario {
     let settings = Settings {
         tier: 1,
-        zone: 1,
+        zone: ZoneId(1),
         cross_zone_cost: 0.05,
         health_checks_for_load_reports: true,
         ..settings()
--- a/crates/fleet-bench/src/fleet/caller/deliveries.rs
+++ b/crates/fleet-bench/src/fleet/caller/deliveries.rs
@@ -2,7 +2,7 @@
 
 use super::network::Network;
 use crate::fleet::scenario::Scenario;
-use balancer::Time;
+use balancer::{Time, ZoneId};
 use rand::rngs::SmallRng;
 
 /// A message with endpoint changes.
@@ -19,7 +19,7 @@
 pub fn draw_deliveries(
     scenario: &Scenario<'_>,
     network: &Network<'_>,
-    zone: usize,
+    zone: ZoneId,
     rng: &mut SmallRng,
 ) -> Vec<Delivery> {
     let context = &scenario.context;
--- a/crates/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -6,7 +6,7 @@
 use super::network::Network;
 use crate::fleet::faults::OutageKind;
 use crate::fleet::scenario::Scenario;
-use balancer::Time;
+use balancer::{Time, ZoneId};
 use rand::rngs::SmallRng;
 use std::ops::Range;
 
@@ -110,7 +110,7 @@
         &self,
         now: Time,
         network: &Network<'_>,
-        zone: usize,
+        zone: ZoneId,
         rng: &mut SmallRng,
     ) -> Time {
         if self.agent_is_up {
--- a/crates/fleet-bench/src/fleet/caller/environment.rs
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -18,7 +18,7 @@
 use crate::fleet::settings::caller_settings;
 use balancer::{
     Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome, Request, RequestId, Settings, Time,
-    TimerToken,
+    TimerToken, ZoneId,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -33,7 +33,7 @@
     /// The index of the caller's machine in the fleet.
     machine: usize,
     /// The zone of the caller's machine.
-    zone: usize,
+    zone: ZoneId,
     calls: Calls<'a>,
     discovery: DiscoveryClient<'a>,
     run: RunState<'a>,
--- a/crates/fleet-bench/src/fleet/caller/message.rs
+++ b/crates/fleet-bench/src/fleet/caller/message.rs
@@ -49,7 +49,7 @@
         "{{\"instanceId\":\"s-{:08x}\",\"hostPort\":\"10.100.100.100:7070\",\"zone\":\"{}\",\
          \"machineType\":\"m2\",\"cell\":{},\"lifecycle\":\"{lifecycle}\",\"weight\":1.0,\
          \"startedAtMs\":{started}}},",
-        endpoint.id.0, endpoint.zone, endpoint.cell
+        endpoint.id.0, endpoint.zone.0, endpoint.cell.0
     )
     .len()
 }
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -6,7 +6,7 @@
 use crate::fleet::faults::{Outage, OutageKind};
 use crate::fleet::random;
 use crate::fleet::scenario::Scenario;
-use balancer::{Outcome, Time};
+use balancer::{Outcome, Time, ZoneId};
 use rand::rngs::SmallRng;
 
 /// End of an attempt.
@@ -34,7 +34,7 @@
 pub struct Network<'a> {
     scenario: &'a Scenario<'a>,
     /// The zone of the machine.
-    zone: usize,
+    zone: ZoneId,
     /// Time of the last response of each backend, in seconds; `None` without a connection. Until the idle
     /// timeout after a response, the connection to the backend is open.
     last_response: Vec<Option<Time>>,
@@ -42,7 +42,7 @@
 
 impl<'a> Network<'a> {
     /// Creates the network as seen from a zone, without open connections.
-    pub fn new(scenario: &'a Scenario<'a>, zone: usize) -> Self {
+    pub fn new(scenario: &'a Scenario<'a>, zone: ZoneId) -> Self {
         let last_response = vec![None; scenario.service().machines.len()];
         Self { scenario, zone, last_response }
     }
@@ -58,7 +58,7 @@
     }
 
     /// Draws how long an endpoint update takes from a zone to this machine.
-    pub fn update_delay(&self, from_zone: usize, rng: &mut SmallRng) -> Time {
+    pub fn update_delay(&self, from_zone: ZoneId, rng: &mut SmallRng) -> Time {
         let delay = self.scenario.context.plan.update_delay;
         let publication = delay.median * (delay.sigma * random::draw_normal(rng)).exp();
         publication + 0.5 * self.round_trip(from_zone)
@@ -139,7 +139,7 @@
         context.faults.partitioned(self.zone, zone, at, context.topology)
     }
 
-    fn round_trip(&self, zone: usize) -> Time {
+    fn round_trip(&self, zone: ZoneId) -> Time {
         let context = &self.scenario.context;
         let times = context.plan.round_trips;
         if zone == self.zone {
--- a/crates/fleet-bench/src/fleet/faults.rs
+++ b/crates/fleet-bench/src/fleet/faults.rs
@@ -3,7 +3,7 @@
 use super::plan::{Phase, Plan};
 use super::random;
 use super::topology::Topology;
-use balancer::{Endpoint, Status, Time};
+use balancer::{Endpoint, Status, Time, ZoneId};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -121,7 +121,7 @@
                 faults.crash_machines(in_rack, plan, rng);
             }
             Phase::Zone => {
-                let zone = rng.random_range(0..plan.zones);
+                let zone = ZoneId(rng.random_range(0..plan.zones) as u32);
                 faults.crash_machines(|m| topology.machines[m].zone == zone, plan, rng);
             }
             Phase::Region => {
@@ -224,7 +224,7 @@
 
     /// Returns whether two zones cannot reach each other at a time.
     #[must_use]
-    pub fn partitioned(&self, zone: usize, other: usize, at: Time, topology: &Topology) -> bool {
+    pub fn partitioned(&self, zone: ZoneId, other: ZoneId, at: Time, topology: &Topology) -> bool {
         self.partition.is_some_and(|partition| {
             let inside = |zone| topology.region(zone) == partition.region;
             partition.is_active(at) && inside(zone) != inside(other)
@@ -233,7 +233,7 @@
 
     /// Returns the first time from `at` on at which a zone can reach discovery, in seconds.
     #[must_use]
-    pub fn discovery_reachable_from(&self, zone: usize, at: Time, topology: &Topology) -> Time {
+    pub fn discovery_reachable_from(&self, zone: ZoneId, at: Time, topology: &Topology) -> Time {
         match self.partition {
             Some(partition) if topology.region(zone) == partition.region => partition.over_from(at),
             _ => at,
--- a/crates/fleet-bench/src/fleet/settings.rs
+++ b/crates/fleet-bench/src/fleet/settings.rs
@@ -25,7 +25,7 @@
         instance_count: callers.len(),
         instance_index: caller_index,
         tier: topology.services[machine.service].layer,
-        zone: machine.zone as u32,
+        zone: machine.zone,
         cross_zone_cost: plan.cross_zone_cost,
         slow_start_initial_capacity: plan.slow_start_initial_capacity,
         slow_start_duration: plan.slow_start_duration,
--- a/crates/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -3,7 +3,7 @@
 use super::parameters::{LognormalTime, TimeRange};
 use super::plan::Plan;
 use super::random::{derive_seed, draw_normal};
-use balancer::{BackendId, Endpoint, Status, Time};
+use balancer::{BackendId, CellId, Endpoint, Status, Time, ZoneId};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -25,8 +25,8 @@
 pub struct Machine {
     /// The index of the service of the backend.
     pub service: usize,
-    /// The zone of the machine, from 0.
-    pub zone: usize,
+    /// The zone of the machine.
+    pub zone: ZoneId,
     /// The rack of the machine within the zone, from 0.
     pub rack: usize,
     /// The index of the service that the proxy calls; `None` in the lowest layer.
@@ -91,7 +91,7 @@
         let first_zone = rng.random_range(0..plan.zones);
         self.machines.extend((0..size).map(|i| Machine {
             service,
-            zone: (first_zone + i) % plan.zones,
+            zone: ZoneId(((first_zone + i) % plan.zones) as u32),
             rack: rng.random_range(0..plan.racks),
             callee: None,
             rate: 0.0,
@@ -172,8 +172,8 @@
 
     /// Returns the region of a zone.
     #[must_use]
-    pub fn region(&self, zone: usize) -> usize {
-        zone / self.zones_per_region
+    pub fn region(&self, zone: ZoneId) -> usize {
+        zone.0 as usize / self.zones_per_region
     }
 
     /// Returns the indices of the services that some proxy calls.
@@ -185,9 +185,9 @@
     /// Returns the endpoint of a machine's backend, in service since before the run.
     #[must_use]
     pub fn endpoint(&self, machine: usize) -> Endpoint {
-        let zone = self.machines[machine].zone as u32;
+        let zone = self.machines[machine].zone;
         let id = BackendId(machine as u32);
-        Endpoint { id, cell: zone, zone, weight: 1.0, status: Status::InService, started_at: None }
+        Endpoint { id, cell: CellId(zone.0), zone, weight: 1.0, status: Status::InService, started_at: None }
     }
 
     /// Returns the endpoint list of a service before the first fault.
--- a/crates/fleet-bench/src/slopes/case.rs
+++ b/crates/fleet-bench/src/slopes/case.rs
@@ -1,6 +1,6 @@
 //! The size of one deployment, and the configuration of its balancer.
 
-use balancer::{BackendId, Endpoint, RequestClass, Settings, Tenant, Time};
+use balancer::{BackendId, CellId, Endpoint, RequestClass, Settings, Tenant, Time, ZoneId};
 
 /// Latency objective of all classes, in seconds. The balancer estimates over a multiple of the objective,
 /// and takes no response time above a quarter of the objective as usual.
@@ -72,8 +72,8 @@
     pub fn endpoints(&self) -> Vec<Endpoint> {
         let endpoint = |i: u32| Endpoint {
             id: BackendId(i),
-            cell: i / BACKENDS_PER_CELL,
-            zone: i % ZONES,
+            cell: CellId(i / BACKENDS_PER_CELL),
+            zone: ZoneId(i % ZONES),
             ..Endpoint::default()
         };
         (0..self.backends as u32).map(endpoint).collect()
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -4,7 +4,7 @@
 use super::endpoint_lists::EndpointLists;
 use super::instances::{Instance, InstanceIndex, Instances, RunningInstance};
 use super::reply::Reply;
-use crate::wire::{self, InstanceStart, Line, ListId, NameIndex, WireError};
+use crate::wire::{self, InstanceStart, Line, ListId, WireError, ZoneIds};
 use balancer::{Action, Balancer, Event, Time};
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub(super) struct Host {
     instances: Instances,
-    zones: NameIndex,
+    zones: ZoneIds,
     lists: EndpointLists,
 }
 
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -2,9 +2,9 @@
 //! follows, and UPDATE lines refer to lists that have been filled.
 
 use super::error::{Result, WireError};
-use super::names::NameIndex;
+use super::names::ZoneIds;
 use super::values::{self, ABSENT};
-use balancer::{BackendId, Endpoint, Status, Time};
+use balancer::{BackendId, CellId, Endpoint, Status, Time};
 
 /// Number of endpoint lists, which are numbered from 0.
 pub const LIST_COUNT: usize = 16;
@@ -61,12 +61,12 @@
 }
 
 /// Parses an entry of an endpoint list. The zone of the endpoint is added to `zones`.
-pub(super) fn parse_endpoint(text: &str, zones: &mut NameIndex) -> Result<Endpoint> {
+pub(super) fn parse_endpoint(text: &str, zones: &mut ZoneIds) -> Result<Endpoint> {
     let [_kind, cell, id, weight, zone, status, started_at] = values::split("ITEM", text)?;
     let started_at = parse_start_time(started_at)?;
     Ok(Endpoint {
         id: BackendId(values::parse_integer("the backend", id)?),
-        cell: values::parse_integer("the cell", cell)?,
+        cell: CellId(values::parse_integer("the cell", cell)?),
         zone: zones.assign(zone),
         weight: if weight == ABSENT {
             DEFAULT_WEIGHT
--- a/crates/simulator-adapter/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -3,7 +3,7 @@
 
 use super::endpoint_list::{self, ListId, ListUpdate};
 use super::error::{Result, WireError};
-use super::names::{InstanceNames, NameIndex};
+use super::names::{InstanceNames, ZoneIds};
 use super::settings;
 use super::values::{self, ABSENT};
 use balancer::{
@@ -69,7 +69,7 @@
 /// before the selected instance has started.
 pub fn parse_line<'a>(
     line: &'a str,
-    zones: &mut NameIndex,
+    zones: &mut ZoneIds,
     instance: Option<&InstanceNames>,
 ) -> Result<Line<'a>> {
     let (name, rest) = line.split_once(' ').unwrap_or((line, ""));
@@ -101,7 +101,7 @@
     })
 }
 
-fn parse_instance_start(text: &str, zones: &mut NameIndex) -> Result<Line<'static>> {
+fn parse_instance_start(text: &str, zones: &mut ZoneIds) -> Result<Line<'static>> {
     let (seed, pairs) = text.split_once(' ').unwrap_or((text, ""));
     let (settings, names) = settings::parse_settings(pairs, zones)?;
     let seed = values::parse_integer("the seed", seed)?;
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -6,9 +6,9 @@
 //!
 //! ```
 //! use balancer::{Event, TimerToken};
-//! use simulator_adapter::wire::{Line, NameIndex, parse_line};
+//! use simulator_adapter::wire::{Line, ZoneIds, parse_line};
 //!
-//! let mut zones = NameIndex::default();
+//! let mut zones = ZoneIds::default();
 //!
 //! let line = parse_line("TICK_DUE 77", &mut zones, None)?;
 //!
@@ -28,4 +28,4 @@
 pub use endpoint_list::{LIST_COUNT, ListId, ListUpdate};
 pub use error::WireError;
 pub use line::{InstanceStart, Line, parse_line};
-pub use names::{InstanceNames, NameIndex};
+pub use names::{InstanceNames, ZoneIds};
--- a/crates/simulator-adapter/src/wire/names.rs
+++ b/crates/simulator-adapter/src/wire/names.rs
@@ -1,21 +1,21 @@
-//! The names that lines use, and the indices that stand for these names in the decision module.
+//! The names that lines use, and the ids and indices that stand for these names in the decision module.
 
-use balancer::{ClassIndex, TenantIndex};
+use balancer::{ClassIndex, TenantIndex, ZoneId};
 use std::collections::HashMap;
 
-/// Indices of names, assigned in the order in which the names first occur.
+/// The ids of zones by their names, assigned in the order in which the names first occur.
 #[derive(Debug, Default)]
-pub struct NameIndex(HashMap<String, u32>);
+pub struct ZoneIds(HashMap<String, ZoneId>);
 
-impl NameIndex {
-    /// Returns the index of a name, which is added if the name is new.
-    pub fn assign(&mut self, name: &str) -> u32 {
-        if let Some(&index) = self.0.get(name) {
-            return index;
+impl ZoneIds {
+    /// Returns the id of the zone with this name, which is added if the name is new.
+    pub fn assign(&mut self, name: &str) -> ZoneId {
+        if let Some(&id) = self.0.get(name) {
+            return id;
         }
-        let index = self.0.len() as u32;
-        self.0.insert(name.to_string(), index);
-        index
+        let id = ZoneId(self.0.len() as u32);
+        self.0.insert(name.to_string(), id);
+        id
     }
 }
 
--- a/crates/simulator-adapter/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -21,7 +21,7 @@
 //!   `rules.drain-grace` concern sockets, which the simulator plays itself: their pairs are skipped.
 
 use super::error::{Result, WireError};
-use super::names::{InstanceNames, NameIndex};
+use super::names::{InstanceNames, ZoneIds};
 use super::values;
 use balancer::Settings;
 use balancer_settings::{
@@ -89,7 +89,7 @@
 /// # Errors
 ///
 /// [`WireError`] if a part of the text is no pair, a required pair is absent, or a value is invalid.
-pub(super) fn parse_settings(text: &str, zones: &mut NameIndex) -> Result<(Settings, InstanceNames)> {
+pub(super) fn parse_settings(text: &str, zones: &mut ZoneIds) -> Result<(Settings, InstanceNames)> {
     let pairs = Pairs::parse(text)?;
     let raw = parse_raw_settings(&pairs)?;
     let names = InstanceNames {
@@ -97,8 +97,8 @@
         tenants: raw.projects.iter().map(|tenant| tenant.name.clone()).collect(),
         load_report_fields: parse_load_report_fields(&pairs),
     };
-    let zone_index = zones.assign(&raw.zone);
-    let settings = raw.into_settings(zone_index).map_err(|invalid| {
+    let zone = zones.assign(&raw.zone);
+    let settings = raw.into_settings(zone).map_err(|invalid| {
         WireError::invalid_value(&invalid.path, VALID_QUANTITY, &invalid.value.to_string())
     })?;
     Ok((settings, names))
--- a/crates/simulator-adapter/tests/settings_syntaxes/main.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes/main.rs
@@ -4,11 +4,12 @@
 mod samples;
 mod translations;
 
+use balancer::ZoneId;
 use balancer_settings::RawSettings;
 use balancer_settings::keys::settings_keys;
 use samples::{KeySample, samples, with_class, with_entry};
 use serde_json::{Value, json};
-use simulator_adapter::wire::{self, Line, NameIndex};
+use simulator_adapter::wire::{self, Line, ZoneIds};
 use translations::{
     KEYS_OF_THE_PROXY, from_json, from_pairs, json_error, pairs_error, pairs_of, try_from_pairs,
 };
@@ -149,25 +150,25 @@
 
 #[test]
 fn zones_are_numbered_over_all_instances_in_pairs_and_by_the_caller_for_the_file() {
-    let mut zones = NameIndex::default();
+    let mut zones = ZoneIds::default();
 
-    let mut zone_index = |zone: &str| {
+    let mut zone_id = |zone: &str| {
         let pairs = format!("classes.count=0 zone={zone} zones=north,east");
         try_from_pairs(&pairs, &mut zones).unwrap().zone
     };
 
     // By first use in the process, not by position in `zones`.
-    assert_eq!(zone_index("east"), 0);
-    assert_eq!(zone_index("north"), 1);
-    assert_eq!(zone_index("east"), 0);
-    let zone_number_of_the_caller = 4;
+    assert_eq!(zone_id("east"), ZoneId(0));
+    assert_eq!(zone_id("north"), ZoneId(1));
+    assert_eq!(zone_id("east"), ZoneId(0));
+    let zone_of_the_caller = ZoneId(4);
     let raw: RawSettings = serde_json::from_value(json!({"classes": [], "zone": "east"})).unwrap();
-    assert_eq!(raw.into_settings(zone_number_of_the_caller).unwrap().zone, 4);
+    assert_eq!(raw.into_settings(zone_of_the_caller).unwrap().zone, zone_of_the_caller);
 }
 
 #[test]
 fn names_of_load_report_values_are_read_from_pairs_only() {
-    let mut zones = NameIndex::default();
+    let mut zones = ZoneIds::default();
     let hello = "HELLO 7 classes.count=0 stats.how=inline stats.fields=cpu,avg_ms";
     let Ok(Line::StartInstance(start)) = wire::parse_line(hello, &mut zones, None) else { panic!("{hello}") };
 
--- a/crates/simulator-adapter/tests/settings_syntaxes/translations.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes/translations.rs
@@ -1,9 +1,9 @@
 //! Translations of settings in each of the two syntaxes.
 
-use balancer::Settings;
+use balancer::{Settings, ZoneId};
 use balancer_settings::RawSettings;
 use serde_json::Value;
-use simulator_adapter::wire::{self, Line, NameIndex, WireError};
+use simulator_adapter::wire::{self, Line, WireError, ZoneIds};
 
 /// Keys of the proxy's sockets, and the names of all zones: their pairs are skipped.
 pub const KEYS_OF_THE_PROXY: [&str; 6] =
@@ -12,11 +12,11 @@
 /// Translates settings of the configuration file, for a balancer in zone 0.
 pub fn from_json(settings: &Value) -> Settings {
     let raw: RawSettings = serde_json::from_value(settings.clone()).unwrap();
-    raw.into_settings(0).unwrap()
+    raw.into_settings(ZoneId(0)).unwrap()
 }
 
 /// Translates pairs with a numbering of zones that is shared with earlier instances.
-pub fn try_from_pairs(pairs: &str, zones: &mut NameIndex) -> Result<Settings, WireError> {
+pub fn try_from_pairs(pairs: &str, zones: &mut ZoneIds) -> Result<Settings, WireError> {
     let hello = format!("HELLO 7 {pairs}");
     match wire::parse_line(&hello, zones, None)? {
         Line::StartInstance(start) => Ok(start.settings),
@@ -26,11 +26,11 @@
 
 /// Translates pairs for the first instance.
 pub fn from_pairs(pairs: &str) -> Settings {
-    try_from_pairs(pairs, &mut NameIndex::default()).unwrap()
+    try_from_pairs(pairs, &mut ZoneIds::default()).unwrap()
 }
 
 pub fn pairs_error(pairs: &str) -> String {
-    try_from_pairs(pairs, &mut NameIndex::default()).unwrap_err().to_string()
+    try_from_pairs(pairs, &mut ZoneIds::default()).unwrap_err().to_string()
 }
 
 pub fn json_error(settings: Value) -> String {
