--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use balancer::{BackendId, Effect, Endpoint, Request, RequestClass, Settings};
+use balancer::{BackendId, Effect, Endpoint, Request, RequestClass, Settings, Tier};
 use balancer_proxy::control::discovery::WatchListener;
 use balancer_proxy::engine::Engine;
 use balancer_proxy::metrics::Metrics;
@@ -29,7 +29,7 @@
         effect: Effect::Safe,
         ..RequestClass::default()
     };
-    Settings { classes: vec![class], tier: 1, ..Settings::default() }
+    Settings { classes: vec![class], tier: Tier(1), ..Settings::default() }
 }
 
 fn listed(id: u32, address: SocketAddr) -> ListedEndpoint {
--- a/crates/balancer-settings/src/translation.rs
+++ b/crates/balancer-settings/src/translation.rs
@@ -2,7 +2,7 @@
 
 use crate::defaults;
 use crate::raw::{RawClass, RawEffect, RawGroup, RawRegistryMode, RawSettings, RawTenant};
-use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant, ZoneId};
+use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant, Tier, ZoneId};
 use std::fmt::Display;
 use thiserror::Error;
 
@@ -46,7 +46,7 @@
             over_quota_weight: self.over_share_worth.unwrap_or(defaults::OVER_QUOTA_WEIGHT),
             instance_count: self.n_instances.unwrap_or(defaults::INSTANCE_COUNT),
             instance_index: self.me,
-            tier: self.tier,
+            tier: Tier(self.tier),
             zone,
             cross_zone_cost: costs.cross_zone,
             connections_have_cost: costs.connection + costs.handshake > 0.0,
--- a/crates/balancer-settings/tests/translation.rs
+++ b/crates/balancer-settings/tests/translation.rs
@@ -1,6 +1,6 @@
 //! The translation of settings: the effect of each key, the defaults, and invalid quantities.
 
-use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant, ZoneId};
+use balancer::{Effect, IdempotencyGroup, RequestClass, Settings, Tenant, Tier, ZoneId};
 use balancer_settings::keys::settings_keys;
 use balancer_settings::{RawSettings, defaults};
 use serde_json::{Value, json};
@@ -41,7 +41,7 @@
         over_quota_weight: 0.1,
         instance_count: 5,
         instance_index: 2,
-        tier: 1,
+        tier: Tier(1),
         zone: ZONE,
         cross_zone_cost: 0.0625,
         connections_have_cost: true,
--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -60,7 +60,7 @@
     /// has been done yet: the overload level that lowers the probability of a retry is also the fraction
     /// of the requests that are not admitted, those of the lowest ranks.
     fn admits(&mut self, rank: Rank) -> bool {
-        self.settings.tier > 0 || rank >= Rank(self.overload_level())
+        !self.settings.tier.is_entry() || rank >= Rank(self.overload_level())
     }
 
     /// Returns the rejection of a request that has caused no effect. A client that honours the wait retries
--- a/crates/balancer/src/decisions/subset.rs
+++ b/crates/balancer/src/decisions/subset.rs
@@ -128,7 +128,7 @@
     /// Returns the number of members below which some backends would be in no subset, or a choice between
     /// two would be impossible.
     fn min_size(&self, settings: &Settings) -> usize {
-        let least = if settings.tier == 0 { MIN_ENTRY_MEMBERS } else { MIN_MEMBERS };
+        let least = if settings.tier.is_entry() { MIN_ENTRY_MEMBERS } else { MIN_MEMBERS };
         let coverage = self.in_service.len().div_ceil(settings.instance_count.max(1));
         least.max(coverage)
     }
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -1,4 +1,4 @@
-//! Times, and the identifiers of requests, attempts, backends, zones, cells, classes and tenants.
+//! Times, and the identifiers of requests, attempts, backends, zones, cells, tiers, classes and tenants.
 
 /// A point in time or a span of time, in seconds. The caller chooses the origin of the clock.
 pub type Time = f64;
@@ -20,6 +20,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CellId(pub u32);
 
+/// The tier of a balancer: the number of tiers between the clients and the balancer.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Tier(pub usize);
+
+impl Tier {
+    /// The entry tier, which clients send their requests to.
+    pub const ENTRY: Self = Self(0);
+
+    /// Returns whether the tier is the entry tier.
+    #[must_use]
+    pub fn is_entry(self) -> bool {
+        self == Self::ENTRY
+    }
+}
+
 /// The index of a class among the classes of the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of a balancer. Their names in the configuration are those of the protocol page; see
 //! `docs/GLOSSARY.md`.
 
-use super::ids::{ClassIndex, TenantIndex, Time, ZoneId};
+use super::ids::{ClassIndex, TenantIndex, Tier, Time, ZoneId};
 
 /// The backends that recognise a repeat of a request which one of them has processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,8 +88,8 @@
     pub instance_count: usize,
     /// The index of this balancer among them, from 0.
     pub instance_index: usize,
-    /// The number of tiers between the clients and this balancer; 0 is the entry tier.
-    pub tier: usize,
+    /// The tier of this balancer.
+    pub tier: Tier,
     /// The zone of this balancer.
     pub zone: ZoneId,
     /// The cost of an attempt that crosses zones, as a fraction of the priority weight of an average
@@ -169,7 +169,7 @@
             over_quota_weight: 1.0,
             instance_count: 1,
             instance_index: 0,
-            tier: 0,
+            tier: Tier::ENTRY,
             zone: ZoneId::default(),
             cross_zone_cost: 0.0,
             connections_have_cost: false,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -65,7 +65,7 @@
 pub use interface::{
     Action, AttemptNumber, BackendId, CellId, ClassIndex, Effect, EndedAttempt, Endpoint, EndpointUpdate,
     Event, IdempotencyGroup, LoadReport, MaintenanceChange, Outcome, Request, RequestClass, RequestId,
-    Settings, Status, Tenant, TenantIndex, Time, TimerToken, ZoneId,
+    Settings, Status, Tenant, TenantIndex, Tier, Time, TimerToken, ZoneId,
 };
 
 /// The example of the front page, run as a test.
--- a/crates/balancer/tests/common/fixtures.rs
+++ b/crates/balancer/tests/common/fixtures.rs
@@ -1,6 +1,6 @@
 //! Settings, classes, tenants and endpoints that many tests start from.
 
-use balancer::{BackendId, Effect, Endpoint, RequestClass, Settings, Tenant};
+use balancer::{BackendId, Effect, Endpoint, RequestClass, Settings, Tenant, Tier};
 
 /// Returns a class with a latency objective of 1 s and a timeout of at most 2 s.
 pub fn request_class(effect: Effect) -> RequestClass {
@@ -14,7 +14,7 @@
 
 /// Returns the settings of an inner balancer with one class of this effect.
 pub fn settings_with_effect(effect: Effect) -> Settings {
-    Settings { classes: vec![request_class(effect)], tier: 1, ..Settings::default() }
+    Settings { classes: vec![request_class(effect)], tier: Tier(1), ..Settings::default() }
 }
 
 /// Returns the settings of an inner balancer with one class of safe requests.
--- a/crates/balancer/tests/concerns/subset.rs
+++ b/crates/balancer/tests/concerns/subset.rs
@@ -4,7 +4,7 @@
 use crate::decisions::endpoint_table::EndpointTable;
 use crate::decisions::maintenance::{Maintenance, PriorUse};
 use crate::decisions::subset::{AssignmentInputs, Subset, assign_alike};
-use crate::interface::{BackendId, Endpoint, Settings, ZoneId};
+use crate::interface::{BackendId, Endpoint, Settings, Tier, ZoneId};
 use crate::support::BackendIndex;
 use std::collections::BTreeSet;
 
@@ -22,7 +22,7 @@
         for id in 0..backends {
             endpoints.upsert(&endpoint(id));
         }
-        let settings = Settings { instance_count, tier: 1, ..Settings::default() };
+        let settings = Settings { instance_count, tier: Tier(1), ..Settings::default() };
         Self { settings, endpoints, maintenance: Maintenance::default() }
     }
 
@@ -49,7 +49,7 @@
     let mut fleet = Fleet::new(10, 100);
 
     let inner = fleet.first_subset();
-    fleet.settings.tier = 0;
+    fleet.settings.tier = Tier::ENTRY;
     let entry = fleet.first_subset();
 
     assert_eq!([inner.members().len(), entry.members().len()], [2, 3]);
--- a/crates/balancer/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -7,7 +7,7 @@
 mod checker;
 mod random_events;
 
-use balancer::{Action, BackendId, CellId, ClassIndex, Endpoint, Outcome, RequestId, Status, Time};
+use balancer::{Action, BackendId, CellId, ClassIndex, Endpoint, Outcome, RequestId, Status, Tier, Time};
 use checker::{Checker, ObservedRequest};
 use common::actions::TimedAction;
 use common::fixtures::endpoint;
@@ -25,6 +25,7 @@
 
     runner
         .run(&sequences, |(steps, hedging_allowed, cancellation_allowed, tier, seed)| {
+            let tier = Tier(tier);
             let settings = settings(SettingsVariant { hedging_allowed, cancellation_allowed, tier });
             let violations = violations_of(&steps, settings, seed);
             prop_assert!(violations.is_empty(), "{violations:?}");
@@ -42,7 +43,7 @@
 
 /// Settings of the entry tier where hedging and cancellation are allowed.
 const PERMISSIVE: SettingsVariant =
-    SettingsVariant { hedging_allowed: true, cancellation_allowed: true, tier: 0 };
+    SettingsVariant { hedging_allowed: true, cancellation_allowed: true, tier: Tier::ENTRY };
 
 fn send(id: RequestId, backend: u32) -> Action {
     Action::Send { id, backend: BackendId(backend), timeout: 0.5, write_within: 0.5 }
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -3,7 +3,7 @@
 use balancer::{
     Action, AttemptNumber, BackendId, Balancer, CellId, ClassIndex, Effect, EndedAttempt, Endpoint,
     EndpointUpdate, Event, IdempotencyGroup, Outcome, Request, RequestClass, RequestId, Settings, Status,
-    TenantIndex, Time, ZoneId,
+    TenantIndex, Tier, Time, ZoneId,
 };
 use proptest::prelude::*;
 
@@ -78,7 +78,7 @@
     /// Whether attempts may be cancelled.
     pub cancellation_allowed: bool,
     /// The tier of the balancer.
-    pub tier: usize,
+    pub tier: Tier,
 }
 
 /// Returns settings with classes of every effect, two of which keep the order of a key.
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -6,12 +6,13 @@
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
 use balancer::{
-    Action, ClassIndex, Effect, Event, Outcome, Request, RequestClass, RequestId, Settings, TenantIndex, Time,
+    Action, ClassIndex, Effect, Event, Outcome, Request, RequestClass, RequestId, Settings, TenantIndex,
+    Tier, Time,
 };
 
 #[test]
 fn sheds_load_only_at_the_entry_tier() {
-    let rejected_by_tier = [0, 1].map(|tier| {
+    let rejected_by_tier = [Tier::ENTRY, Tier(1)].map(|tier| {
         let mut harness = BalancerHarness::new(Settings { tier, ..safe_settings() }, &endpoints(4));
         for id in 0..100 {
             harness.serve(id, 0.05);
@@ -48,7 +49,7 @@
 
 #[test]
 fn sheds_requests_of_low_weight_and_of_tenants_over_quota_first() {
-    let mut settings = Settings { tier: 0, ..safe_settings() };
+    let mut settings = Settings { tier: Tier::ENTRY, ..safe_settings() };
     settings.classes.push(RequestClass { priority_weight: 10.0, ..request_class(Effect::Safe) });
     settings.tenants = vec![tenant("small", 1.0), tenant("large", 1000.0)];
     settings.over_quota_weight = 0.01;
--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -3,7 +3,7 @@
 use crate::common::actions::{is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
-use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId, Settings};
+use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId, Settings, Tier};
 
 /// Creates a balancer before two backends.
 fn harness_with_two_backends(settings: Settings) -> BalancerHarness {
@@ -131,7 +131,7 @@
 #[test]
 fn does_not_forward_a_request_queued_at_the_entry_after_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
-        let settings = Settings { tier: 0, ..settings };
+        let settings = Settings { tier: Tier::ENTRY, ..settings };
         let mut harness = harness_with_two_backends(settings);
         for id in 100..200 {
             harness.serve(id, 0.1);
--- a/crates/balancer/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -3,7 +3,9 @@
 use crate::common::actions::{is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
-use balancer::{Effect, EndpointUpdate, Event, Request, RequestClass, RequestId, Settings, TenantIndex};
+use balancer::{
+    Effect, EndpointUpdate, Event, Request, RequestClass, RequestId, Settings, TenantIndex, Tier,
+};
 
 /// Returns settings in which every number that may be zero is zero.
 fn zero_settings() -> Settings {
@@ -16,7 +18,7 @@
         }],
         tenants: vec![tenant("none", 0.0)],
         instance_count: 0,
-        tier: 0,
+        tier: Tier::ENTRY,
         slow_start_duration: 0.0,
         slow_start_initial_capacity: 0.0,
         slow_start_overload_multiple: 0.0,
--- a/crates/balancer/tests/decisions/overload_level.rs
+++ b/crates/balancer/tests/decisions/overload_level.rs
@@ -6,11 +6,11 @@
 use crate::common::actions::{SentAttempt, TimedAction, is_rejected, rejections, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
-use balancer::{BackendId, EndpointUpdate, Event, Outcome, Settings, Time};
+use balancer::{BackendId, EndpointUpdate, Event, Outcome, Settings, Tier, Time};
 
 /// Returns the settings of a balancer at the entry tier.
 fn entry_settings(instance_count: usize) -> Settings {
-    Settings { tier: 0, instance_count, ..safe_settings() }
+    Settings { tier: Tier::ENTRY, instance_count, ..safe_settings() }
 }
 
 /// Returns the number of these requests that are sent at once, while none gets a response.
@@ -135,7 +135,7 @@
 #[test]
 fn sheds_little_load_when_most_backends_hang() {
     // Guards against requests stuck at a few outliers that pass for an overload of all backends.
-    let settings = Settings { tier: 0, hedging_allowed: false, ..safe_settings() };
+    let settings = Settings { tier: Tier::ENTRY, hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(8));
     for id in 0..60 {
         harness.serve(id, 0.02);
--- a/crates/balancer/tests/decisions/quotas.rs
+++ b/crates/balancer/tests/decisions/quotas.rs
@@ -9,7 +9,7 @@
 use crate::common::actions::{SentAttempt, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings, tenant};
-use balancer::{Action, Event, Outcome, Request, RequestId, Settings, TenantIndex, Time};
+use balancer::{Action, Event, Outcome, Request, RequestId, Settings, TenantIndex, Tier, Time};
 
 /// The index of the tenant whose quota a test is about.
 const LIMITED: TenantIndex = TenantIndex(0);
@@ -29,7 +29,7 @@
 /// Returns the settings of an entry balancer with a limited and an unlimited tenant.
 fn settings_with_quota(quota_per_second: f64) -> Settings {
     Settings {
-        tier: 0,
+        tier: Tier::ENTRY,
         tenants: vec![tenant("limited", quota_per_second), tenant("unlimited", 1e6)],
         over_quota_weight: 0.01,
         ..safe_settings()
--- a/crates/balancer/tests/decisions/streamed_bodies.rs
+++ b/crates/balancer/tests/decisions/streamed_bodies.rs
@@ -3,7 +3,7 @@
 use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, safe_settings, settings_with_effect};
-use balancer::{Effect, Event, Outcome, Request, RequestId, Settings};
+use balancer::{Effect, Event, Outcome, Request, RequestId, Settings, Tier};
 
 /// Handles the arrival of a request with a streamed body, and returns the first attempt.
 fn send_streamed_request(harness: &mut BalancerHarness, id: u64) -> SentAttempt {
@@ -57,7 +57,7 @@
 #[test]
 fn does_not_count_slowly_streamed_bodies_as_overload() {
     // With forty bodies in transfer, the entry tier has to admit all other requests.
-    let settings = Settings { tier: 0, ..safe_settings() };
+    let settings = Settings { tier: Tier::ENTRY, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &[endpoint(1), endpoint(2)]);
     for id in 0..100 {
         harness.serve(id, 0.1);
--- a/crates/balancer/tests/decisions/subset_assignment.rs
+++ b/crates/balancer/tests/decisions/subset_assignment.rs
@@ -5,7 +5,7 @@
 use crate::common::actions::{SentAttempt, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
-use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Time};
+use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Tier, Time};
 
 /// Returns the backends of 60 requests with the ids from `first_id` on, none of which gets a response.
 fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<BackendId> {
@@ -163,11 +163,11 @@
 
 #[test]
 fn assigns_three_members_at_the_entry_tier_and_two_below_where_few_cover_all_backends() {
-    for (tier, members) in [3, 2, 2].into_iter().enumerate() {
+    for (tier, members) in [(Tier::ENTRY, 3), (Tier(1), 2), (Tier(2), 2)] {
         let settings = Settings { tier, instance_count: 50, ..safe_settings() };
         let harness = BalancerHarness::new(settings, &endpoints(40));
 
-        assert_eq!(subset(&harness).len(), members, "tier {tier}");
+        assert_eq!(subset(&harness).len(), members, "{tier:?}");
     }
 }
 
--- a/crates/balancer/tests/replay/scenarios/backends.rs
+++ b/crates/balancer/tests/replay/scenarios/backends.rs
@@ -2,11 +2,11 @@
 
 use super::{behaves, listed, maintenance, serves, settings, started};
 use crate::scenario::{Behaviour, Change, Reporting, Scenario, Traffic, endpoints};
-use balancer::{BackendId, MaintenanceChange, Outcome, Settings, Status, ZoneId};
+use balancer::{BackendId, MaintenanceChange, Outcome, Settings, Status, Tier, ZoneId};
 
 pub fn slow_start_by_own_rate() -> Scenario {
     let settings = Settings {
-        tier: 1,
+        tier: Tier(1),
         instance_count: 1,
         instance_index: 0,
         slow_start_duration: 4.0,
@@ -62,7 +62,7 @@
 
 pub fn cross_zone_cost() -> Scenario {
     let settings = Settings {
-        tier: 1,
+        tier: Tier(1),
         zone: ZoneId(1),
         cross_zone_cost: 0.05,
         health_checks_for_load_reports: true,
--- a/crates/balancer/tests/replay/scenarios/overload.rs
+++ b/crates/balancer/tests/replay/scenarios/overload.rs
@@ -2,7 +2,7 @@
 
 use super::{behaves, settings, tenant};
 use crate::scenario::{Behaviour, Change, Scenario, Traffic, endpoints};
-use balancer::Settings;
+use balancer::{Settings, Tier};
 
 pub fn entry_overload() -> Scenario {
     let settings = Settings {
@@ -25,7 +25,7 @@
 }
 
 pub fn lower_tier_overload() -> Scenario {
-    let settings = Settings { tier: 1, max_retry_after: 5.0, ..settings() };
+    let settings = Settings { tier: Tier(1), max_retry_after: 5.0, ..settings() };
     let mut scenario = Scenario::new("lower_tier_overload", 2, settings, endpoints(5));
     scenario.duration = 4.0;
     scenario.traffic = Traffic { service_time: 0.05, least_timeout: 0.05, ..Traffic::default() };
@@ -33,7 +33,7 @@
 }
 
 pub fn retries_under_overload() -> Scenario {
-    let mut settings = Settings { tier: 1, ..settings() };
+    let mut settings = Settings { tier: Tier(1), ..settings() };
     settings.classes.truncate(1);
     let mut scenario = Scenario::new("retries_under_overload", 13, settings, endpoints(4));
     scenario.duration = 3.0;
@@ -42,7 +42,7 @@
 }
 
 pub fn connections_with_cost() -> Scenario {
-    let settings = Settings { tier: 1, connections_have_cost: true, instance_count: 20, ..settings() };
+    let settings = Settings { tier: Tier(1), connections_have_cost: true, instance_count: 20, ..settings() };
     let mut scenario = Scenario::new("connections_with_cost", 12, settings, endpoints(20));
     scenario.traffic = Traffic { rate: 300.0, service_time: 0.06, ..Traffic::default() };
     scenario.duration = 3.0;
--- a/crates/balancer/tests/replay/scenarios/requests.rs
+++ b/crates/balancer/tests/replay/scenarios/requests.rs
@@ -2,11 +2,16 @@
 
 use super::{behaves, class, serves, settings, tenant};
 use crate::scenario::{Behaviour, Change, Scenario, Traffic, endpoints};
-use balancer::{BackendId, Effect, Outcome, Settings, Time};
+use balancer::{BackendId, Effect, Outcome, Settings, Tier, Time};
 
 pub fn effects_with_failures() -> Scenario {
-    let settings =
-        Settings { tier: 1, cancellation_allowed: false, instance_count: 1, instance_index: 0, ..settings() };
+    let settings = Settings {
+        tier: Tier(1),
+        cancellation_allowed: false,
+        instance_count: 1,
+        instance_index: 0,
+        ..settings()
+    };
     let mut endpoints = endpoints(10);
     for endpoint in &mut endpoints {
         // The mean of ten equal loads of 1/10 is less than 1/10, by rounding.
@@ -35,7 +40,7 @@
 }
 
 pub fn streamed_bodies() -> Scenario {
-    let settings = Settings { tier: 1, must_poll_endpoints: true, ..settings() };
+    let settings = Settings { tier: Tier(1), must_poll_endpoints: true, ..settings() };
     let mut scenario = Scenario::new("streamed_bodies", 5, settings, endpoints(6));
     scenario.traffic = Traffic { streamed: 0.5, failing: 0.1, disconnecting: 0.05, ..Traffic::default() };
     scenario.at(3.0, Change::Rate(200.0)).at(4.0, Change::Rate(40.0)).at(5.0, behaves(2, Behaviour::Hangs))
@@ -52,7 +57,7 @@
 }
 
 pub fn quiet_balancer() -> Scenario {
-    let settings = Settings { tier: 1, instance_count: 2, ..settings() };
+    let settings = Settings { tier: Tier(1), instance_count: 2, ..settings() };
     let mut scenario = Scenario::new("quiet_balancer", 14, settings, endpoints(4));
     scenario.duration = 80.0;
     scenario.traffic = Traffic { rate: 4.0, failing: 0.6, ..Traffic::default() };
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -5,7 +5,7 @@
 
 use balancer::{
     Action, BackendId, ClassIndex, Effect, Event, IdempotencyGroup, Outcome, Request, RequestClass,
-    RequestId, Settings, TenantIndex, Time,
+    RequestId, Settings, TenantIndex, Tier, Time,
 };
 use common::actions::{send_times, sends};
 use common::balancer_harness::BalancerHarness;
@@ -102,7 +102,7 @@
 #[test]
 fn ends_open_requests_of_tenants_that_are_moved_or_removed() {
     let mut settings = Settings {
-        tier: 0,
+        tier: Tier::ENTRY,
         tenants: vec![tenant("x", 1.0), tenant("y", 1.0)],
         over_quota_weight: 0.5,
         ..safe_settings()
--- a/crates/balancer/tests/slow_start/fleet.rs
+++ b/crates/balancer/tests/slow_start/fleet.rs
@@ -1,7 +1,7 @@
 //! A fleet of balancers and backends, its load, and the backends that start.
 
 use crate::common::fixtures::request_class;
-use balancer::{BackendId, Effect, Endpoint, RequestClass, Settings, Time};
+use balancer::{BackendId, Effect, Endpoint, RequestClass, Settings, Tier, Time};
 
 /// The number of backends.
 pub const BACKENDS: usize = 20;
@@ -28,7 +28,7 @@
     /// Whether the balancers start together with the backends.
     pub balancers_start_too: bool,
     /// The tier of the balancers.
-    pub tier: usize,
+    pub tier: Tier,
     /// The capacity of a backend that is not warming up, in requests per second.
     pub capacity: f64,
     /// The capacity of a backend at its start, as a fraction of the full capacity.
@@ -47,7 +47,7 @@
     skew: 1.0,
     started_backends: 1,
     balancers_start_too: false,
-    tier: 1,
+    tier: Tier(1),
     capacity: 10.0,
     initial_capacity: 0.1,
     overload_window: 1.0,
--- a/crates/balancer/tests/slow_start/main.rs
+++ b/crates/balancer/tests/slow_start/main.rs
@@ -10,6 +10,7 @@
 mod simulation;
 mod warm_up_load;
 
+use balancer::Tier;
 use fleet::{Fleet, NEAR_FULL_LOAD};
 use simulation::Simulation;
 use warm_up_load::WarmUpLoad;
@@ -58,7 +59,7 @@
     let many_started = Fleet { skew: 5.0, started_backends: 14, balancers_start_too: true, ..NEAR_FULL_LOAD };
     let mut fleets = Vec::new();
     for fleet in [NEAR_FULL_LOAD, many_started] {
-        fleets.push(Fleet { tier: 0, ..fleet });
+        fleets.push(Fleet { tier: Tier::ENTRY, ..fleet });
         fleets.push(Fleet { initial_capacity: 0.31, overload_window: 2.0, has_load_reports: true, ..fleet });
     }
     fleets
--- a/crates/fleet-bench/src/fleet/settings.rs
+++ b/crates/fleet-bench/src/fleet/settings.rs
@@ -2,7 +2,7 @@
 
 use super::plan::Plan;
 use super::topology::Topology;
-use balancer::{ClassIndex, Effect, IdempotencyGroup, RequestClass, Settings};
+use balancer::{ClassIndex, Effect, IdempotencyGroup, RequestClass, Settings, Tier};
 
 /// The class of safe requests.
 pub const SAFE_CLASS: ClassIndex = ClassIndex(0);
@@ -24,7 +24,7 @@
         classes: CLASS_EFFECTS.map(class).into(),
         instance_count: callers.len(),
         instance_index: caller_index,
-        tier: topology.services[machine.service].layer,
+        tier: Tier(topology.services[machine.service].layer),
         zone: machine.zone,
         cross_zone_cost: plan.cross_zone_cost,
         slow_start_initial_capacity: plan.slow_start_initial_capacity,
--- a/crates/fleet-bench/src/slopes/case.rs
+++ b/crates/fleet-bench/src/slopes/case.rs
@@ -1,6 +1,6 @@
 //! The size of one deployment, and the configuration of its balancer.
 
-use balancer::{BackendId, CellId, Endpoint, RequestClass, Settings, Tenant, Time, ZoneId};
+use balancer::{BackendId, CellId, Endpoint, RequestClass, Settings, Tenant, Tier, Time, ZoneId};
 
 /// Latency objective of all classes, in seconds. The balancer estimates over a multiple of the objective,
 /// and takes no response time above a quarter of the objective as usual.
@@ -34,8 +34,8 @@
     pub tenants: usize,
     /// Mean number of open requests.
     pub open_requests: usize,
-    /// Tiers between the clients and this balancer.
-    pub tier: usize,
+    /// The tier of this balancer.
+    pub tier: Tier,
 }
 
 impl Case {
--- a/crates/fleet-bench/src/slopes/plan.rs
+++ b/crates/fleet-bench/src/slopes/plan.rs
@@ -4,6 +4,7 @@
 use super::case::Case;
 use crate::error::Error;
 use crate::plan::check_range;
+use balancer::Tier;
 use serde::{Deserialize, Serialize};
 
 /// Maximum of each size of a case: a case of that size is measured within minutes.
@@ -44,7 +45,7 @@
             classes: self.classes,
             tenants: self.tenants,
             open_requests: self.open_requests,
-            tier: self.tier,
+            tier: Tier(self.tier),
         }
     }
 }
@@ -190,7 +191,7 @@
     check_range("classes", at_least_one, &(1..=MAX_SIZE), [case.classes])?;
     check_range("tenants", "0 to 10000", &(0..=MAX_SIZE), [case.tenants])?;
     check_range("open_requests", at_least_one, &(1..=MAX_SIZE), [case.open_requests])?;
-    check_range("tier", "0 to 10000", &(0..=MAX_SIZE), [case.tier])
+    check_range("tier", "0 to 10000", &(0..=MAX_SIZE), [case.tier.0])
 }
 
 /// An axis: one size varies, the other sizes are those of the base case.
--- a/crates/simulator-adapter/tests/settings_syntaxes/main.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes/main.rs
@@ -4,7 +4,7 @@
 mod samples;
 mod translations;
 
-use balancer::ZoneId;
+use balancer::{Tier, ZoneId};
 use balancer_settings::RawSettings;
 use balancer_settings::keys::settings_keys;
 use samples::{KeySample, samples, with_class, with_entry};
@@ -144,7 +144,7 @@
 fn the_last_of_repeated_keys_counts_in_pairs_and_the_file_rejects_them() {
     let repeated = serde_json::from_str::<RawSettings>(r#"{"classes": [], "tier": 1, "tier": 2}"#);
 
-    assert_eq!(from_pairs("classes.count=0 tier=1 tier=2").tier, 2);
+    assert_eq!(from_pairs("classes.count=0 tier=1 tier=2").tier, Tier(2));
     assert!(repeated.unwrap_err().to_string().contains("duplicate field `tier`"));
 }
 
