--- a/crates/balancer/tests/concerns/calls.rs
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -55,6 +55,18 @@
     assert_eq!(table.len(), 1);
 }
 
+#[test]
+fn a_call_that_ends_while_it_is_queued_is_no_longer_counted() {
+    let mut table = CallTable::default();
+    let ended = table.insert(safe_call(1), InitialState::Queued);
+    table.insert(safe_call(2), InitialState::Dispatched);
+
+    table.remove(ended);
+
+    assert_eq!(table.len(), 1);
+    assert_eq!(table.unanswered(), 1);
+}
+
 #[test]
 fn a_streamed_call_is_unanswered_from_the_end_of_its_body_on() {
     let mut table = CallTable::default();
--- a/crates/balancer/tests/concerns/load_reports.rs
+++ b/crates/balancer/tests/concerns/load_reports.rs
@@ -77,13 +77,15 @@
 
 #[test]
 fn every_third_send_is_followed_by_a_health_check_of_the_next_member_in_turn() {
-    let members: [BackendIndex; 2] = backend_indices();
+    let members: [BackendIndex; 3] = backend_indices();
     let mut reports = reports_of(&members);
 
-    let checks: Vec<_> = (0..9).map(|_| reports.count_send(&members)).collect();
+    let checks: Vec<_> = (0..12).map(|_| reports.count_send(&members)).collect();
 
-    let [first, second] = members.map(Some);
-    assert_eq!(checks, [None, None, second, None, None, first, None, None, second]);
+    let [first, second, third] = members;
+    let due_checks: Vec<_> = checks.iter().skip(2).step_by(3).copied().collect();
+    assert_eq!(due_checks, [second, third, first, second].map(Some));
+    assert_eq!(checks.iter().flatten().count(), due_checks.len());
 }
 
 #[test]
--- a/crates/balancer/tests/concerns/mod.rs
+++ b/crates/balancer/tests/concerns/mod.rs
@@ -15,6 +15,7 @@
 mod ordered_keys;
 mod outlier_detection;
 mod overload;
+mod placement;
 mod quotas;
 mod retransmission;
 mod slow_start;
--- a/crates/balancer/tests/concerns/overload.rs
+++ b/crates/balancer/tests/concerns/overload.rs
@@ -44,6 +44,22 @@
     assert_close(after_a_while, 1.0);
 }
 
+#[test]
+fn the_bound_of_chance_falls_by_four_deviations_for_one_of_mean_excess_beyond_the_tolerated() {
+    // After this time the mean excess is half of an excess that lasts.
+    let half_life = 0.15 * RATE_TIME_CONSTANT * 2f64.ln();
+    let level = |excess: f64| {
+        let mut detector = OverloadDetector::starting_at(0.0);
+        detector.update(sample_with_excess(excess), half_life, RATE_TIME_CONSTANT)
+    };
+
+    let at_a_bound_of_one_and_a_half = level(1.8);
+    let at_a_bound_of_half = level(2.4);
+
+    assert_close(at_a_bound_of_one_and_a_half, 1.8 / 1.5 - 1.0);
+    assert_close(at_a_bound_of_half, 1.0);
+}
+
 #[test]
 fn the_bound_of_chance_rises_again_after_an_overload() {
     let mut detector = OverloadDetector::starting_at(0.0);
--- a/crates/balancer/tests/concerns/slow_start.rs
+++ b/crates/balancer/tests/concerns/slow_start.rs
@@ -12,9 +12,13 @@
 const WARM_RATE: WarmRate = WarmRate::Reported(10.0);
 /// The time from its start after which a backend has its full capacity, in seconds.
 const DURATION: Time = 10.0;
+/// The time at which the backends of these tests start, in seconds.
+const START: Time = 100.0;
+/// The time at which they have their full capacity, in seconds.
+const WARM_AT: Time = START + DURATION;
 const SEED: u64 = 1;
 
-/// A backend that started at time 0, and the state of slow start.
+/// A backend that started at [`START`], and the state of slow start.
 struct WarmingBackend {
     index: BackendIndex,
     slow_start: SlowStart,
@@ -39,7 +43,7 @@
     }
 
     fn has_budget(&mut self, warm_rate: WarmRate, now: Time) -> bool {
-        self.slow_start.has_budget(self.index, 0.0, warm_rate, now, &mut self.random)
+        self.slow_start.has_budget(self.index, START, warm_rate, now, &mut self.random)
     }
 
     /// Sends requests at one time until the budget does not permit another one, and returns their number.
@@ -55,7 +59,7 @@
 
 #[test]
 fn a_backend_is_warming_up_until_its_slow_start_is_over() {
-    let WarmingBackend { slow_start, .. } = WarmingBackend::added_at(0.0);
+    let WarmingBackend { slow_start, .. } = WarmingBackend::added_at(START);
 
     assert!(slow_start.is_warming_up(5.0, 5.0));
     assert!(slow_start.is_warming_up(5.0, 4.9 + DURATION));
@@ -65,20 +69,20 @@
 
 #[test]
 fn a_backend_has_no_budget_when_it_is_added_nor_after_a_reset() {
-    let mut backend = WarmingBackend::added_at(0.0);
-    let when_added = backend.exhaust(WARM_RATE, 0.0);
+    let mut backend = WarmingBackend::added_at(START);
+    let when_added = backend.exhaust(WARM_RATE, START);
 
-    backend.slow_start.reset(backend.index, DURATION);
-    let after_reset = backend.exhaust(WARM_RATE, DURATION);
+    backend.slow_start.reset(backend.index, WARM_AT);
+    let after_reset = backend.exhaust(WARM_RATE, WARM_AT);
 
     assert_eq!([when_added, after_reset], [0, 0]);
 }
 
 #[test]
 fn keeps_unused_budget_for_the_overload_window_only() {
-    let mut backend = WarmingBackend::added_at(0.0);
+    let mut backend = WarmingBackend::added_at(START);
 
-    let sent = backend.exhaust(WARM_RATE, DURATION);
+    let sent = backend.exhaust(WARM_RATE, WARM_AT);
 
     assert_eq!(sent, 15);
 }
@@ -87,8 +91,8 @@
 fn permits_more_by_reported_rates_than_by_the_rate_of_this_balancer() {
     let own_rate = WarmRate::Own(10.0);
 
-    let by_reported_rate = WarmingBackend::added_at(0.0).exhaust(WARM_RATE, DURATION);
-    let by_own_rate = WarmingBackend::added_at(0.0).exhaust(own_rate, DURATION);
+    let by_reported_rate = WarmingBackend::added_at(START).exhaust(WARM_RATE, WARM_AT);
+    let by_own_rate = WarmingBackend::added_at(START).exhaust(own_rate, WARM_AT);
 
     assert_eq!(by_reported_rate, 15);
     assert!((10..=11).contains(&by_own_rate), "0.35 * 3 * 10 requests, not {by_own_rate}");
@@ -102,8 +106,8 @@
         times.map(|now| backend.exhaust(WARM_RATE, now)).sum::<usize>()
     };
 
-    let at_first = sent_within_a_second(0.0);
-    let at_last = sent_within_a_second(DURATION);
+    let at_first = sent_within_a_second(START);
+    let at_last = sent_within_a_second(WARM_AT);
 
     assert!(at_first <= 5, "{at_first}");
     assert!((10..=20).contains(&at_last), "{at_last}");
@@ -111,13 +115,13 @@
 
 #[test]
 fn a_fraction_of_a_request_is_a_probability_and_is_spent_by_a_refusal() {
-    let half_a_request_later = DURATION + 1.0 / 30.0;
-    let mut backend = WarmingBackend::added_at(DURATION);
+    let half_a_request_later = WARM_AT + 1.0 / 30.0;
+    let mut backend = WarmingBackend::added_at(WARM_AT);
     let mut permitted = 0;
     let mut permitted_after_refusal = 0;
 
     for _ in 0..1000 {
-        backend.slow_start.reset(backend.index, DURATION);
+        backend.slow_start.reset(backend.index, WARM_AT);
         if backend.has_budget(WARM_RATE, half_a_request_later) {
             permitted += 1;
         } else if backend.has_budget(WARM_RATE, half_a_request_later) {
@@ -131,13 +135,13 @@
 
 #[test]
 fn a_send_beyond_the_budget_is_taken_from_what_becomes_available_later() {
-    let mut backend = WarmingBackend::added_at(DURATION);
+    let mut backend = WarmingBackend::added_at(WARM_AT);
     for _ in 0..15 {
         backend.slow_start.record_send(backend.index);
     }
 
-    let a_second_later = backend.exhaust(WARM_RATE, DURATION + 1.0);
-    let two_seconds_later = backend.exhaust(WARM_RATE, DURATION + 2.0);
+    let a_second_later = backend.exhaust(WARM_RATE, WARM_AT + 1.0);
+    let two_seconds_later = backend.exhaust(WARM_RATE, WARM_AT + 2.0);
 
     assert_eq!([a_second_later, two_seconds_later], [0, 15]);
 }
--- a/crates/balancer/tests/concerns/subset.rs
+++ b/crates/balancer/tests/concerns/subset.rs
@@ -95,6 +95,24 @@
     assert_eq!(subset.in_service(), in_service);
 }
 
+#[test]
+fn keeps_its_members_when_another_backend_leaves_service() {
+    for instance_index in 0..20 {
+        let mut fleet = Fleet::new(10, 100);
+        fleet.settings.instance_index = instance_index;
+        let members = fleet.first_subset().members().to_vec();
+        let others = fleet.all_backends().into_iter().filter(|index| !members.contains(index));
+
+        for leaving in others {
+            let mut subset = fleet.first_subset();
+            let in_service = fleet.all_backends().into_iter().filter(|index| *index != leaving);
+            fleet.assign(&mut subset, in_service.collect(), None);
+
+            assert_eq!(subset.members(), members);
+        }
+    }
+}
+
 #[test]
 fn grows_with_the_calls_in_flight_and_does_not_shrink_with_them() {
     let fleet = Fleet::new(10, 100);
