--- a/crates/balancer/tests/concerns/slow_start.rs
+++ b/crates/balancer/tests/concerns/slow_start.rs
@@ -32,7 +32,7 @@
             slow_start_initial_capacity: 0.1,
             slow_start_duration: DURATION,
             slow_start_overload_multiple: 3.0,
-            slow_start_overload_window: 1.0,
+            slow_start_overload_window: 2.0,
             ..Settings::default()
         };
         let [index] = backend_indices();
@@ -84,7 +84,7 @@
 
     let sent = backend.exhaust(WARM_RATE, WARM_AT);
 
-    assert_eq!(sent, 15);
+    assert_eq!(sent, 2 * 15);
 }
 
 #[test]
@@ -94,8 +94,8 @@
     let by_reported_rate = WarmingBackend::added_at(START).exhaust(WARM_RATE, WARM_AT);
     let by_own_rate = WarmingBackend::added_at(START).exhaust(own_rate, WARM_AT);
 
-    assert_eq!(by_reported_rate, 15);
-    assert!((10..=11).contains(&by_own_rate), "0.35 * 3 * 10 requests, not {by_own_rate}");
+    assert_eq!(by_reported_rate, 2 * 15);
+    assert!((20..=21).contains(&by_own_rate), "2 * 0.35 * 3 * 10 requests, not {by_own_rate}");
 }
 
 #[test]
