--- a/crates/fleet-bench/src/fleet/settings.rs
+++ b/crates/fleet-bench/src/fleet/settings.rs
@@ -2,8 +2,14 @@
 
 use super::plan::Plan;
 use super::topology::Topology;
-use balancer::{Effect, IdempotencyGroup, RequestClass, Settings};
+use balancer::{ClassIndex, Effect, IdempotencyGroup, RequestClass, Settings};
 
+/// The class of safe requests.
+pub const SAFE_CLASS: ClassIndex = ClassIndex(0);
+/// The class of idempotent requests.
+pub const IDEMPOTENT_CLASS: ClassIndex = ClassIndex(1);
+/// The class of unsafe requests.
+pub const UNSAFE_CLASS: ClassIndex = ClassIndex(2);
 /// The effect of each request class, by the class's index.
 pub const CLASS_EFFECTS: [Effect; 3] =
     [Effect::Safe, Effect::Idempotent { group: IdempotencyGroup::All, window: 5.0 }, Effect::Unsafe];
@@ -19,7 +25,7 @@
         instance_count: callers.len(),
         instance_index: caller_index,
         tier: topology.services[machine.service].layer,
-        zone: machine.zone as u32,
+        zone: machine.zone,
         cross_zone_cost: plan.cross_zone_cost,
         slow_start_initial_capacity: plan.slow_start_initial_capacity,
         slow_start_duration: plan.slow_start_duration,
