--- a/crates/balancer-proxy/src/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -15,7 +15,7 @@
     pub(super) number: AttemptNumber,
 }
 
-/// How much of a running attempt's request has been written to the backend.
+/// The progress of writing the request of a running attempt to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
     /// Less than the complete request: once the task is aborted, the backend never executes the request.
--- a/crates/balancer-proxy/src/engine/scheduling_lag.rs
+++ b/crates/balancer-proxy/src/engine/scheduling_lag.rs
@@ -1,4 +1,5 @@
-//! How late this process expires its timers: an estimate of how long a request waited to be read.
+//! The delay with which this process expires its timers, which estimates how long a request waited to be
+//! read.
 
 use balancer::Time;
 use std::cell::Cell;
--- a/crates/balancer-settings/src/raw.rs
+++ b/crates/balancer-settings/src/raw.rs
@@ -28,13 +28,13 @@
     pub projects: Vec<RawTenant>,
     /// Resolution of timers and clocks, in seconds.
     pub quantum: Option<f64>,
-    /// How changes of the endpoint list are received.
+    /// The way in which changes of the endpoint list are received.
     #[serde(default)]
     pub registry_mode: RawRegistryMode,
     /// Figures of the rules between balancers, discovery and backends.
     #[serde(default)]
     pub rules: RawRules,
-    /// How load reports are received.
+    /// The way in which load reports are received.
     #[serde(default)]
     pub stats: RawStats,
     /// Number of tiers between the clients and this balancer.
@@ -154,7 +154,7 @@
     pub quota_per_s: Option<f64>,
 }
 
-/// How changes of the endpoint list are received.
+/// The way in which changes of the endpoint list are received.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RawRegistryMode {
@@ -187,7 +187,7 @@
     pub release_within: Option<f64>,
 }
 
-/// How load reports are received.
+/// The way in which load reports are received.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct RawStats {
--- a/crates/balancer/src/support/backend_map.rs
+++ b/crates/balancer/src/support/backend_map.rs
@@ -2,8 +2,9 @@
 
 use std::ops::{Index, IndexMut};
 
-/// The index of a backend, assigned by the endpoint table. An index stays valid for as long as a call or an
-/// attempt refers to the backend, and is then reused for another one.
+/// The index of a backend, assigned by the endpoint table. An index stays valid while an attempt in
+/// flight or an attempt of an unfinished call refers to the backend, and may then be reused for another
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BackendIndex(usize);
 
@@ -11,9 +12,9 @@
 const COMPARED_AT_ONCE: usize = 32;
 
 impl BackendIndex {
-    /// Returns whether a list has this index. Unlike `contains`, which stops at each element that is equal,
-    /// the comparison of a block has no branch and is compiled to vector instructions. Subsets have hundreds
-    /// of members where many calls are in flight.
+    /// Returns whether a list has this index. Unlike `contains`, which stops at each element that is
+    /// equal, the comparison of a block has no branch and is compiled to vector instructions. Subsets
+    /// have hundreds of members where many calls are in flight.
     pub fn is_in(self, list: &[BackendIndex]) -> bool {
         let has_index =
             |block: &[BackendIndex]| block.iter().fold(false, |found, other| found | (*other == self));
--- a/crates/balancer/tests/concerns/placement.rs
+++ b/crates/balancer/tests/concerns/placement.rs
@@ -6,7 +6,7 @@
 use crate::decisions::placement::{Constraints, Placement, Placer};
 use crate::decisions::scope::Scope;
 use crate::decisions::traffic::Traffic;
-use crate::interface::{Endpoint, Settings, Status, Time};
+use crate::interface::{Endpoint, Settings, Status, Time, ZoneId};
 use crate::support::BackendIndex;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -93,8 +93,8 @@
 
 #[test]
 fn chooses_a_backend_of_the_own_zone_where_crossing_zones_has_a_price() {
-    let settings = Settings { cross_zone_cost: 0.1, zone: 0, ..Settings::default() };
-    let remote = Endpoint { zone: 1, ..endpoint(2) };
+    let settings = Settings { cross_zone_cost: 0.1, zone: ZoneId(0), ..Settings::default() };
+    let remote = Endpoint { zone: ZoneId(1), ..endpoint(2) };
     let mut fleet = Fleet::new(settings, &[endpoint(1), remote]);
     let [local, remote] = [fleet.indices[0], fleet.indices[1]];
 
@@ -135,7 +135,7 @@
     let mut without_backends = Fleet::new(Settings::default(), &[]);
 
     assert!(fleet.place(None, Scope::Anywhere, &all).is_none());
-    assert!(fleet.place(Some(all[0]), Scope::Zone(9), &[]).is_none());
+    assert!(fleet.place(Some(all[0]), Scope::Zone(ZoneId(9)), &[]).is_none());
     assert!(without_backends.place(None, Scope::Anywhere, &[]).is_none());
 }
 
