--- a/crates/balancer/tests/concerns/placement.rs
+++ b/crates/balancer/tests/concerns/placement.rs
@@ -6,7 +6,7 @@
 use crate::decisions::placement::{Constraints, Placement, Placer};
 use crate::decisions::scope::Scope;
 use crate::decisions::traffic::Traffic;
-use crate::interface::{Endpoint, Settings, Status, Time, ZoneId};
+use crate::interface::{Endpoint, Settings, Status, Tier, Time, ZoneId};
 use crate::support::BackendIndex;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -62,7 +62,7 @@
 
 /// Returns the settings of one of many inner balancers, with two members each.
 fn settings_with_two_members() -> Settings {
-    Settings { instance_count: 100, tier: 1, ..Settings::default() }
+    Settings { instance_count: 100, tier: Tier(1), ..Settings::default() }
 }
 
 #[test]
