--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -61,7 +61,8 @@
         let unknown = LatencyEstimate::default();
         let latencies = previous.iter().map(|class| class.map_or(unknown, |class| self.latencies[class.0]));
         self.latencies = latencies.chain([unknown]).collect();
-        // Rates are counts over this, which must not be 0 whatever the settings are.
+        // Rates are divided by a span that approaches the time constant, which must not be 0 whatever the
+        // settings are.
         let least = settings.quantum.max(f64::EPSILON);
         let longest = settings.classes.iter().map(|class| class.latency_objective).fold(least, f64::max);
         self.time_constant = RATE_TIME_CONSTANT_T1S * MAX_T1_FRACTION * longest;
--- a/crates/balancer/src/support/backend_map.rs
+++ b/crates/balancer/src/support/backend_map.rs
@@ -8,6 +8,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BackendIndex(usize);
 
+/// The capacity of a map from its first backend on, which saves the first few reallocations.
+const MIN_CAPACITY: usize = 32;
+
 /// The number of indices that [`BackendIndex::is_in`] compares at once.
 const COMPARED_AT_ONCE: usize = 32;
 
@@ -42,6 +45,9 @@
 
     /// Sets the value of a backend, which is either in the map or is the next one.
     pub fn insert(&mut self, index: BackendIndex, value: T) {
+        if self.values.is_empty() {
+            self.values.reserve(MIN_CAPACITY);
+        }
         match self.values.get_mut(index.0) {
             Some(previous) => *previous = value,
             None => self.values.push(value),
