--- a/crates/balancer/src/decisions/endpoint_table.rs
+++ b/crates/balancer/src/decisions/endpoint_table.rs
@@ -1,6 +1,6 @@
 //! The endpoint table: the entry of each known backend in the endpoint list.
 
-use crate::interface::{BackendId, Endpoint, Status, Time};
+use crate::interface::{BackendId, Endpoint, Status};
 use crate::support::{BackendIndex, BackendMap};
 use std::collections::HashMap;
 
@@ -65,8 +65,8 @@
         let Some(index) = self.index_of(endpoint.id) else {
             return self.add(endpoint);
         };
-        let is_same_start = has_same_start(self.endpoints[index].started_at, endpoint.started_at);
-        let change = if is_same_start { EndpointChange::Updated } else { EndpointChange::Restarted };
+        let has_restarted = self.endpoints[index].started_at != endpoint.started_at;
+        let change = if has_restarted { EndpointChange::Restarted } else { EndpointChange::Updated };
         self.endpoints.insert(index, endpoint.clone());
         UpsertedEndpoint { index, change }
     }
@@ -101,8 +101,3 @@
         }
     }
 }
-
-/// Returns whether both start times belong to the same start of a backend.
-fn has_same_start(known: Option<Time>, listed: Option<Time>) -> bool {
-    known == listed
-}
