--- /dev/null
+++ b/crates/repository-checks/tests/dependencies.rs
@@ -0,0 +1,95 @@
+//! The decision module stays free of I/O and of formats, and the crates that operators build stay free of the
+//! dependencies of the scale tests.
+
+mod common;
+
+use common::manifest::{build_dependencies_of, dependencies_in, shared_dependencies};
+use std::collections::BTreeSet;
+
+/// The crates for I/O and formats that the decision module must not depend on. A crate whose name extends one of
+/// these by `-` or `_`, such as `hyper-util`, counts as the same.
+const FORBIDDEN_IN_THE_DECISION_MODULE: [&str; 3] = ["tokio", "hyper", "serde"];
+/// The crates that operators build.
+const OPERATORS_CRATES: [&str; 3] = ["balancer", "balancer-proxy", "simulator-adapter"];
+
+/// Returns the dependencies that are forbidden in the decision module.
+fn forbidden_among(dependencies: &BTreeSet<String>) -> Vec<&String> {
+    let is_forbidden = |name: &&String| {
+        FORBIDDEN_IN_THE_DECISION_MODULE.iter().any(|forbidden| {
+            let extension = name.strip_prefix(forbidden);
+            extension.is_some_and(|extension| extension.is_empty() || extension.starts_with(['-', '_']))
+        })
+    };
+    dependencies.iter().filter(is_forbidden).collect()
+}
+
+/// Returns the dependencies of the scale tests that the members of the workspace do not share.
+fn own_dependencies_of_the_scale_tests() -> BTreeSet<String> {
+    let shared = shared_dependencies();
+    build_dependencies_of("fleet-bench").difference(&shared).cloned().collect()
+}
+
+#[test]
+fn the_decision_module_depends_on_neither_io_nor_formats() {
+    let dependencies = build_dependencies_of("balancer");
+
+    let forbidden = forbidden_among(&dependencies);
+
+    assert!(dependencies.contains("rand"), "no dependencies read: {dependencies:?}");
+    assert!(forbidden.is_empty(), "{forbidden:?}");
+}
+
+#[test]
+fn the_crates_that_operators_build_depend_on_nothing_of_the_scale_tests() {
+    let of_scale_tests = own_dependencies_of_the_scale_tests();
+    assert!(of_scale_tests.contains("clap"), "no dependencies read: {of_scale_tests:?}");
+
+    for crate_name in OPERATORS_CRATES {
+        let dependencies = build_dependencies_of(crate_name);
+        let breaches: Vec<_> = dependencies.intersection(&of_scale_tests).collect();
+
+        assert!(!dependencies.is_empty(), "{crate_name}: no dependencies read");
+        assert!(breaches.is_empty(), "{crate_name} depends on {breaches:?}");
+        assert!(!dependencies.contains("fleet-bench"), "{crate_name} depends on the scale tests");
+    }
+}
+
+#[test]
+fn finds_forbidden_dependencies_in_every_section_of_the_build() {
+    let manifest = "\
+[package]
+name = \"planted\"
+[dependencies]
+rand.workspace = true
+tokio = { version = \"1\", features = [
+    \"net\",
+] } # the runtime
+[target.'cfg(unix)'.dependencies]
+\"hyper-util\" = \"0.1\"
+[build-dependencies]
+serde_json = \"1\"
+[dependencies.serde]
+version = \"1\"
+";
+
+    let dependencies = dependencies_in(manifest);
+
+    assert_eq!(forbidden_among(&dependencies), ["hyper-util", "serde", "serde_json", "tokio"]);
+}
+
+#[test]
+fn reads_no_dependency_from_other_sections_and_similar_names() {
+    let manifest = "\
+[features]
+serde = []
+[dependencies]
+serdes = \"1\"
+[dev-dependencies]
+tokio = \"1\"
+";
+
+    let dependencies = dependencies_in(manifest);
+
+    assert_eq!(dependencies, ["serdes".to_string()].into());
+    assert!(forbidden_among(&dependencies).is_empty());
+}
--- /dev/null
+++ b/crates/repository-checks/tests/file_length.rs
@@ -0,0 +1,48 @@
+//! Rust files stay short enough to be read in one go.
+
+mod common;
+
+use common::files::{read, rust_files};
+
+/// The largest number of lines of a Rust file, comments and blank lines included.
+const MAX_LINES: usize = 300;
+
+/// A Rust file with its text.
+struct RustFile {
+    path: String,
+    text: String,
+}
+
+/// Returns the files with more lines than allowed, each with the number of lines.
+fn too_long(files: &[RustFile]) -> Vec<String> {
+    let mut breaches = Vec::new();
+    for RustFile { path, text } in files {
+        let lines = text.lines().count();
+        if lines > MAX_LINES {
+            breaches.push(format!("{path}: {lines} lines"));
+        }
+    }
+    breaches
+}
+
+#[test]
+fn no_rust_file_exceeds_the_line_limit() {
+    let read_file =
+        |path: std::path::PathBuf| RustFile { text: read(&path), path: path.display().to_string() };
+    let files: Vec<_> = rust_files().into_iter().map(read_file).collect();
+
+    let breaches = too_long(&files);
+
+    assert!(files.len() > 200, "only {} Rust files found", files.len());
+    assert!(breaches.is_empty(), "{breaches:#?}");
+}
+
+#[test]
+fn finds_a_file_with_one_line_more_than_allowed() {
+    let with_lines = |path: &str, lines| RustFile { path: path.to_string(), text: "//\n".repeat(lines) };
+    let files = [with_lines("allowed.rs", MAX_LINES), with_lines("planted.rs", MAX_LINES + 1)];
+
+    let breaches = too_long(&files);
+
+    assert_eq!(breaches, ["planted.rs: 301 lines"]);
+}
