--- a/crates/balancer-settings/src/translation.rs
+++ b/crates/balancer-settings/src/translation.rs
@@ -25,7 +25,7 @@
     value.is_finite() && value >= 0.0
 }
 
-fn quantity(path: impl Display, value: f64) -> Result<f64, InvalidQuantity> {
+fn validate_quantity(path: impl Display, value: f64) -> Result<f64, InvalidQuantity> {
     if is_valid_quantity(value) { Ok(value) } else { Err(InvalidQuantity { path: path.to_string(), value }) }
 }
 
@@ -79,7 +79,7 @@
 impl RawClass {
     /// Translates the class at `index` of the list.
     fn into_class(self, index: usize) -> Result<RequestClass, InvalidQuantity> {
-        let seconds = |key: &str, value: f64| quantity(format_args!("classes[{index}].{key}"), value);
+        let seconds = |key: &str, value: f64| validate_quantity(format_args!("classes[{index}].{key}"), value);
         // A class with only one of latency objective and deadline has the same value for the other.
         let max_timeout = self.hard_limit.or(self.on_time).unwrap_or(defaults::MAX_TIMEOUT);
         Ok(RequestClass {
--- a/crates/balancer/src/decisions/backends/mod.rs
+++ b/crates/balancer/src/decisions/backends/mod.rs
@@ -24,7 +24,7 @@
     slow_start: SlowStart,
     maintenance: Maintenance,
     subset: Subset,
-    processes: ServingProcesses,
+    serving_processes: ServingProcesses,
 }
 
 impl Backends {
@@ -38,8 +38,8 @@
     }
 
     /// Sets the processes that serve the clients of each balancer.
-    pub fn set_processes(&mut self, processes: ServingProcesses) {
-        self.processes = processes;
+    pub fn set_serving_processes(&mut self, serving_processes: ServingProcesses) {
+        self.serving_processes = serving_processes;
     }
 
     /// Returns the index of a backend, if the backend is known.
@@ -107,7 +107,7 @@
     }
 
     /// Forgets the removed backends to which no attempt refers.
-    pub fn forget_removed(&mut self) {
+    pub fn remove_unreferenced(&mut self) {
         let attempt_counts = &self.attempt_counts;
         self.endpoints.forget_removed(|index| attempt_counts.is_referenced(index));
     }
@@ -208,7 +208,7 @@
     /// Returns the number of balancers that have a backend as a member, if all have as many members as
     /// this one.
     fn balancers_per_backend(&self, settings: &Settings) -> f64 {
-        let processes = match self.processes {
+        let processes = match self.serving_processes {
             ServingProcesses::One => 1,
             ServingProcesses::Two => 2,
         };
--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -47,8 +47,8 @@
     /// Returns the timeout in seconds up to which a request is rejected, as its response would come too
     /// late: the least time left for the request and for each request of its ordering key that is ahead.
     fn min_timeout(&self, class: ClassIndex, ordering_key: Option<u64>) -> Time {
-        let ahead = ordering_key.map_or(0, |key| self.ordered_keys.queue_len(key));
-        min_time_left(class, &self.traffic) * (ahead + 1) as f64
+        let requests_ahead = ordering_key.map_or(0, |key| self.ordered_keys.queue_len(key));
+        min_time_left(class, &self.traffic) * (requests_ahead + 1) as f64
     }
 
     /// Returns T1 in seconds for a call of a class with this time left, in seconds.
--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -14,11 +14,11 @@
 
 /// The conclusion from the silence of a backend for an attempt in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Silence {
+enum UnansweredAttempt {
     /// The attempt may still be answered, and has taken as long as it has waited so far.
     Waiting,
     /// The attempt has failed, as the time of its call is up.
-    Failed,
+    TimedOut,
 }
 
 impl Balancer {
@@ -94,10 +94,10 @@
     pub(super) fn on_retry_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         self.calls[key].record_retry_timer_firing();
         self.set_retry_timer(key, actions);
-        let is_alive = self.observe_silence(key, Silence::Waiting);
-        let is_merely_long = is_alive && self.calls[key].retry_timer().has_fired_once();
+        let backend_responds = self.record_unanswered_attempts(key, UnansweredAttempt::Waiting);
+        let skips_first_retry = backend_responds && self.calls[key].retry_timer().has_fired_once();
         let probability = self.retry_probability(key);
-        if !is_merely_long
+        if !skips_first_retry
             && self.permitted_attempt(key).is_some()
             && self.random.random::<f64>() < probability
         {
@@ -125,14 +125,14 @@
     /// Fails a call whose time is up. The time-out of its attempt finds the call gone, so that a backend
     /// which hangs has to be noticed here.
     pub(super) fn on_deadline(&mut self, key: CallKey, actions: &mut Vec<Action>) {
-        self.observe_silence(key, Silence::Failed);
+        self.record_unanswered_attempts(key, UnansweredAttempt::TimedOut);
         self.finish_unserved(key, actions);
     }
 
     /// Records the latency of the attempts in flight at backends that have answered nothing since the
     /// sends. Returns whether another backend of the call has answered since, and so is alive.
-    fn observe_silence(&mut self, key: CallKey, silence: Silence) -> bool {
-        let mut is_alive = false;
+    fn record_unanswered_attempts(&mut self, key: CallKey, state: UnansweredAttempt) -> bool {
+        let mut backend_responds = false;
         let call = &self.calls[key];
         let expected = self.traffic.expected_latency(call.current_class());
         let outliers = self.backends.outliers_mut();
@@ -140,14 +140,14 @@
             let Attempt { backend, sent_at, .. } = *attempt;
             let waited: Time = self.now - sent_at;
             if outliers.has_responded_since(backend, sent_at) {
-                is_alive = true;
+                backend_responds = true;
                 continue;
             }
-            match silence {
-                Silence::Waiting => outliers.record_wait(backend, waited, expected, self.now),
-                Silence::Failed => outliers.record_failure(backend, waited, expected, self.now),
+            match state {
+                UnansweredAttempt::Waiting => outliers.record_wait(backend, waited, expected, self.now),
+                UnansweredAttempt::TimedOut => outliers.record_failure(backend, waited, expected, self.now),
             }
         }
-        is_alive
+        backend_responds
     }
 }
--- a/crates/balancer/src/decisions/balancer/endpoint_updates.rs
+++ b/crates/balancer/src/decisions/balancer/endpoint_updates.rs
@@ -28,7 +28,7 @@
             self.close_idle_if_draining(index, actions);
         }
         self.assign_subset();
-        self.backends.forget_removed();
+        self.backends.remove_unreferenced();
     }
 
     fn schedule_poll_retry(&mut self, actions: &mut Vec<Action>) {
--- a/crates/balancer/src/decisions/balancer/mod.rs
+++ b/crates/balancer/src/decisions/balancer/mod.rs
@@ -78,7 +78,7 @@
                 self.backends.record_load_report(backend, report, self.now);
             }
             Event::Maintenance { backend, change } => self.on_maintenance(backend, change, actions),
-            Event::ServingProcesses(processes) => self.backends.set_processes(processes),
+            Event::ServingProcesses(processes) => self.backends.set_serving_processes(processes),
             Event::Endpoints(update) => self.on_endpoint_update(update, actions),
             Event::Settings(settings) => self.apply_settings(settings.clone()),
         }
@@ -100,7 +100,7 @@
     fn apply_settings(&mut self, settings: Settings) {
         let new = Arc::new(settings);
         let old = std::mem::replace(&mut self.settings, new.clone());
-        self.calls.follow_settings(&old, &new);
+        self.calls.remap_indices(&old, &new);
         let classes: Vec<_> = new.classes.iter().map(|class| old.class_index(&class.name)).collect();
         let tenants: Vec<_> = new.tenants.iter().map(|tenant| old.tenant_index(&tenant.name)).collect();
         self.admission.apply_settings(&classes, self.now);
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -215,7 +215,7 @@
     }
 
     /// Follows a change of settings, in which classes and tenants may get other indices.
-    pub(super) fn follow_settings(&mut self, old: &Settings, new: &Settings) {
+    pub(super) fn remap_indices(&mut self, old: &Settings, new: &Settings) {
         let class = new.class_index(&self.request_class().name);
         self.current_class = class.unwrap_or(ClassIndex(new.classes.len()));
         self.tenant = self.tenant.and_then(|tenant| new.tenant_index(&old.tenant(tenant).name));
--- a/crates/balancer/src/decisions/calls/mod.rs
+++ b/crates/balancer/src/decisions/calls/mod.rs
@@ -134,9 +134,9 @@
     }
 
     /// Lets all calls follow a change of settings.
-    pub fn follow_settings(&mut self, old: &Settings, new: &Settings) {
+    pub fn remap_indices(&mut self, old: &Settings, new: &Settings) {
         for call in self.calls.values_mut() {
-            call.follow_settings(old, new);
+            call.remap_indices(old, new);
         }
     }
 }
--- a/crates/balancer/src/support/backend_map.rs
+++ b/crates/balancer/src/support/backend_map.rs
@@ -12,7 +12,7 @@
 const MIN_CAPACITY: usize = 32;
 
 /// The number of indices that [`BackendIndex::is_in`] compares at once.
-const COMPARED_AT_ONCE: usize = 32;
+const COMPARISON_BLOCK_LEN: usize = 32;
 
 impl BackendIndex {
     /// Returns whether a list has this index. Unlike `contains`, which stops at each element that is
@@ -21,7 +21,7 @@
     pub fn is_in(self, list: &[BackendIndex]) -> bool {
         let has_index =
             |block: &[BackendIndex]| block.iter().fold(false, |found, other| found | (*other == self));
-        list.chunks(COMPARED_AT_ONCE).any(has_index)
+        list.chunks(COMPARISON_BLOCK_LEN).any(has_index)
     }
 }
 
--- a/crates/balancer/src/support/decaying_mean.rs
+++ b/crates/balancer/src/support/decaying_mean.rs
@@ -19,8 +19,8 @@
 
     /// Adds a sample taken at `now`, with a time constant in seconds, and returns the mean.
     pub fn update(&mut self, sample: f64, now: Time, time_constant: Time) -> f64 {
-        let keep = (-(now - self.updated_at) / time_constant).exp();
-        self.mean = sample + (self.mean - sample) * keep;
+        let decay_factor = (-(now - self.updated_at) / time_constant).exp();
+        self.mean = sample + (self.mean - sample) * decay_factor;
         self.updated_at = now;
         self.mean
     }
--- a/crates/balancer/src/support/decaying_rate.rs
+++ b/crates/balancer/src/support/decaying_rate.rs
@@ -22,9 +22,9 @@
 
     /// Decays the window up to `now`, with a time constant in seconds.
     pub fn decay(&mut self, now: Time, time_constant: Time) {
-        let keep = (-(now - self.updated_at).max(0.0) / time_constant).exp();
-        self.count *= keep;
-        self.span = self.span * keep + time_constant * (1.0 - keep);
+        let decay_factor = (-(now - self.updated_at).max(0.0) / time_constant).exp();
+        self.count *= decay_factor;
+        self.span = self.span * decay_factor + time_constant * (1.0 - decay_factor);
         self.updated_at = now;
     }
 
--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -135,10 +135,10 @@
     let of_tenant = Request { tenant: Some(TenantIndex(0)), ..request(1) };
     let key = table.insert(call_of(of_tenant, old.clone()), CallStage::Undispatched);
 
-    table.follow_settings(&old, &moved);
+    table.remap_indices(&old, &moved);
     let moved_class = table[key].current_class();
     let moved_tenant = table[key].tenant();
-    table.follow_settings(&moved, &without);
+    table.remap_indices(&moved, &without);
 
     assert_eq!(moved_class, ClassIndex(1));
     assert_eq!(moved_tenant, Some(TenantIndex(1)));
