--- a/crates/balancer/src/interface/action.rs
+++ b/crates/balancer/src/interface/action.rs
@@ -1,12 +1,13 @@
-//! The actions that a balancer asks of its caller.
+//! The actions that a balancer requests from its caller.
 
 use super::ids::{AttemptNumber, BackendId, RequestId, Time};
 
-/// Identifies a timer. The caller sets the timer, and hands the token back when the time has come.
+/// Identifies a timer. The caller returns the token as [`Event::Timer`](super::Event::Timer) when the timer
+/// fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
 
-/// An action that a balancer asks of its caller.
+/// An action that a balancer requests from its caller.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request.
@@ -18,8 +19,8 @@
         /// The time after which to stop waiting for a response, in seconds from now; infinite while the
         /// body of the request is being received.
         timeout: Time,
-        /// The time within which the attempt must have been written completely, in seconds from now. An
-        /// attempt that has not been written by then must never be.
+        /// The time within which the attempt must have been written completely, in seconds from now. The
+        /// caller must not complete the write of an attempt after that time.
         write_within: Time,
     },
     /// Stop waiting for an attempt.
@@ -29,37 +30,39 @@
         /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Make sure that an attempt which has not been written completely never is. An attempt that has been
-    /// written stays as it is.
+    /// Abort an attempt unless its request has been written completely. An attempt whose request has been
+    /// written completely continues.
     Withdraw {
         /// The request.
         id: RequestId,
         /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// Give the final response to a request that was not processed, or whose repetition has no effect.
+    /// Send the client a rejection as the final response. The client may retry safely: the request was not
+    /// processed, or processing the request again has no effect.
     Reject {
         /// The request.
         id: RequestId,
-        /// The time that the client should wait before a retry, in seconds, if the response states one.
+        /// The time that the client should wait before a retry, in seconds; `None` if the response states no
+        /// such time.
         retry_after: Option<Time>,
     },
-    /// Give the final response to a request that failed, and that a backend may have processed.
+    /// Send the client a failure as the final response. A backend may have processed the request.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Hand back `token` at a time or soon after, as [`Event::Timer`](super::Event::Timer).
+    /// Return `token` as [`Event::Timer`](super::Event::Timer) at the time `at` or soon after.
     SetTimer {
         /// The time, in seconds of the balancer's clock.
         at: Time,
-        /// The token to hand back.
+        /// The token to return.
         token: TimerToken,
     },
     /// Check the health of a backend.
     HealthCheck(BackendId),
     /// Close the idle connections to a backend.
     CloseIdleConnections(BackendId),
-    /// Poll for changes of the endpoint list, and go on watching it.
+    /// Poll the endpoint list for changes, and continue to watch the list.
     WatchEndpoints,
 }
--- a/crates/balancer/src/interface/endpoint.rs
+++ b/crates/balancer/src/interface/endpoint.rs
@@ -1,14 +1,14 @@
-//! The endpoint list: the backends as service discovery knows them.
+//! The endpoint list: the backends that service discovery reports.
 
 use super::ids::{BackendId, CellId, Time, ZoneId};
 
 /// The lifecycle of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Status {
-    /// The backend takes requests.
+    /// The backend accepts requests.
     #[default]
     InService,
-    /// The backend finishes its requests, and must not be sent new ones.
+    /// The backend completes its open requests, and must not be sent new ones.
     Draining,
     /// The backend no longer exists.
     Removed,
@@ -19,16 +19,16 @@
 pub struct Endpoint {
     /// The backend.
     pub id: BackendId,
-    /// The cell that the backend is in.
+    /// The cell of the backend.
     pub cell: CellId,
-    /// The zone that the backend is in.
+    /// The zone of the backend.
     pub zone: ZoneId,
-    /// The capacity of the backend relative to that of the others; not negative.
+    /// The capacity of the backend relative to the capacities of the other backends; not negative.
     pub weight: f64,
     /// The lifecycle of the backend.
     pub status: Status,
-    /// The time at which the backend started, in seconds of the balancer's clock; None if that is long
-    /// past.
+    /// The time at which the backend started, in seconds of the balancer's clock; `None` if the backend
+    /// started long ago.
     pub started_at: Option<Time>,
 }
 
@@ -48,11 +48,11 @@
 /// An update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointUpdate<'a> {
-    /// Endpoints that have changed.
+    /// The endpoints that have changed.
     Changes(&'a [Endpoint]),
     /// The complete list. A backend that is absent has been removed.
     Full(&'a [Endpoint]),
-    /// The complete list as known before a restart of the balancer.
+    /// The complete list that was stored before a restart of the balancer.
     Cached(&'a [Endpoint]),
     /// A poll failed, or the watch was interrupted.
     Failed,
--- a/crates/balancer/src/interface/event.rs
+++ b/crates/balancer/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! The events that a balancer decides about.
+//! The events that a balancer handles.
 
 use super::action::TimerToken;
 use super::endpoint::EndpointUpdate;
@@ -16,22 +16,22 @@
     pub tenant: Option<TenantIndex>,
     /// The ordering key, which has an effect only where the class is ordered by key.
     pub key: Option<u64>,
-    /// The time until the client gives up, in seconds. The time of a streamed body starts at the end of the
-    /// body.
+    /// The time after which the client stops waiting for a response, in seconds. The time counts from the
+    /// arrival of the request, or from the end of the body if the body is streamed.
     pub timeout: Time,
     /// Whether the body is still being received and is streamed. Such a request cannot be sent to two
-    /// backends at once, nor to another one after [`Event::BodyConsumed`].
+    /// backends at once, nor to another backend after [`Event::BodyConsumed`].
     pub streaming_body: bool,
 }
 
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The backend answered.
+    /// The backend answered without an error.
     Success,
     /// The backend answered with an error. The request may have been processed.
     Error,
-    /// The backend rejected the request without processing.
+    /// The backend rejected the request without processing it.
     Rejected,
     /// No response came in time. The request may have been processed.
     Timeout,
@@ -45,12 +45,13 @@
     NotSent,
 }
 
-/// The load that a backend reports. Reports are late and noisy; values that are not reported are absent.
+/// The load that a backend reports. Reports arrive late and are noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// The time that the backend takes for a request, without waiting, in seconds.
+    /// The time that the backend takes to process a request, without the wait in queues, in seconds; `None`
+    /// if not reported.
     pub service_time: Option<Time>,
-    /// The requests per second that the backend serves, from all balancers.
+    /// The requests per second that the backend serves for all balancers; `None` if not reported.
     pub requests_per_second: Option<f64>,
 }
 
@@ -67,9 +68,9 @@
     pub outcome: Outcome,
     /// The time since the attempt was sent, in seconds.
     pub duration: Time,
-    /// Whether the request has its final response by this attempt.
+    /// Whether this attempt gave the request its final response.
     pub request_finished: bool,
-    /// The load report that the response carried.
+    /// The load report in the response, if there was one.
     pub report: Option<LoadReport>,
 }
 
@@ -78,7 +79,7 @@
 pub enum MaintenanceChange {
     /// Operators remove the backend from service.
     Begins,
-    /// The backend may serve again, and has been restarted in the meantime.
+    /// Operators return the backend to service. The backend has been restarted during the maintenance.
     Ends,
 }
 
@@ -88,21 +89,22 @@
     /// This process alone.
     #[default]
     One,
-    /// This process and another one, which takes over or is taken over.
+    /// This process and another one during an upgrade: its successor or the process that it succeeds.
     Two,
 }
 
-/// An event that a balancer decides about.
+/// An event that a balancer handles.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// A request arrived, and is owed exactly one final response.
+    /// A request arrived. The balancer gives the request exactly one final response.
     Request(Request),
-    /// The body of a streamed request has been received completely, and the time of the request starts.
+    /// The body of a streamed request has been received completely. The timeout of the request starts.
     BodyReceived(RequestId),
-    /// More of the body of a streamed request has been forwarded than is buffered, so that the request
-    /// cannot be sent again.
+    /// More of the body of a streamed request has been forwarded than is buffered. The request cannot be
+    /// sent again.
     BodyConsumed(RequestId),
-    /// A streamed response has started. From now on the caller is responsible for the attempt.
+    /// A streamed response has started, which is the final response of the request. The balancer cancels or
+    /// withdraws the other attempts, and the caller completes this one.
     ResponseStarted {
         /// The request.
         id: RequestId,
@@ -111,31 +113,31 @@
     },
     /// An attempt ended.
     AttemptEnded(EndedAttempt),
-    /// The client has disconnected, and the request is no longer owed a response.
+    /// The client has disconnected. The request gets no final response.
     ClientDisconnected(RequestId),
-    /// The time of an [`Action::SetTimer`](super::Action::SetTimer) has come.
+    /// The timer of an [`Action::SetTimer`](super::Action::SetTimer) fired.
     Timer(TimerToken),
     /// A health check ended.
     HealthCheckEnded {
-        /// The backend checked.
+        /// The backend that was checked.
         backend: BackendId,
         /// The outcome.
         outcome: Outcome,
-        /// The load report that the response carried.
+        /// The load report in the response, if there was one.
         report: Option<LoadReport>,
     },
-    /// Operators remove a backend from service, or put it back.
+    /// Operators remove a backend from service, or return the backend to service.
     Maintenance {
         /// The backend.
         backend: BackendId,
         /// The change of its maintenance.
         change: MaintenanceChange,
     },
-    /// From now on the clients of this balancer are served by this process alone, or by a second one, too.
+    /// From now on, these processes serve the clients of this balancer.
     ServingProcesses(ServingProcesses),
-    /// An update of the endpoint list arrived, or failed to arrive.
+    /// An update of the endpoint list arrived, or the list could not be retrieved.
     Endpoints(EndpointUpdate<'a>),
     /// New settings are in force from now on. The indices of classes and tenants in later requests refer to
-    /// these settings; open requests finish by the settings in force at their arrival.
+    /// these settings. Open requests are completed under the settings in force at their arrival.
     Settings(&'a Settings),
 }
--- a/crates/balancer/src/interface/ids.rs
+++ b/crates/balancer/src/interface/ids.rs
@@ -3,16 +3,16 @@
 /// A point in time or a span of time, in seconds. The caller chooses the origin of the clock.
 pub type Time = f64;
 
-/// Identifies a request. The caller chooses the id, and never uses an id twice.
+/// Identifies a request. The caller assigns the id, and never uses an id twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Identifies a backend, which is a server that requests can be sent to. A backend keeps its id over
+/// Identifies a backend, which is a server to which requests can be sent. A backend keeps its id across
 /// restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendId(pub u32);
 
-/// Identifies a zone. The caller numbers the zones of endpoint lists and of settings alike.
+/// Identifies a zone. The caller uses the same zone ids in endpoint lists and in settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ZoneId(pub u32);
 
@@ -25,7 +25,7 @@
 pub struct Tier(pub usize);
 
 impl Tier {
-    /// The entry tier, which clients send their requests to.
+    /// The entry tier, which receives the requests of clients.
     pub const ENTRY: Self = Self(0);
 
     /// Returns whether the tier is the entry tier.
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -1,9 +1,10 @@
-//! The settings of a balancer. Their names in the configuration are those of the protocol page; see
-//! `docs/GLOSSARY.md`.
+//! The settings of a balancer. The configuration uses the names of the protocol page instead;
+//! `docs/GLOSSARY.md` relates both.
 
 use super::ids::{ClassIndex, TenantIndex, Tier, Time, ZoneId};
 
-/// The backends that recognise a repeat of a request which one of them has processed.
+/// The group of backends that share idempotency keys: each backend of the group detects a repeat of a request
+/// that another one has processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdempotencyGroup {
     /// All backends.
@@ -14,35 +15,35 @@
     Cell,
 }
 
-/// The effect of processing a request twice, which decides whether the request may be retried.
+/// The effect of processing a request twice, which determines whether the request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Effect {
-    /// A repeat has no effect, and the request may be retried freely.
+    /// A repeat has no effect. The request may be retried without restriction.
     Safe,
-    /// A repeat is recognised by the idempotency key of the request, and dropped.
+    /// Backends detect a repeat by the idempotency key of the request, and do not process the repeat.
     Idempotent {
-        /// The backends that recognise a repeat.
+        /// The backends that detect a repeat.
         group: IdempotencyGroup,
-        /// The time after the first send for which the backends remember a request, in seconds.
+        /// The time from the first send during which the backends detect a repeat, in seconds.
         window: Time,
     },
-    /// A repeat would take effect again, so that no second attempt may be processed.
+    /// A repeat would take effect again. A request must not be processed twice.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// The name of the class. Observations of a class stay with its name when settings change.
+    /// The name of the class. When settings change, a class with the same name keeps its observations.
     pub name: String,
     /// The time within which a response has its full priority weight, in seconds.
     pub latency_objective: Time,
-    /// The longest time that a client waits, over all its attempts, in seconds.
+    /// The longest time that a client waits for a response, over all attempts, in seconds.
     pub max_timeout: Time,
-    /// The fraction of its priority weight, from 0 to 1, that a response between objective and deadline
-    /// has.
+    /// The priority weight of a response between latency objective and deadline, as a fraction of the full
+    /// priority weight, from 0 to 1.
     pub late_priority_weight: f64,
-    /// The weight of a timely response relative to those of other classes.
+    /// The priority weight of a timely response, relative to the weights of other classes.
     pub priority_weight: f64,
     /// The effect of processing a request twice.
     pub effect: Effect,
@@ -65,10 +66,10 @@
     }
 }
 
-/// A source of requests with a quota of its own, where a deployment has several.
+/// A source of requests with its own quota, in a deployment with several such sources.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The name of the tenant. The quota that a tenant has used stays with its name when settings change.
+    /// The name of the tenant. When settings change, a tenant with the same name keeps its remaining quota.
     pub name: String,
     /// The quota in requests per second, over all balancers.
     pub quota_per_second: f64,
@@ -84,9 +85,9 @@
     /// The priority weight of a request over the quota of its tenant, as a fraction of the weight of its
     /// class.
     pub over_quota_weight: f64,
-    /// The number of balancers of the service that this one belongs to.
+    /// The number of balancers of the service to which this balancer belongs.
     pub instance_count: usize,
-    /// The index of this balancer among them, from 0.
+    /// The index of this balancer among the balancers of its service, from 0.
     pub instance_index: usize,
     /// The tier of this balancer.
     pub tier: Tier,
@@ -97,35 +98,38 @@
     pub cross_zone_cost: f64,
     /// Whether open or new connections have a cost.
     pub connections_have_cost: bool,
-    /// Whether load reports come with health checks only, and health checks are allowed.
+    /// Whether the balancer requests health checks to obtain load reports. True where load reports come with
+    /// health checks only, and health checks are allowed.
     pub health_checks_for_load_reports: bool,
     /// Whether attempts that have been written may be cancelled.
     pub cancellation_allowed: bool,
     /// Whether a request may have two attempts in flight at once.
     pub hedging_allowed: bool,
-    /// The greatest number of attempts of a request.
+    /// The maximum number of attempts of a request.
     pub max_attempts: usize,
-    /// The longest `Retry-After` that clients are sent, in seconds; 0 where clients do not honour one.
+    /// The longest `Retry-After` that is sent to clients, in seconds; 0 where clients do not honour it.
     pub max_retry_after: Time,
-    /// Whether the endpoint list has to be polled, as discovery does not push changes.
+    /// Whether the endpoint list has to be polled because discovery does not push changes.
     pub must_poll_endpoints: bool,
-    /// The time after which a balancer that has not polled is deemed notified of a change, in seconds.
+    /// The time after which a balancer counts as notified of a change even if it has not polled, in seconds.
     pub endpoint_poll_limit: Time,
-    /// The fraction of its capacity, from 0 to 1, that a backend has at its start.
+    /// The capacity of a backend at its start, as a fraction of its full capacity, from 0 to 1.
     pub slow_start_initial_capacity: f64,
-    /// The time from its start after which a backend has its full capacity, in seconds.
+    /// The time from the start of a backend until the backend has its full capacity, in seconds.
     pub slow_start_duration: Time,
     /// The multiple of its present capacity beyond which a backend in slow start is overloaded.
     pub slow_start_overload_multiple: f64,
-    /// The time for which a backend has to be sent more than that multiple to be overloaded, in seconds.
+    /// The time for which a backend in slow start must be sent more than the overload multiple before it is
+    /// overloaded, in seconds.
     pub slow_start_overload_window: Time,
-    /// The time for which an ordering key rests after an attempt that may still be running, in seconds.
+    /// The time for which no request of an ordering key is dispatched after an attempt of the key that may
+    /// still be running, in seconds.
     pub key_rest_duration: Time,
-    /// The time within which idle connections to a draining backend must be closed, in seconds; None if
+    /// The time within which idle connections to a draining backend must be closed, in seconds; `None` if
     /// they may stay open.
     pub idle_close_limit: Option<Time>,
-    /// The least span between two calls of [`Balancer::handle`](crate::Balancer::handle) at different
-    /// times, in seconds: the resolution of timers and clocks.
+    /// The resolution of timers and clocks, in seconds: the least difference between two distinct times that
+    /// are passed to [`Balancer::handle`](crate::Balancer::handle).
     pub quantum: Time,
 }
 
