--- a/crates/balancer/src/support/backend_map.rs
+++ b/crates/balancer/src/support/backend_map.rs
@@ -3,21 +3,23 @@
 use std::ops::{Index, IndexMut};
 
 /// The index of a backend, assigned by the endpoint table. An index stays valid while an attempt in
-/// flight or an attempt of an unfinished call refers to the backend, and may then be reused for another
-/// one.
+/// flight or an attempt of an unfinished call refers to the backend. Afterwards the index may be reused for
+/// another backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct BackendIndex(usize);
 
-/// The capacity of a map from its first backend on, which saves the first few reallocations.
+/// The capacity that a map reserves for its first backend, which avoids the first few reallocations.
 const MIN_CAPACITY: usize = 32;
 
-/// The number of indices that [`BackendIndex::is_in`] compares at once.
+/// The number of indices in each block that [`BackendIndex::is_in`] compares without a branch.
 const COMPARISON_BLOCK_LEN: usize = 32;
 
 impl BackendIndex {
-    /// Returns whether a list has this index. Unlike `contains`, which stops at each element that is
-    /// equal, the comparison of a block has no branch and is compiled to vector instructions. Subsets
-    /// have hundreds of members where many calls are in flight.
+    /// Returns whether a list contains this index.
+    ///
+    /// `contains` of the standard library branches on each element. The comparison of a block has no branch,
+    /// so that the compiler can use vector instructions. Subsets have hundreds of members where many calls
+    /// are in flight.
     pub fn is_in(self, list: &[BackendIndex]) -> bool {
         let has_index =
             |block: &[BackendIndex]| block.iter().fold(false, |found, other| found | (*other == self));
@@ -25,7 +27,7 @@
     }
 }
 
-/// One value for each backend. A concern that keeps state by backend owns such a map.
+/// One value for each backend. Each concern with state for each backend owns such a map.
 #[derive(Debug)]
 pub(crate) struct BackendMap<T> {
     values: Vec<T>,
@@ -38,12 +40,12 @@
 }
 
 impl<T> BackendMap<T> {
-    /// Returns the index that follows the last one in use.
+    /// Returns the index after the last index in the map.
     pub fn next_index(&self) -> BackendIndex {
         BackendIndex(self.values.len())
     }
 
-    /// Sets the value of a backend, which is either in the map or is the next one.
+    /// Sets the value of a backend. The index must be in the map or equal [`BackendMap::next_index`].
     pub fn insert(&mut self, index: BackendIndex, value: T) {
         if self.values.is_empty() {
             self.values.reserve(MIN_CAPACITY);
@@ -64,7 +66,7 @@
         self.values.iter()
     }
 
-    /// Returns all values in the order of their indices.
+    /// Returns mutable references to all values, in the order of their indices.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut T> {
         self.values.iter_mut()
     }
--- a/crates/balancer/src/support/decaying_mean.rs
+++ b/crates/balancer/src/support/decaying_mean.rs
@@ -2,8 +2,8 @@
 
 use crate::Time;
 
-/// An exponentially weighted mean over time: the more time lies between two samples, the more the later one
-/// counts.
+/// An exponentially weighted moving average over time. The weight of a sample grows with the time since the
+/// sample before.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingMean {
     mean: f64,
@@ -17,7 +17,7 @@
         Self { mean: 0.0, updated_at: now }
     }
 
-    /// Adds a sample taken at `now`, with a time constant in seconds, and returns the mean.
+    /// Adds a sample taken at `now` and returns the new mean. The time constant is in seconds.
     pub fn update(&mut self, sample: f64, now: Time, time_constant: Time) -> f64 {
         let decay_factor = (-(now - self.updated_at) / time_constant).exp();
         self.mean = sample + (self.mean - sample) * decay_factor;
--- a/crates/balancer/src/support/decaying_rate.rs
+++ b/crates/balancer/src/support/decaying_rate.rs
@@ -6,7 +6,7 @@
 /// Until the window has filled, the rate is the plain mean since the start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingRate {
-    /// Events in the window, each with its remaining weight.
+    /// The sum of the weights of all events. The weight of an event decays from 1.
     count: f64,
     /// The length of the window so far, in seconds, which approaches the time constant.
     span: Time,
@@ -20,7 +20,7 @@
         Self { count: 0.0, span: 0.0, updated_at: now }
     }
 
-    /// Decays the window up to `now`, with a time constant in seconds.
+    /// Decays the window up to `now`. The time constant is in seconds.
     pub fn decay(&mut self, now: Time, time_constant: Time) {
         let decay_factor = (-(now - self.updated_at).max(0.0) / time_constant).exp();
         self.count *= decay_factor;
@@ -28,13 +28,13 @@
         self.updated_at = now;
     }
 
-    /// Records one event at `now`.
+    /// Records one event at `now`. The time constant is in seconds.
     pub fn record(&mut self, now: Time, time_constant: Time) {
         self.decay(now, time_constant);
         self.count += 1.0;
     }
 
-    /// Returns the events per second as of the latest decay, or 0 before any time has passed.
+    /// Returns the events per second at the latest decay, or 0 if no time has passed since the start.
     pub fn per_second(&self) -> f64 {
         if self.span > 0.0 { self.count / self.span } else { 0.0 }
     }
--- a/crates/balancer/src/support/hash.rs
+++ b/crates/balancer/src/support/hash.rs
@@ -2,22 +2,26 @@
 
 use crate::BackendId;
 
-/// The increment of SplitMix64: 2^64 over the golden ratio.
+/// The increment of SplitMix64: 2^64 divided by the golden ratio.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-/// An odd number that tells the draws from different ranges apart.
+/// An odd factor that gives the draws from each range a different seed.
 const RANGE_MULTIPLIER: u64 = 0xd1b5_4a32_d192_ed03;
 
-/// Returns the hash of a backend id, which differs by round.
+/// Returns the hash of a backend id in a round. Each round has a different hash function.
 pub(crate) fn hash_in_round(id: BackendId, round: u64) -> u64 {
     mix(seed_in_round(id, round))
 }
 
-/// Returns the bucket of a backend id among `buckets`, or 0 where there are none. The bucket differs by round.
-/// One more bucket takes an even share of the ids from each of the others, and moves no other id.
+/// Returns the bucket of a backend id in a round, from 0 to `buckets` - 1, or 0 if `buckets` is 0.
 ///
-/// An id draws from a range that is twice as large as the one below, until a draw decides: one in the upper
-/// half is the bucket if there is such a bucket, and is repeated otherwise; one in the lower half leaves the
-/// choice to the smaller ranges, which do not depend on the number of buckets.
+/// The function is a consistent hash, and differs from round to round. If one bucket is added, an even share
+/// of the ids of each bucket moves to the new bucket, and no other id moves.
+///
+/// The ranges of the draws are powers of two, from the smallest one that is not less than `buckets` down. A
+/// draw that is not less than `buckets` is repeated. A draw in the upper half of the range is the bucket.
+/// After a draw in the lower half, the next draw is from a range of half the size; a range of 1 means
+/// bucket 0. The draws from the smaller ranges do not depend on the number of buckets, so that ids keep the
+/// buckets that these draws select.
 pub(crate) fn bucket_in_round(id: BackendId, round: u64, buckets: usize) -> usize {
     let seed = seed_in_round(id, round);
     let buckets = buckets.max(1) as u64;
@@ -38,12 +42,12 @@
     0
 }
 
-/// Returns a number that no other id in this round, nor the same id in another round, has.
+/// Returns a seed that is unique to the pair of backend id and round.
 fn seed_in_round(id: BackendId, round: u64) -> u64 {
     (u64::from(id.0) << 24 ^ round).wrapping_mul(GOLDEN_RATIO)
 }
 
-/// Mixes all bits: the finalizer of SplitMix64.
+/// Returns a hash in which each bit depends on all bits of the argument: the finalizer of SplitMix64.
 fn mix(mut hash: u64) -> u64 {
     hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/balancer/src/support/latency_estimate.rs
+++ b/crates/balancer/src/support/latency_estimate.rs
@@ -1,8 +1,8 @@
-//! A running estimate of a latency.
+//! An estimate of the mean and the deviation of a latency.
 
 use crate::Time;
 
-/// The mean and the mean deviation of a latency, as exponentially weighted averages.
+/// The mean and the mean deviation of a latency, as exponentially weighted moving averages.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LatencyEstimate {
     samples: f64,
--- a/crates/balancer/src/support/mod.rs
+++ b/crates/balancer/src/support/mod.rs
@@ -1,4 +1,4 @@
-//! Data structures and estimators without decisions or tuning constants.
+//! Data structures and estimators without decision logic or tuning constants.
 
 mod backend_map;
 mod decaying_mean;
--- a/crates/balancer/src/support/token_bucket.rs
+++ b/crates/balancer/src/support/token_bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket.
+//! A token bucket, for rate limits.
 
 use crate::Time;
 
-/// A token bucket, in which each token stands for one request.
+/// A token bucket with one token for each request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
-    /// The tokens available at the latest refill. Negative where more were taken than were available.
+    /// The number of tokens. Negative if more were taken than were available.
     tokens: f64,
     /// The time of the latest refill, in seconds.
     refilled_at: Time,
@@ -25,17 +25,17 @@
         self.tokens
     }
 
-    /// Takes one token, also where less than one is available.
+    /// Takes one token, even if less than one is available. The number of tokens may become negative.
     pub fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Takes one token, or all that are available where that is less.
+    /// Takes one token, or all available tokens if less than one is available.
     pub fn take_available(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Sets the tokens available.
+    /// Sets the number of available tokens.
     pub fn set(&mut self, tokens: f64) {
         self.tokens = tokens;
     }
