--- a/crates/balancer/src/decisions/backends/mod.rs
+++ b/crates/balancer/src/decisions/backends/mod.rs
@@ -1,4 +1,4 @@
-//! The concerns that have state by backend, and the questions that need several of them.
+//! The concerns with state for each backend, and the functions that combine several of these concerns.
 
 mod health;
 
@@ -14,7 +14,7 @@
 use crate::interface::{BackendId, Endpoint, LoadReport, ServingProcesses, Settings, Status, Time};
 use crate::support::BackendIndex;
 
-/// All that a balancer knows of backends, one field for each concern.
+/// The state of a balancer for its backends, with one field for each concern.
 #[derive(Debug, Default)]
 pub(super) struct Backends {
     endpoints: EndpointTable,
@@ -28,7 +28,7 @@
 }
 
 impl Backends {
-    /// Adopts new settings, in place of the settings `old`, and what the traffic says under the new ones.
+    /// Applies new settings in place of `old`. `traffic` has been updated to the new settings before.
     pub fn apply_settings(&mut self, old: &Settings, new: &Settings, traffic: &Traffic, now: Time) {
         self.outliers.set_rate_time_constant(traffic.time_constant());
         self.slow_start.apply_settings(new);
@@ -57,22 +57,22 @@
         self.endpoints.len()
     }
 
-    /// Returns the endpoints that the list names.
+    /// Returns the entries of the endpoint list.
     pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.listed()
     }
 
-    /// Returns the members of the subset.
+    /// Returns the subset of this balancer.
     pub fn subset(&self) -> &Subset {
         &self.subset
     }
 
-    /// Returns the latencies and responses of the backends.
+    /// Returns the outlier detection, with the observed latencies and responses of the backends.
     pub fn outliers(&self) -> &OutlierDetection {
         &self.outliers
     }
 
-    /// Returns the latencies and responses of the backends.
+    /// Returns the outlier detection, to record latencies and responses.
     pub fn outliers_mut(&mut self) -> &mut OutlierDetection {
         &mut self.outliers
     }
@@ -100,25 +100,26 @@
         self.slow_start.reset(index, now);
     }
 
-    /// Forgets the latency of a backend that has been restarted, and the budget of its previous slow start.
+    /// Resets the relative latency and the slow start budget of a backend that has been restarted.
     fn reset_after_restart(&mut self, index: BackendIndex, now: Time) {
         self.outliers.reset_latency(index, now);
         self.slow_start.reset(index, now);
     }
 
-    /// Forgets the removed backends to which no attempt refers.
+    /// Deletes the state of backends that have been removed from the endpoint list and to which no attempt
+    /// refers.
     pub fn remove_unreferenced(&mut self) {
         let attempt_counts = &self.attempt_counts;
         self.endpoints.forget_removed(|index| attempt_counts.is_referenced(index));
     }
 
-    /// Returns whether a backend is listed as in service, and not in maintenance.
+    /// Returns whether a backend is in service by the endpoint list, and not in maintenance.
     fn is_in_service(&self, index: BackendIndex) -> bool {
         let endpoint = self.endpoint(index);
         endpoint.status == Status::InService && !self.maintenance.contains(endpoint.id)
     }
 
-    /// Assigns the subset again, after a change of the backends in service or of the size.
+    /// Reassigns the subset after a change of the backends in service or of the size of the subset.
     pub fn assign_subset(&mut self, settings: &Settings, calls_in_flight: Option<f64>, now: Time) {
         let in_service = self.endpoints.indices().filter(|index| self.is_in_service(*index)).collect();
         let inputs = AssignmentInputs {
@@ -131,14 +132,15 @@
         self.subset.assign(in_service, inputs);
     }
 
-    /// Assigns a larger subset, if the calls in flight call for more members than ever before.
+    /// Reassigns the subset if the calls in flight require more members than at any time before.
     pub fn grow_subset(&mut self, settings: &Settings, calls_in_flight: Option<f64>, now: Time) {
         if self.subset.raise_high_watermark(calls_in_flight, settings) {
             self.assign_subset(settings, calls_in_flight, now);
         }
     }
 
-    /// Removes a backend from service. Returns whether it was in service as far as operators are concerned.
+    /// Begins the maintenance of a backend. Returns whether the maintenance has begun, which is false if the
+    /// backend was in maintenance already.
     pub fn begin_maintenance(&mut self, id: BackendId, now: Time) -> bool {
         self.maintenance.forget_returned(now, self.slow_start.duration());
         if self.maintenance.contains(id) {
@@ -150,7 +152,7 @@
         true
     }
 
-    /// Puts a backend back into service. Returns whether it was in maintenance.
+    /// Ends the maintenance of a backend. Returns whether the backend was in maintenance.
     pub fn end_maintenance(&mut self, id: BackendId, now: Time) -> bool {
         self.maintenance.forget_returned(now, self.slow_start.duration());
         if !self.maintenance.contains(id) {
@@ -165,13 +167,14 @@
         true
     }
 
-    /// Returns whether a backend is a member, or was used recently in place of one.
+    /// Returns whether a backend is a member of the subset, or was used recently in place of a member.
     fn is_used(&self, id: BackendId, now: Time) -> bool {
         self.index_of(id)
             .is_some_and(|index| self.subset.contains(index) || self.outliers.was_recently_active(index, now))
     }
 
-    /// Returns the time at which a backend started or returned from maintenance, if it is in slow start.
+    /// Returns the later of a backend's start and its return from maintenance, in seconds, if the backend
+    /// is in slow start.
     fn warming_up_since(&self, index: BackendIndex, now: Time) -> Option<Time> {
         let endpoint = self.endpoint(index);
         let assumed_start = self.maintenance.assumed_start(endpoint.id);
@@ -179,8 +182,8 @@
         self.slow_start.is_warming_up(started_at, now).then_some(started_at)
     }
 
-    /// Returns whether a request may be sent to a backend: it is in service and, while in slow start, has a
-    /// budget left. Only members have such a budget.
+    /// Returns whether a request may be sent to a backend. The backend must be in service. A backend in slow
+    /// start must also be a member and have budget left.
     pub fn is_usable(&mut self, index: BackendIndex, context: &mut DecisionContext<'_>) -> bool {
         let Some(started_at) = self.warming_up_since(index, context.now) else {
             return self.is_in_service(index);
@@ -192,8 +195,9 @@
         self.slow_start.has_budget(index, started_at, warm_rate, context.now, context.random)
     }
 
-    /// Returns the rate of requests that this balancer would send to a member, if the member were not in slow
-    /// start and were in as many subsets as the others. The plans of all balancers then add up alike.
+    /// Returns the rate of requests that this balancer would send to a member outside its slow start. The
+    /// rate is divided by the number of subsets of the member over the mean, so that the rates of all
+    /// balancers add up to the same total for each backend.
     fn warm_rate(&self, member: BackendIndex, context: &mut DecisionContext<'_>) -> WarmRate {
         let memberships = self.subset.memberships_over_mean(member);
         let successes = context.traffic.successes_per_second(context.now);
@@ -205,8 +209,8 @@
         WarmRate::Own(successes / members / memberships)
     }
 
-    /// Returns the number of balancers that have a backend as a member, if all have as many members as
-    /// this one.
+    /// Returns the number of balancers that have a given backend as a member, on the assumption that each
+    /// balancer has as many members as this one. A second serving process counts as a balancer.
     fn balancers_per_backend(&self, settings: &Settings) -> f64 {
         let processes = match self.serving_processes {
             ServingProcesses::One => 1,
@@ -221,7 +225,7 @@
         self.slow_start.record_send(index);
     }
 
-    /// Records that a backend has received a request completely, and has to process it.
+    /// Records that a backend has received the request of an attempt completely.
     pub fn record_request_received(&mut self, index: BackendIndex, now: Time) {
         if self.attempt_counts.in_flight(index) == 0 {
             self.outliers.record_activity(index, now);
@@ -229,12 +233,12 @@
         self.attempt_counts.increment_in_flight(index);
     }
 
-    /// Records that an attempt whose request had been received completely has ended.
+    /// Records the end of an attempt whose request the backend had received completely.
     pub fn record_attempt_end(&mut self, index: BackendIndex) {
         self.attempt_counts.decrement_in_flight(index);
     }
 
-    /// Records that the call of an attempt has finished.
+    /// Records that the call of an attempt at a backend has finished.
     pub fn record_call_end(&mut self, index: BackendIndex) {
         self.attempt_counts.remove_reference(index);
     }
@@ -249,18 +253,20 @@
         self.load_reports.record(index, state, report);
     }
 
-    /// Counts a send for the schedule of health checks. Returns the member to check, if a check is due.
+    /// Counts a send, and returns the member whose health is to be checked if a health check is due.
     pub fn next_health_check(&mut self) -> Option<BackendId> {
         let member = self.load_reports.count_send(self.subset.members())?;
         Some(self.endpoint(member).id)
     }
 
-    /// Returns this balancer's attempts in flight at a backend whose request has been received completely.
+    /// Returns the number of this balancer's attempts in flight at a backend. An attempt counts once the
+    /// backend has received its request completely.
     pub fn in_flight(&self, index: BackendIndex) -> usize {
         self.attempt_counts.in_flight(index)
     }
 
-    /// Returns the service time of a backend over that of the fleet, or 1 if nothing has been reported.
+    /// Returns the service time of a backend divided by the mean of the fleet, or 1 if nothing has been
+    /// reported.
     pub fn relative_service_time(&self, index: BackendIndex) -> f64 {
         self.load_reports.relative_service_time(index)
     }
--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Counts a request, and returns its rank among the arriving requests.
+    /// Counts an arriving request, and returns its rank among the arriving requests.
     fn record_arrival(&mut self, request: &Request) -> Rank {
         let Request { class, tenant, .. } = *request;
         let quota = self.quotas.status(tenant, self.now);
@@ -44,27 +44,28 @@
         self.admission.rank(class, quota, self.now, &self.settings, &self.traffic, &mut self.random)
     }
 
-    /// Returns the timeout in seconds up to which a request is rejected, as its response would come too
-    /// late: the least time left for the request and for each request of its ordering key that is ahead.
+    /// Returns the timeout, in seconds, up to which a request is rejected because its response would come
+    /// too late. The requests ahead in the queue of the ordering key are processed one at a time, so that
+    /// each of them adds the least time left at the dispatch of a call.
     fn min_timeout(&self, class: ClassIndex, ordering_key: Option<u64>) -> Time {
         let requests_ahead = ordering_key.map_or(0, |key| self.ordered_keys.queue_len(key));
         min_time_left(class, &self.traffic) * (requests_ahead + 1) as f64
     }
 
-    /// Returns T1 in seconds for a call of a class with this time left, in seconds.
+    /// Returns T1 for a call of a class with `time_left` until its deadline, both in seconds.
     fn t1(&self, class: ClassIndex, time_left: Time) -> Time {
         first_interval(self.traffic.latency(class), time_left, self.settings.quantum)
     }
 
-    /// Returns whether a request of this rank is admitted. Load is shed at the entry tier, where no work
-    /// has been done yet: the overload level that lowers the probability of a retry is also the fraction
-    /// of the requests that are not admitted, those of the lowest ranks.
+    /// Returns whether a request of this rank is admitted. The overload level is the fraction of requests
+    /// that are not admitted, lowest ranks first; the same level lowers the probability of a retry. Load is
+    /// shed at the entry tier only, because no work has been done for a request there yet.
     fn admits(&mut self, rank: Rank) -> bool {
         !self.settings.tier.is_entry() || rank >= Rank(self.overload_level())
     }
 
-    /// Returns the rejection of a request that has caused no effect. A client that honours the wait retries
-    /// after T1.
+    /// Returns the rejection of a request that its client may safely retry. The response asks the client to
+    /// wait for T1 before the retry, if clients honour `Retry-After`.
     pub(super) fn rejection(&self, id: RequestId, t1: Time) -> Action {
         Action::Reject { id, retry_after: retry_after(t1, &self.settings) }
     }
@@ -85,7 +86,8 @@
         self.dispatch_next(ordering_key, actions);
     }
 
-    /// Dispatches the next call of an ordering key, or sets a timer for the end of the key's rest.
+    /// Dispatches the next queued call of an ordering key. If the key rests after an attempt that may still
+    /// be running, sets a timer for the end of the rest instead.
     pub(super) fn dispatch_next(&mut self, ordering_key: u64, actions: &mut Vec<Action>) {
         let next = self.ordered_keys.next(ordering_key);
         let Some(next) = next.filter(|next| self.calls[next.key].is_queued()) else { return };
@@ -96,12 +98,11 @@
         self.dispatch_queued(next.key, actions);
     }
 
-    /// Dispatches the calls that wait for admission, in the order of their ranks, as far as they are
-    /// admitted.
+    /// Dispatches the calls that wait for admission, highest rank first, until one is not admitted.
     ///
-    /// With four calls in flight, one more or less is the difference between calm and overload, so that a
-    /// short wait avoids rejections by chance. Rejected clients mostly retry at once, and are rejected
-    /// again.
+    /// Calls wait because the overload level may fall within a few responses: with four calls in flight, one
+    /// call more or less decides whether the balancer counts as overloaded. Most clients retry a rejected
+    /// request at once, and would be rejected again.
     pub(super) fn admit_queued(&mut self, actions: &mut Vec<Action>) {
         while let Some(best_rank) = self.admission.queue().best_rank()
             && self.admits(best_rank)
@@ -117,13 +118,13 @@
             return self.dispatch_next(ordering_key, actions);
         }
         if call.is_queued() {
-            // The overload has lasted. No work has been done yet, so that the client loses nothing by a
-            // retry.
+            // The overload lasted for the whole wait. No work has been done for the call yet, so that a retry
+            // by the client repeats no work.
             self.finish_unserved(key, actions);
         }
     }
 
-    /// Dispatches a call that has waited, unless too little time is left.
+    /// Dispatches a queued call, or finishes the call if too little time is left.
     fn dispatch_queued(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         let call = &self.calls[key];
         let class = call.current_class();
@@ -135,7 +136,7 @@
         self.dispatch(key, actions);
     }
 
-    /// Dispatches a call: from now on the call counts as sent, and its first attempt is made.
+    /// Dispatches a call: counts the call as sent, and makes its first attempt.
     fn dispatch(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         self.calls.record_dispatch(key);
         self.set_retry_timer(key, actions);
@@ -163,8 +164,8 @@
         }
     }
 
-    /// Records that the body of a call is no longer being received. Until then the backend cannot
-    /// respond, so that the attempts of the call count as in flight only from now on.
+    /// Records that the body of a call is no longer being received. The attempts of the call count as in
+    /// flight only from now on, because a backend cannot respond before it has received the body.
     pub(super) fn stop_receiving(&mut self, key: CallKey) {
         self.calls.stop_receiving(key);
         for attempt in self.calls[key].attempts().iter().filter(|attempt| attempt.is_in_flight()) {
--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -12,23 +12,23 @@
 use crate::support::BackendIndex;
 use rand::Rng;
 
-/// The conclusion from the silence of a backend for an attempt in flight.
+/// The state of an attempt in flight that its backend has not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UnansweredAttempt {
-    /// The attempt may still be answered, and has taken as long as it has waited so far.
+    /// The attempt may still be answered. Its latency is at least the wait so far.
     Waiting,
-    /// The attempt has failed, as the time of its call is up.
+    /// The attempt has failed, because the deadline of its call has passed.
     TimedOut,
 }
 
 impl Balancer {
-    /// Returns the bounds of the next attempt of a call, or None if the call must not be sent.
+    /// Returns the restrictions on the next attempt of a call, or `None` if the call must not be sent.
     pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<Permission> {
         attempts::next_attempt(&self.calls[key], self.now, self.settings.quantum)
     }
 
-    /// Sends a call, the first time or again, if an attempt is permitted and a backend can be found.
-    /// Returns whether an attempt was sent.
+    /// Sends the next attempt of a call, if an attempt is permitted and a backend is available. Returns
+    /// whether an attempt was sent.
     pub(super) fn send(&mut self, key: CallKey, actions: &mut Vec<Action>) -> bool {
         let Some(Permission { scope, write_deadline }) = self.permitted_attempt(key) else { return false };
         let Some(index) = self.place(key, scope) else { return false };
@@ -69,7 +69,8 @@
         Some(backend)
     }
 
-    /// Requests a health check, if one is due after a send and the settings ask for load reports by them.
+    /// Requests a health check, if one is due after a send and the settings require health checks for load
+    /// reports.
     fn schedule_health_check(&mut self, actions: &mut Vec<Action>) {
         let due = self.backends.next_health_check();
         if let Some(backend) = due.filter(|_| self.settings.health_checks_for_load_reports) {
@@ -77,20 +78,21 @@
         }
     }
 
-    /// Sets the next doubling timer of a call, if there is one.
+    /// Sets the next retry timer of a call, if the call has a further one.
     pub(super) fn set_retry_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         if let Some(at) = self.calls[key].schedule_retry_timer(&mut self.random) {
             actions.push(Action::SetTimer { at, token: Timer::Retry(key).into() });
         }
     }
 
-    /// Retries a call whose doubling timer has fired with the present probability, if an attempt is
+    /// Retries a call whose retry timer has fired, with the present retry probability and if an attempt is
     /// permitted.
     ///
-    /// A backend that has answered other calls since is alive, and the call merely long: a hedged attempt
-    /// would double the work of the longest calls, which overloads a busy fleet. That holds for one
-    /// timer. A call that is in flight for 3 T1 may never be answered, as its connection may stand still,
-    /// or its backend may have fallen silent since.
+    /// When the first timer fires and the backend has answered other calls since the send, the backend
+    /// works and the call merely takes long. Such a call is not retried: hedged attempts would double the
+    /// work of the longest calls, and overload a busy fleet. When the second timer fires, 3 T1 after the
+    /// dispatch, the call may be retried in any case: its connection may be stalled, or its backend may
+    /// have stopped responding in the meantime.
     pub(super) fn on_retry_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         self.calls[key].record_retry_timer_firing();
         self.set_retry_timer(key, actions);
@@ -111,9 +113,9 @@
 
     /// Returns the present probability of a retry.
     ///
-    /// The overload level lowers the probability of hedged attempts, which cost work twice, and of
-    /// retries that busy backends rejected. A call that got no connection has cost no work, and counts
-    /// among the admitted calls already.
+    /// The overload level lowers the probability of hedged attempts, which double the work of a request,
+    /// and of retries after a rejection by a busy backend. The overload level does not apply to a call that
+    /// got no connection: the call has caused no work, and has been admitted already.
     fn retry_probability(&mut self, key: CallKey) -> f64 {
         let has_reached_no_backend = self.calls[key].has_reached_no_backend();
         let overload_level = if has_reached_no_backend { 0.0 } else { self.overload_level() };
@@ -122,15 +124,16 @@
         retry_probability(t1, self.calls.unanswered(), sends_per_second, overload_level)
     }
 
-    /// Fails a call whose time is up. The time-out of its attempt finds the call gone, so that a backend
-    /// which hangs has to be noticed here.
+    /// Ends a call at its deadline. The failure of a backend that hangs is recorded here, because the call no
+    /// longer exists when the timeout of its attempt is reported.
     pub(super) fn on_deadline(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         self.record_unanswered_attempts(key, UnansweredAttempt::TimedOut);
         self.finish_unserved(key, actions);
     }
 
-    /// Records the latency of the attempts in flight at backends that have answered nothing since the
-    /// sends. Returns whether another backend of the call has answered since, and so is alive.
+    /// Records the wait of each attempt in flight of a call, as a latency or as a failure depending on
+    /// `state`. Skips an attempt whose backend has responded to another call since the send, and returns
+    /// whether there is such an attempt.
     fn record_unanswered_attempts(&mut self, key: CallKey, state: UnansweredAttempt) -> bool {
         let mut backend_responds = false;
         let call = &self.calls[key];
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -10,8 +10,8 @@
 use crate::support::BackendIndex;
 
 impl Balancer {
-    /// Updates the backend of an attempt that has ended, its ordering key, and its call if that is
-    /// unfinished.
+    /// Updates the backend and the ordering key of an attempt that has ended, and the call of the attempt
+    /// if the call is unfinished.
     pub(super) fn on_attempt_ended(&mut self, ended: EndedAttempt, actions: &mut Vec<Action>) {
         let key = self.calls.key_of(ended.id);
         if let Some(index) = self.backends.index_of(ended.backend) {
@@ -22,11 +22,12 @@
                 self.observe_outcome(index, key, &ended);
             }
         }
-        // An attempt of an ended call may have blocked its ordering key.
+        // An attempt in flight blocks its ordering key, even if its call has ended.
         let orphan_key = self.ordered_keys.settle_orphan(ended.id, ended.attempt);
         let ordering_key = key.map_or(orphan_key, |key| self.calls[key].ordering_key());
         if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
-            // Clocks are rounded, so that the rest counts as longer by a quantum.
+            // Clocks are rounded to the quantum. The additional quantum ensures that the key rests for the
+            // full duration.
             let until = self.now + self.settings.key_rest_duration + self.settings.quantum;
             self.ordered_keys.rest(ordering_key, until);
         }
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Records what the outcome of an attempt shows of the backend and its class.
+    /// Updates outlier detection by the outcome of an attempt, and the traffic statistics by a success.
     fn observe_outcome(&mut self, index: BackendIndex, key: CallKey, ended: &EndedAttempt) {
         let call = &self.calls[key];
         match ended.outcome {
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Records the latency of a successful attempt, in seconds. The duration of a streamed request
-    /// depends on its client, and shows nothing of the backend.
+    /// Records a successful attempt and its latency, in seconds. The latency of a streamed request is not
+    /// recorded, because it depends on the client rather than the backend.
     fn observe_success(&mut self, index: BackendIndex, key: CallKey, latency: Time) {
         self.backends.outliers_mut().record_response(index, self.now);
         self.traffic.record_success(self.now);
@@ -81,8 +82,8 @@
         self.traffic.record_latency(class, latency, objective, load);
     }
 
-    /// Ends the call of an attempt that has ended, or leaves the call to its next timer if there is one
-    /// and an attempt will be permitted.
+    /// Records the outcome of an attempt. Ends its call if the attempt gave the final response, or if no
+    /// attempt is in flight and the call cannot be retried when its next retry timer fires.
     fn on_outcome(&mut self, key: CallKey, ended: &EndedAttempt, actions: &mut Vec<Action>) {
         self.calls[key].record_outcome(ended.attempt, ended.outcome);
         if ended.request_finished {
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Gives the final response to a call that was not served: a rejection if the client may safely
-    /// retry, else a failure.
+    /// Ends a call that was not served. The final response is a rejection if the client may safely retry, and
+    /// a failure otherwise.
     pub(super) fn finish_unserved(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         let call = &self.calls[key];
         let id = call.id();
@@ -129,7 +130,8 @@
         }
     }
 
-    /// Removes a call, and ends its attempts but for the one that was `answered`.
+    /// Removes a call, and ends its attempts in flight except for the `answered` one, which gave the final
+    /// response.
     fn finish(&mut self, key: CallKey, answered: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         if self.calls[key].body().is_receiving {
             self.stop_receiving(key);
@@ -145,9 +147,8 @@
         }
     }
 
-    /// Ends the attempts in flight of a finished call. An attempt that has been written completely ends
-    /// only where cancellation is allowed; an attempt that still waits for its connection is always
-    /// withdrawn.
+    /// Ends the attempts in flight of a finished call. Where cancellation is not allowed, the attempts are
+    /// withdrawn, which ends only those that have not been written completely.
     fn end_attempts(&mut self, call: &Call, answered: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         let id = call.id();
         for (attempt, sent) in call.numbered_attempts() {
--- a/crates/balancer/src/decisions/balancer/endpoint_updates.rs
+++ b/crates/balancer/src/decisions/balancer/endpoint_updates.rs
@@ -36,8 +36,9 @@
         actions.push(Action::SetTimer { at, token: Timer::EndpointPoll.into() });
     }
 
-    /// Closes the idle connections to a draining backend: when the balancer is notified of the draining,
-    /// and after each attempt that ends there, as the attempt leaves an idle connection behind.
+    /// Closes the idle connections to a backend if it is draining. Called when the balancer is notified of
+    /// the draining, and when an attempt at the backend ends, because the attempt leaves an idle
+    /// connection.
     pub(super) fn close_idle_if_draining(&self, index: BackendIndex, actions: &mut Vec<Action>) {
         let endpoint = self.backends.endpoint(index);
         if self.settings.idle_close_limit.is_some() && endpoint.status == Status::Draining {
@@ -45,7 +46,8 @@
         }
     }
 
-    /// Excludes a backend from placement, whatever the endpoint list says, or includes it again.
+    /// Excludes a backend from placement, regardless of its status in the endpoint list, or includes the
+    /// backend again.
     pub(super) fn on_maintenance(
         &mut self,
         id: BackendId,
--- a/crates/balancer/src/decisions/balancer/mod.rs
+++ b/crates/balancer/src/decisions/balancer/mod.rs
@@ -1,4 +1,4 @@
-//! The balancer: one field for each concern, and the order in which events ask the concerns.
+//! The balancer, which holds one field for each concern and calls the concerns in the order of the decisions.
 
 mod arrivals;
 mod attempts;
@@ -19,8 +19,8 @@
 use rand::rngs::SmallRng;
 use std::sync::Arc;
 
-/// One balancer: a state machine without I/O, clock or global state. [`Balancer::handle`] takes an event
-/// with its time, and returns actions.
+/// A load balancer: a state machine without I/O, clock or global state. [`Balancer::handle`] takes an event
+/// with its time, and appends the resulting actions.
 #[derive(Debug)]
 pub struct Balancer {
     /// The settings in force.
@@ -61,8 +61,8 @@
         balancer
     }
 
-    /// Decides what to do about an event that happens at `now`, in seconds, and appends the actions to
-    /// `actions`. A time before that of an earlier event counts as that of the earlier one.
+    /// Handles an event at the time `now`, in seconds, and appends the resulting actions to `actions`. If
+    /// `now` is before the time of an earlier event, the time of the earlier event is used.
     pub fn handle(&mut self, now: Time, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.schedule_first_poll(actions);
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Applies settings, completely and at once. Observations of a class or a tenant stay with its name,
-    /// and calls end by the settings in force at their arrival.
+    /// Applies new settings as a whole. A class or tenant keeps its observations if the new settings have one
+    /// with the same name. Calls are completed under the settings in force at their arrival.
     fn apply_settings(&mut self, settings: Settings) {
         let new = Arc::new(settings);
         let old = std::mem::replace(&mut self.settings, new.clone());
@@ -114,8 +114,8 @@
         self.backends.assign_subset(&self.settings, calls_in_flight, self.now);
     }
 
-    /// Returns how far the calls in flight exceed the expected number, from 0 to 1. Each call adds a
-    /// sample to the mean excess.
+    /// Returns the overload level, from 0 to 1, which measures how far the calls in flight exceed the
+    /// expected number. Each invocation adds a sample to the mean excess.
     fn overload_level(&mut self) -> f64 {
         let expected_calls = self.traffic.expected_calls_in_flight(self.now);
         let calls_in_flight = self.calls_in_flight();
@@ -124,8 +124,9 @@
         self.overload.update(sample, self.now, self.traffic.time_constant())
     }
 
-    /// Returns the calls in flight at backends that are no outliers. Calls that found no capacity count
-    /// while they wait for a retry; hedged attempts of a call do not.
+    /// Returns the number of calls in flight at backends that are no outliers. Calls whose latest attempt was
+    /// rejected or got no connection count while they wait for a retry. The number is at most the number of
+    /// unanswered calls, so that hedged attempts do not count as additional calls.
     fn calls_in_flight(&self) -> f64 {
         let attempts = self.backends.in_flight_at_healthy_backends(self.now);
         (attempts + self.calls.lacking_capacity()).min(self.calls.unanswered()) as f64
@@ -137,7 +138,7 @@
         self.calls.len()
     }
 
-    /// Returns the number of backends of which the balancer keeps state.
+    /// Returns the number of backends for which the balancer keeps state.
     #[must_use]
     pub fn backends_known(&self) -> usize {
         self.backends.len()
@@ -149,14 +150,14 @@
         self.backends.listed().count()
     }
 
-    /// Returns the number of listed backends that get few requests or none: those in maintenance, and
+    /// Returns the number of listed backends that are sent few requests or none: backends in maintenance and
     /// outliers.
     #[must_use]
     pub fn backends_avoided(&self) -> usize {
         self.backends.avoided(self.now)
     }
 
-    /// Returns the members of this balancer's subset, to which it sends first.
+    /// Returns the members of this balancer's subset, which are preferred for attempts.
     pub fn members(&self) -> impl Iterator<Item = BackendId> {
         let members = self.backends.subset().members().iter();
         members.map(|member| self.backends.endpoint(*member).id)
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -25,34 +25,35 @@
 #[derive(Debug)]
 pub(in crate::decisions) struct Call {
     pub(super) id: RequestId,
-    /// The settings in force at the arrival, which hold for the call until its end.
+    /// The settings in force at the arrival, which apply to the call until its end.
     settings: Arc<Settings>,
-    /// The index of the class in these settings.
+    /// The index of the class in the settings in force at the arrival.
     class: ClassIndex,
-    /// The index of the class in the settings now in force, by which latencies are kept.
+    /// The index of the class in the settings now in force, under which latencies are recorded.
     current_class: ClassIndex,
     /// The index of the tenant in the settings now in force.
     tenant: Option<TenantIndex>,
     /// The time of the arrival, or of the dispatch if the call was queued, in seconds.
     dispatched_at: Time,
-    /// The time by which the final response is due, in seconds; infinite while the body is being received.
+    /// The time at which the final response is due, in seconds; infinite while the body is being received.
     deadline: Time,
     /// The time from the complete receipt of the body to the deadline, in seconds.
     timeout: Time,
     retry_timer: RetryTimer,
-    /// In the order of the sends.
+    /// The attempts in the order of the sends.
     attempts: Vec<Attempt>,
     ordering_key: Option<u64>,
     pub(super) stage: CallStage,
     pub(super) body: BodyProgress,
-    /// Whether the latest attempt found no capacity or no connection, and the call waits for a retry.
+    /// Whether the latest attempt was rejected or got no connection, and the call waits for a retry.
     pub(super) lacks_capacity: bool,
-    /// Of the two backends drawn, the one that was not chosen. A retry is sent there.
+    /// The backend that was drawn for the latest placement but not chosen. The next retry is sent to this
+    /// backend.
     alternative: Option<BackendIndex>,
 }
 
 impl Call {
-    /// Returns a call that arrives at `now`, with its timeout and its T1 in seconds and no attempt.
+    /// Returns a call without attempts that arrives at `now`. `timeout` and `t1` are in seconds.
     pub fn new(request: &Request, settings: Arc<Settings>, now: Time, timeout: Time, t1: Time) -> Self {
         let is_receiving = request.streaming_body;
         Self {
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Sets the key by which the class of the call orders its requests.
+    /// Sets the ordering key, or `None` if the class of the call is not ordered by key.
     pub fn with_ordering_key(mut self, ordering_key: Option<u64>) -> Self {
         self.ordering_key = ordering_key;
         self
@@ -90,13 +91,13 @@
         &self.settings
     }
 
-    /// Returns the class of the call, by the settings in force at its arrival.
+    /// Returns the class of the call in the settings in force at its arrival.
     pub fn request_class(&self) -> &RequestClass {
         self.settings.class(self.class)
     }
 
-    /// Returns the index of the class in the settings now in force; their number of classes if the class no
-    /// longer exists.
+    /// Returns the index of the class in the settings now in force. If the class no longer exists, the
+    /// index is the number of classes.
     pub fn current_class(&self) -> ClassIndex {
         self.current_class
     }
@@ -116,12 +117,13 @@
         self.timeout
     }
 
-    /// Returns the time left for a response, in seconds, counted from the receipt of the body.
+    /// Returns the time until the deadline, in seconds, or the whole timeout while the body is being
+    /// received.
     pub fn time_left(&self, now: Time) -> Time {
         if self.body.is_receiving { self.timeout } else { self.deadline - now }
     }
 
-    /// Starts the time of a call whose body has been received completely.
+    /// Sets the deadline of a call whose body has been received completely at `now`.
     pub fn start_timeout(&mut self, now: Time) {
         self.deadline = now + self.timeout;
     }
@@ -136,17 +138,17 @@
         self.body.is_consumed = true;
     }
 
-    /// Returns the doubling timers.
+    /// Returns the retry timers.
     pub fn retry_timer(&self) -> &RetryTimer {
         &self.retry_timer
     }
 
-    /// Records that a doubling timer has fired.
+    /// Records that a retry timer has fired.
     pub fn record_retry_timer_firing(&mut self) {
         self.retry_timer.record_firing();
     }
 
-    /// Sets the next doubling timer, if the timer fires before the deadline and a further attempt is
+    /// Schedules the next retry timer, if the timer would fire before the deadline and a further attempt is
     /// allowed. Returns the time at which the timer fires, in seconds.
     pub fn schedule_retry_timer(&mut self, random: &mut SmallRng) -> Option<Time> {
         let at = self.retry_timer.next_time(self.dispatched_at, random);
@@ -182,12 +184,12 @@
         self.attempts.iter().any(Attempt::is_in_flight)
     }
 
-    /// Returns whether no attempt got a connection to a backend.
+    /// Returns whether every attempt ended because no connection was established.
     pub fn has_reached_no_backend(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.outcome == Some(Outcome::NoConnection))
     }
 
-    /// Returns the key by which the class of the call orders its requests.
+    /// Returns the ordering key, or `None` if the class of the call is not ordered by key.
     pub fn ordering_key(&self) -> Option<u64> {
         self.ordering_key
     }
@@ -197,24 +199,24 @@
         self.stage == CallStage::Queued
     }
 
-    /// Sets the backend to which a retry is sent.
+    /// Sets the backend to which the next retry is sent.
     pub fn set_alternative(&mut self, backend: BackendIndex) {
         self.alternative = Some(backend);
     }
 
-    /// Takes the backend to which a retry is sent, if there is one.
+    /// Removes and returns the backend to which the next retry is sent, if there is one.
     pub fn take_alternative(&mut self) -> Option<BackendIndex> {
         self.alternative.take()
     }
 
-    /// Dispatches a call that has waited, with a new T1 in seconds.
+    /// Ends the wait of a queued call at `now`, and sets a new T1 in seconds.
     pub(super) fn leave_queue(&mut self, now: Time, t1: Time) {
         self.stage = CallStage::Undispatched;
         self.dispatched_at = now;
         self.retry_timer.set_t1(t1);
     }
 
-    /// Follows a change of settings, in which classes and tenants may get other indices.
+    /// Updates the indices of class and tenant after a change from the settings `old` to `new`.
     pub(super) fn remap_indices(&mut self, old: &Settings, new: &Settings) {
         let class = new.class_index(&self.request_class().name);
         self.current_class = class.unwrap_or(ClassIndex(new.classes.len()));
--- a/crates/balancer/src/decisions/calls/call_stage.rs
+++ b/crates/balancer/src/decisions/calls/call_stage.rs
@@ -1,11 +1,11 @@
-//! The stage of a call before its first attempt.
+//! The stage of a call on the way to its dispatch.
 
-/// How far a call has come before its first attempt.
+/// The progress of a call from its arrival to its dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::decisions) enum CallStage {
     /// The call waits for admission or for its ordering key.
     Queued,
-    /// The call does not wait, or waits no longer, and has not been dispatched.
+    /// The call is not queued, or no longer queued, and has not been dispatched.
     Undispatched,
     /// The call has been dispatched, and counts as sent.
     Dispatched,
--- a/crates/balancer/src/decisions/calls/mod.rs
+++ b/crates/balancer/src/decisions/calls/mod.rs
@@ -14,19 +14,19 @@
 /// The key of a call in the table. Keys are never reused.
 pub(super) type CallKey = slotmap::DefaultKey;
 
-/// The numbers of calls in the states that matter to decisions.
+/// The numbers of calls in the states that affect decisions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct StateCounts {
-    /// Calls that wait for admission or for their ordering key.
+    /// The calls that wait for admission or for their ordering key.
     queued: usize,
-    /// Dispatched calls whose body is still being received.
+    /// The dispatched calls whose body is still being received.
     receiving: usize,
-    /// Calls whose latest attempt found no capacity, and that wait for a retry.
+    /// The calls whose latest attempt was rejected or got no connection, and that wait for a retry.
     lacking_capacity: usize,
 }
 
 impl StateCounts {
-    /// Returns the counts of one call, which follow from its state.
+    /// Returns the counts for one call: 1 for each state of the call, and 0 otherwise.
     fn of(call: &Call) -> Self {
         Self {
             queued: usize::from(call.stage == CallStage::Queued),
@@ -48,7 +48,7 @@
     }
 }
 
-/// All calls without a final response, and the number of calls in each state that matters to decisions.
+/// All calls without a final response, and the number of calls in each state that affects decisions.
 #[derive(Debug, Default)]
 pub(super) struct CallTable {
     calls: SlotMap<CallKey, Call>,
@@ -67,7 +67,8 @@
         self.by_id.len() - self.counts.queued - self.counts.receiving
     }
 
-    /// Returns the number of calls whose latest attempt found no capacity, and that wait for a retry.
+    /// Returns the number of calls whose latest attempt was rejected or got no connection, and that wait
+    /// for a retry.
     pub fn lacking_capacity(&self) -> usize {
         self.counts.lacking_capacity
     }
@@ -77,12 +78,12 @@
         self.by_id.get(&id).copied()
     }
 
-    /// Returns whether a call has not ended.
+    /// Returns whether the table has a call with this key. A call is in the table until it ends.
     pub fn contains(&self, key: CallKey) -> bool {
         self.calls.contains_key(key)
     }
 
-    /// Adds a call in this stage.
+    /// Adds a call in the given stage, and returns its key.
     pub fn insert(&mut self, mut call: Call, stage: CallStage) -> CallKey {
         let id = call.id;
         call.stage = stage;
@@ -100,7 +101,7 @@
         Some(call)
     }
 
-    /// Changes the state of a call, and the counts with it.
+    /// Changes the state of a call, and updates the counts.
     fn change(&mut self, key: CallKey, change: impl FnOnce(&mut Call)) {
         let call = &mut self.calls[key];
         self.counts.subtract(StateCounts::of(call));
@@ -108,12 +109,12 @@
         self.counts.add(StateCounts::of(call));
     }
 
-    /// Records that a call no longer waits, and gives it a new T1 in seconds.
+    /// Records that a call is no longer queued at `now`, and sets a new T1 in seconds.
     pub fn leave_queue(&mut self, key: CallKey, now: Time, t1: Time) {
         self.change(key, |call| call.leave_queue(now, t1));
     }
 
-    /// Records that a call is dispatched.
+    /// Records that a call has been dispatched.
     pub fn record_dispatch(&mut self, key: CallKey) {
         self.change(key, |call| call.stage = CallStage::Dispatched);
     }
@@ -123,17 +124,19 @@
         self.change(key, |call| call.body.is_receiving = false);
     }
 
-    /// Records that the latest attempt of a call found no capacity or no connection.
+    /// Records that the latest attempt of a call was rejected or got no connection.
     pub fn record_lack_of_capacity(&mut self, key: CallKey) {
         self.change(key, |call| call.lacks_capacity = true);
     }
 
-    /// Records that a call has been sent again.
+    /// Records that a call has been sent, and no longer waits for a retry after a rejection or a missing
+    /// connection.
     pub fn clear_lack_of_capacity(&mut self, key: CallKey) {
         self.change(key, |call| call.lacks_capacity = false);
     }
 
-    /// Lets all calls follow a change of settings.
+    /// Updates the indices of classes and tenants in all calls after a change from the settings `old` to
+    /// `new`.
     pub fn remap_indices(&mut self, old: &Settings, new: &Settings) {
         for call in self.calls.values_mut() {
             call.remap_indices(old, new);
