--- a/crates/balancer-settings/src/defaults.rs
+++ b/crates/balancer-settings/src/defaults.rs
@@ -1,4 +1,4 @@
-//! The values of absent settings. Settings that are not named here are `false`, 0 or empty when absent.
+//! The default values of absent settings. Settings without a constant here are `false`, 0 or empty if absent.
 
 use balancer::Time;
 
@@ -6,7 +6,7 @@
 pub const OVER_QUOTA_WEIGHT: f64 = 1.0;
 /// Number of balancers in the tier.
 pub const INSTANCE_COUNT: usize = 1;
-/// Number of attempts that a request may have.
+/// Maximum number of attempts of a request.
 pub const MAX_ATTEMPTS: usize = 4;
 /// Longest time between two polls of the endpoint list, in seconds.
 pub const ENDPOINT_POLL_LIMIT: Time = 10.0;
@@ -14,22 +14,25 @@
 pub const SLOW_START_INITIAL_CAPACITY: f64 = 0.1;
 /// Duration of the slow start of a backend, in seconds.
 pub const SLOW_START_DURATION: Time = 10.0;
-/// Multiple of its present capacity beyond which a backend in slow start is overloaded.
+/// Multiple of its present capacity above which a backend in slow start is overloaded.
 pub const SLOW_START_OVERLOAD_MULTIPLE: f64 = 3.0;
-/// Time for which a backend in slow start has to be sent too much to be overloaded, in seconds.
+/// Time for which a backend in slow start must be sent more than the overload multiple before it is
+/// overloaded, in seconds.
 pub const SLOW_START_OVERLOAD_WINDOW: Time = 1.0;
-/// Rest of an ordering key after an attempt that may still be running, in seconds.
+/// Time for which no request of an ordering key is dispatched after an attempt of the key that may still be
+/// running, in seconds.
 pub const KEY_REST_DURATION: Time = 0.0;
 /// Resolution of timers and clocks, in seconds.
 pub const QUANTUM: Time = 0.001;
 
 /// Deadline of a class that has neither a deadline nor a latency objective, in seconds.
 pub const MAX_TIMEOUT: Time = 1.0;
-/// Priority weight between latency objective and deadline, as a fraction of the full priority weight.
+/// Priority weight of a response between latency objective and deadline, as a fraction of the full priority
+/// weight.
 pub const LATE_PRIORITY_WEIGHT: f64 = 0.0;
-/// Priority weight of a class.
+/// Priority weight of a class relative to other classes.
 pub const PRIORITY_WEIGHT: f64 = 1.0;
-/// Time for which an idempotency key is remembered, in seconds.
+/// Time for which backends store an idempotency key, in seconds.
 pub const IDEMPOTENCY_WINDOW: Time = 0.0;
 
 /// Quota of a tenant, in requests per second: no limit.
--- a/crates/balancer-settings/src/keys.rs
+++ b/crates/balancer-settings/src/keys.rs
@@ -1,15 +1,16 @@
-//! The keys that deserialization accepts, as the derived implementations of [`serde::Deserialize`] name
-//! them. Tests compare samples and pages with these lists, which cannot go out of date.
+//! The keys that deserialization accepts. The lists are read from the derived implementations of
+//! [`serde::Deserialize`], so that they cannot go out of date. Tests compare sample settings and pages of the
+//! documentation with these lists.
 
 use crate::raw::{RawCapabilities, RawClass, RawCosts, RawRules, RawSettings, RawStats, RawTenant};
 use serde::de::{self, Deserialize, Deserializer, Visitor};
 
-/// Returns the keys of a structure that derives [`serde::Deserialize`], in the order of its fields. Keys of
-/// structures within it are left out. The list is empty if `T` is no structure with named fields.
+/// Returns the keys of a structure that derives [`serde::Deserialize`], in the order of its fields. The list
+/// has no keys of nested structures. The list is empty if `T` is not a structure with named fields.
 #[must_use]
 pub fn keys_of<'de, T: Deserialize<'de>>() -> &'static [&'static str] {
     let mut keys: &'static [&'static str] = &[];
-    // The recorder ends each deserialization with an error once the keys are known.
+    // The recorder records the keys, and returns an error because it has no input to deserialize.
     let _ = T::deserialize(KeyRecorder { keys: &mut keys });
     keys
 }
@@ -35,12 +36,13 @@
     paths
 }
 
-/// The keys of a structure within the settings.
+/// The keys of a structure that is nested in the settings.
 struct KeyGroup {
-    /// Key of the structure, or of a list of such structures.
+    /// Key of the structure or of a list of such structures in the settings.
     path: &'static str,
-    /// The text between the key of the structure and the keys within it.
+    /// Text between the key of the structure and the keys of its fields.
     separator: &'static str,
+    /// Keys of the fields of the structure.
     keys: &'static [&'static str],
 }
 
@@ -50,7 +52,7 @@
     }
 }
 
-/// A deserializer without input, which records the keys of the structure that is asked for.
+/// A deserializer without input, which records the keys of the structure to deserialize.
 struct KeyRecorder<'a> {
     keys: &'a mut &'static [&'static str],
 }
@@ -59,7 +61,7 @@
     type Error = de::value::Error;
 
     fn deserialize_any<V: Visitor<'de>>(self, _visitor: V) -> Result<V::Value, Self::Error> {
-        Err(de::Error::custom("no structure with named fields"))
+        Err(de::Error::custom("the type is not a structure with named fields"))
     }
 
     fn deserialize_struct<V: Visitor<'de>>(
@@ -69,7 +71,7 @@
         _visitor: V,
     ) -> Result<V::Value, Self::Error> {
         *self.keys = fields;
-        Err(de::Error::custom("the keys are recorded"))
+        Err(de::Error::custom("the keys are recorded, and there is no input to deserialize"))
     }
 
     serde::forward_to_deserialize_any! {
--- a/crates/balancer-settings/src/lib.rs
+++ b/crates/balancer-settings/src/lib.rs
@@ -1,14 +1,13 @@
 //! The settings of a balancer as operators write them, and their translation into
 //! [`balancer::Settings`].
 //!
-//! Settings reach the program in two syntaxes: as a JSON object in the configuration file of the proxy,
-//! and as `path=value` pairs on the wire of the simulator. Both syntaxes are read into [`RawSettings`],
-//! whose fields have the names and units of the operators' pages. [`RawSettings::into_settings`] then
-//! fills in the [`defaults`] and converts the result, so that equal settings mean the same in both.
+//! Settings have two syntaxes: a JSON object in the configuration file of the proxy, and `path=value` pairs
+//! in the protocol of the simulator. Both syntaxes are parsed into [`RawSettings`], whose fields have the
+//! names and units of the operators' pages. [`RawSettings::into_settings`] then sets absent settings to their
+//! [`defaults`] and converts the result, so that equal settings have the same meaning in both syntaxes.
 //!
-//! [`RawSettings`] implements [`serde::Deserialize`], which is the JSON syntax; the pairs are read by the
-//! crate `simulator-adapter`. The differences between the two syntaxes are listed there, in the module
-//! that reads the pairs.
+//! [`RawSettings`] implements [`serde::Deserialize`] for the JSON syntax. The crate `simulator-adapter`
+//! parses the pairs; its parser module lists the differences between the two syntaxes.
 //!
 //! ```
 //! use balancer::ZoneId;
--- a/crates/balancer-settings/src/raw.rs
+++ b/crates/balancer-settings/src/raw.rs
@@ -1,19 +1,18 @@
-//! The settings as operators write them. Field names are the keys of the settings, with `_` for `-`;
-//! units are those of the operators' pages. Unknown keys are skipped.
+//! The settings as operators write them. The field names are the keys of the settings, with `_` in place of
+//! `-`, and the units are the units of the operators' pages. Unknown keys are ignored.
 
 use serde::Deserialize;
 
-/// The settings of one balancer. Only the classes are required, as no request could name a class without
-/// them.
+/// The settings of one balancer. Only the classes are required, because each request refers to a class.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct RawSettings {
     /// Permitted features, and limits.
     #[serde(default)]
     pub caps: RawCapabilities,
-    /// Request classes. Events name a class by its index in this list.
+    /// Request classes. Events refer to a class by its index in this list.
     pub classes: Vec<RawClass>,
-    /// Costs that count against the result of a balancer.
+    /// Costs of connections and of attempts that cross zones.
     #[serde(default)]
     pub costs: RawCosts,
     /// Index of this balancer among `n_instances`, from 0.
@@ -23,28 +22,28 @@
     pub n_instances: Option<usize>,
     /// Priority weight of a request beyond the quota of its tenant, as a fraction of the weight of its class.
     pub over_share_worth: Option<f64>,
-    /// Tenants. Events name a tenant by its index in this list.
+    /// Tenants. Events refer to a tenant by its index in this list.
     #[serde(default)]
     pub projects: Vec<RawTenant>,
     /// Resolution of timers and clocks, in seconds.
     pub quantum: Option<f64>,
-    /// The way in which changes of the endpoint list are received.
+    /// Method by which the balancer receives changes of the endpoint list.
     #[serde(default)]
     pub registry_mode: RawRegistryMode,
-    /// Figures of the rules between balancers, discovery and backends.
+    /// Time limits, fractions and multiples of the rules between balancers, discovery and backends.
     #[serde(default)]
     pub rules: RawRules,
-    /// The way in which load reports are received.
+    /// Method by which the balancer receives load reports.
     #[serde(default)]
     pub stats: RawStats,
     /// Number of tiers between the clients and this balancer.
     #[serde(default)]
     pub tier: usize,
-    /// Version of the settings. The proxy takes a value that is not a whole number from 0 on as no version
-    /// at startup, and rejects such a value on a reload; null counts as absent in both.
+    /// Version of the settings, a non-negative integer. At startup the proxy treats any other value as an
+    /// absent version. On a reload the proxy rejects such a value. Null counts as absent in both cases.
     #[serde(default)]
     pub version: serde_json::Value,
-    /// Name of the zone that this balancer is in.
+    /// Name of the zone of this balancer.
     #[serde(default)]
     pub zone: String,
     /// Names of all zones.
@@ -52,27 +51,27 @@
     pub zones: Vec<String>,
 }
 
-/// The permitted features and the limits of a balancer. A feature that is not named is not permitted.
+/// The permitted features and the limits of a balancer. An absent feature is not permitted.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct RawCapabilities {
-    /// Attempts that have been sent may be cancelled.
+    /// Whether attempts that have been sent may be cancelled.
     pub cancel: bool,
-    /// Longest time in which a connection to a backend is established, in seconds.
+    /// Timeout for the establishment of a connection to a backend, in seconds.
     pub connect_timeout: Option<f64>,
     /// Time after which a backend closes an idle connection, in seconds.
     pub idle_close: Option<f64>,
-    /// Number of attempts that a request may have.
+    /// Maximum number of attempts of a request.
     pub max_attempts: Option<usize>,
-    /// Number of requests that may be open at once.
+    /// Maximum number of requests that are open at the same time.
     pub max_open: Option<usize>,
     /// Longest `Retry-After` that clients honour, in seconds.
     pub max_retry_after: f64,
-    /// Backends answer health checks.
+    /// Whether backends answer health checks.
     pub probing: bool,
-    /// Clients honour `Retry-After`.
+    /// Whether clients honour `Retry-After`.
     pub retry_after: bool,
-    /// A request may have two attempts in flight at once (hedged requests).
+    /// Whether a request may have two attempts in flight at the same time (hedged attempts).
     pub second_copies: bool,
 }
 
@@ -80,44 +79,47 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct RawClass {
-    /// Name of the class, by which requests refer to it.
+    /// Name by which requests refer to the class.
     pub name: String,
     /// Latency objective in seconds; the deadline if absent.
     pub on_time: Option<f64>,
     /// Deadline in seconds; the latency objective if absent.
     pub hard_limit: Option<f64>,
-    /// Priority weight between latency objective and deadline, as a fraction of `worth`.
+    /// Priority weight of a response between latency objective and deadline, as a fraction of `worth`.
     pub late_worth: Option<f64>,
     /// Priority weight of a timely response, relative to the weights of other classes.
     pub worth: Option<f64>,
-    /// Effect of a second execution of a request.
+    /// Effect of processing a request twice.
     #[serde(default)]
     pub effect: RawEffect,
     /// Backends that share idempotency keys.
     #[serde(default)]
     pub group: RawGroup,
-    /// Time for which an idempotency key is remembered, in seconds.
+    /// Time for which backends store an idempotency key, in seconds.
     pub window: Option<f64>,
-    /// Requests with the same ordering key run one at a time, in the order of their arrival.
+    /// Whether requests with the same ordering key are processed one at a time, in the order of their
+    /// arrival.
     #[serde(default)]
     pub fifo_by_key: bool,
 }
 
-/// The effect of a second execution of a request. An absent or unknown effect counts as harmful.
+/// The effect of processing a request twice. An absent or unknown effect counts as [`RawEffect::SingleShot`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RawEffect {
-    /// None: the request is safe.
+    /// A repeat has no effect: the request is safe.
     Free,
-    /// None within the group and the window of the idempotency key.
+    /// A repeat has no effect within the group and the window of the idempotency key: the request is
+    /// idempotent.
     Guarded,
-    /// The request takes effect again.
+    /// A repeat takes effect again: the request is unsafe.
     #[default]
     #[serde(other)]
     SingleShot,
 }
 
-/// The backends that share idempotency keys. An absent or unknown group counts as the narrowest group.
+/// The backends that share idempotency keys. An absent or unknown group counts as the smallest group,
+/// [`RawGroup::Cell`].
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RawGroup {
@@ -131,8 +133,8 @@
     Cell,
 }
 
-/// The costs that count against the result of a balancer, as fractions of the priority weight of an
-/// average request.
+/// The costs of connections and of attempts that cross zones, as fractions of the priority weight of an
+/// average request. The costs count against the result of a balancer.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct RawCosts {
@@ -144,28 +146,30 @@
     pub handshake: f64,
 }
 
-/// A tenant, from whom requests come.
+/// A tenant, which is a source of requests with its own quota.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub struct RawTenant {
-    /// Name of the tenant, by which requests refer to the tenant.
+    /// Name by which requests refer to the tenant.
     pub name: String,
-    /// Quota in requests per second, over all balancers of the tier.
+    /// Quota in requests per second, over all balancers of the tier; no limit if absent.
     pub quota_per_s: Option<f64>,
 }
 
-/// The way in which changes of the endpoint list are received.
+/// The method by which a balancer receives changes of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RawRegistryMode {
     /// Discovery pushes changes.
     #[default]
     Automatic,
-    /// The decision module polls the list: the module starts each watch, and a failed call ends the watch.
+    /// The balancer polls the list. The balancer starts each watch, and a failed call to discovery ends the
+    /// watch.
     Subscribe,
 }
 
-/// The figures of the rules between balancers, discovery and backends. All times are in seconds.
+/// The time limits, fractions and multiples of the rules between balancers, discovery and backends. All times
+/// are in seconds.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct RawRules {
@@ -175,19 +179,22 @@
     pub cold: Option<f64>,
     /// Capacity of a backend at its start, as a fraction of its full capacity.
     pub cold_share: Option<f64>,
-    /// Time from the notification that a backend is draining or gone, after which no request is sent there.
+    /// Time from the notification that a backend is draining or removed, during which requests may still be
+    /// sent to the backend.
     pub drain_grace: Option<f64>,
-    /// Multiple of its present capacity beyond which a backend in slow start is overloaded.
+    /// Multiple of its present capacity above which a backend in slow start is overloaded.
     pub fall_multiple: Option<f64>,
-    /// Time for which a backend in slow start has to be sent too much to be overloaded.
+    /// Time for which a backend in slow start must be sent more than the overload multiple before it is
+    /// overloaded.
     pub tip_after: Option<f64>,
-    /// Rest of an ordering key after an attempt that may still be running.
+    /// Time for which no request of an ordering key is dispatched after an attempt of the key that may
+    /// still be running.
     pub settle_after_doubt: Option<f64>,
-    /// Longest time until idle connections to a draining backend are closed; no limit if absent.
+    /// Time within which idle connections to a draining backend must be closed; no limit if absent.
     pub release_within: Option<f64>,
 }
 
-/// The way in which load reports are received.
+/// The method by which a balancer receives load reports.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct RawStats {
@@ -197,7 +204,7 @@
 }
 
 impl RawStats {
-    /// Value of `how` where load reports come with health checks only.
+    /// Value of `how` that states that load reports come with health checks only.
     pub const ON_HEALTH_CHECKS: &str = "on_probe";
 
     /// Returns whether load reports come with health checks only.
--- a/crates/balancer-settings/src/translation.rs
+++ b/crates/balancer-settings/src/translation.rs
@@ -1,4 +1,4 @@
-//! The translation of raw settings into the settings of the decision module.
+//! The translation of [`RawSettings`] into [`Settings`].
 
 use crate::defaults;
 use crate::raw::{RawClass, RawEffect, RawGroup, RawRegistryMode, RawSettings, RawTenant};
@@ -6,7 +6,7 @@
 use std::fmt::Display;
 use thiserror::Error;
 
-/// The range of a valid quantity, as error texts state this range.
+/// Description of a valid quantity in error messages.
 pub const VALID_QUANTITY: &str = "a number not below 0";
 
 /// A quantity that is negative or not finite.
@@ -25,18 +25,20 @@
     value.is_finite() && value >= 0.0
 }
 
+/// Returns `value` if it is valid, or an error that states `path`.
 fn validate_quantity(path: impl Display, value: f64) -> Result<f64, InvalidQuantity> {
     if is_valid_quantity(value) { Ok(value) } else { Err(InvalidQuantity { path: path.to_string(), value }) }
 }
 
 impl RawSettings {
-    /// Translates the settings for a balancer in this zone, which the caller has numbered as in its
-    /// endpoint lists. Settings that are absent have their [`defaults`].
+    /// Translates the settings of a balancer in `zone`. The caller must use the same zone ids in endpoint
+    /// lists. Absent settings have the values of [`defaults`].
     ///
     /// # Errors
     ///
-    /// [`InvalidQuantity`] if a latency objective, a deadline or the window of an idempotent class is
-    /// negative or not finite. Other quantities are not checked: a proxy that starts accepts them.
+    /// Returns [`InvalidQuantity`] if a latency objective, a deadline or the window of an idempotent class
+    /// is negative or not finite. Other quantities are not checked, because the proxy accepts any value of
+    /// them at startup.
     pub fn into_settings(self, zone: ZoneId) -> Result<Settings, InvalidQuantity> {
         let Self { caps, costs, rules, .. } = self;
         let classes = self.classes.into_iter().enumerate();
@@ -77,10 +79,11 @@
 }
 
 impl RawClass {
-    /// Translates the class at `index` of the list.
+    /// Translates the class at `index` in the list of classes.
     fn into_class(self, index: usize) -> Result<RequestClass, InvalidQuantity> {
-        let seconds = |key: &str, value: f64| validate_quantity(format_args!("classes[{index}].{key}"), value);
-        // A class with only one of latency objective and deadline has the same value for the other.
+        let seconds =
+            |key: &str, value: f64| validate_quantity(format_args!("classes[{index}].{key}"), value);
+        // If a class has only a latency objective or only a deadline, its value is used for both.
         let max_timeout = self.hard_limit.or(self.on_time).unwrap_or(defaults::MAX_TIMEOUT);
         Ok(RequestClass {
             latency_objective: seconds("on-time", self.on_time.unwrap_or(max_timeout))?,
--- a/crates/balancer-settings/tests/translation.rs
+++ b/crates/balancer-settings/tests/translation.rs
@@ -8,7 +8,7 @@
 /// Index of the zone of the balancer in these tests.
 const ZONE: ZoneId = ZoneId(3);
 
-/// Settings in which every key has a value unlike its default.
+/// Returns settings in which every key has a value other than its default.
 fn complete_settings() -> Value {
     json!({
         "caps": {"cancel": true, "connect-timeout": 0.5, "idle-close": 8.0, "max-attempts": 6, "max-open": 70,
@@ -25,7 +25,7 @@
     })
 }
 
-/// The translation of [`complete_settings`].
+/// Returns the expected translation of [`complete_settings`].
 fn complete_translation() -> Settings {
     Settings {
         classes: vec![RequestClass {
@@ -67,7 +67,8 @@
     raw.into_settings(ZONE).unwrap()
 }
 
-/// The values of one key, as the parts of its path lead to them: all elements of a list, or one value.
+/// Returns the paths of all keys in `value`, each with `prefix`. The entries of a list of objects share the
+/// prefix `prefix[]`.
 fn key_paths(prefix: &str, value: &Value) -> Vec<String> {
     let join = |separator: &str, key: &str| format!("{prefix}{separator}{key}");
     match value {
@@ -115,7 +116,7 @@
 
     let expected = Settings {
         zone: ZONE,
-        // What the settings do not permit is not permitted.
+        // Absent permissions are denied.
         cancellation_allowed: false,
         hedging_allowed: false,
         ..Settings::default()
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn a_latency_objective_or_a_deadline_alone_is_both() {
+fn a_class_with_only_a_latency_objective_or_a_deadline_uses_it_for_both() {
     let translated = translate(&json!({"classes": [
         {"name": "a", "on-time": 0.25},
         {"name": "b", "hard-limit": 4.0},
