--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Counts an arriving request, and returns its rank among the arriving requests.
+    /// Counts a request, and returns its rank among the arriving requests.
     fn record_arrival(&mut self, request: &Request) -> Rank {
         let Request { class, tenant, .. } = *request;
         let quota = self.quotas.status(tenant, self.now);
@@ -86,8 +86,8 @@
         self.dispatch_next(ordering_key, actions);
     }
 
-    /// Dispatches the next queued call of an ordering key. If the key rests after an attempt that may still
-    /// be running, sets a timer for the end of the rest instead.
+    /// Dispatches the next queued call of an ordering key. While the key is blocked after an attempt that
+    /// may still be running, sets a timer for the end of that time instead.
     pub(super) fn dispatch_next(&mut self, ordering_key: u64, actions: &mut Vec<Action>) {
         let next = self.ordered_keys.next(ordering_key);
         let Some(next) = next.filter(|next| self.calls[next.key].is_queued()) else { return };
--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -22,7 +22,7 @@
 }
 
 impl Balancer {
-    /// Returns the restrictions on the next attempt of a call, or `None` if the call must not be sent.
+    /// Returns the bounds of the next attempt of a call, or None if the call must not be sent.
     pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<Permission> {
         attempts::next_attempt(&self.calls[key], self.now, self.settings.quantum)
     }
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -22,12 +22,12 @@
                 self.observe_outcome(index, key, &ended);
             }
         }
-        // An attempt in flight blocks its ordering key, even if its call has ended.
+        // An attempt of an ended call may have blocked its ordering key.
         let orphan_key = self.ordered_keys.settle_orphan(ended.id, ended.attempt);
         let ordering_key = key.map_or(orphan_key, |key| self.calls[key].ordering_key());
         if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
-            // Clocks are rounded to the quantum. The additional quantum ensures that the key rests for the
-            // full duration.
+            // Clocks are rounded to the quantum. The additional quantum ensures that the key is blocked
+            // for the full duration.
             let until = self.now + self.settings.key_rest_duration + self.settings.quantum;
             self.ordered_keys.rest(ordering_key, until);
         }
@@ -90,7 +90,7 @@
             return self.finish(key, Some(ended.attempt), actions);
         }
         if self.calls[key].has_attempt_in_flight() {
-            return; // a hedged attempt may still be answered
+            return; // another attempt may still be answered
         }
         if matches!(ended.outcome, Outcome::Rejected | Outcome::NoConnection) {
             self.calls.record_lack_of_capacity(key);
