--- a/crates/balancer/src/support/hash.rs
+++ b/crates/balancer/src/support/hash.rs
@@ -2,8 +2,8 @@
 
 use crate::BackendId;
 
-/// The increment of SplitMix64: 2^64 divided by the golden ratio.
-const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The golden gamma, which is the increment of SplitMix64: 2^64 divided by the golden ratio.
+const GOLDEN_GAMMA: u64 = 0x9e37_79b9_7f4a_7c15;
 /// An odd factor that gives the draws from each range a different seed.
 const RANGE_MULTIPLIER: u64 = 0xd1b5_4a32_d192_ed03;
 
@@ -44,7 +44,7 @@
 
 /// Returns a seed that is unique to the pair of backend id and round.
 fn seed_in_round(id: BackendId, round: u64) -> u64 {
-    (u64::from(id.0) << 24 ^ round).wrapping_mul(GOLDEN_RATIO)
+    (u64::from(id.0) << 24 ^ round).wrapping_mul(GOLDEN_GAMMA)
 }
 
 /// Returns a hash in which each bit depends on all bits of the argument: the finalizer of SplitMix64.
