--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -12,13 +12,13 @@
 use crate::support::BackendIndex;
 use rand::Rng;
 
-/// The conclusion from the silence of a backend for an attempt in flight.
+/// The state of an attempt in flight that its backend has not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Silence {
-    /// The attempt may still be answered, and has taken as long as it has waited so far.
+enum UnansweredAttempt {
+    /// The attempt may still be answered. Its latency is at least the wait so far.
     Waiting,
-    /// The attempt has failed, as the time of its call is up.
-    Failed,
+    /// The attempt has failed, because the deadline of its call has passed.
+    TimedOut,
 }
 
 impl Balancer {
@@ -27,8 +27,8 @@
         attempts::next_attempt(&self.calls[key], self.now, self.settings.quantum)
     }
 
-    /// Sends a call, the first time or again, if an attempt is permitted and a backend can be found.
-    /// Returns whether an attempt was sent.
+    /// Sends the next attempt of a call, if an attempt is permitted and a backend is available. Returns
+    /// whether an attempt was sent.
     pub(super) fn send(&mut self, key: CallKey, actions: &mut Vec<Action>) -> bool {
         let Some(Permission { scope, write_deadline }) = self.permitted_attempt(key) else { return false };
         let Some(index) = self.place(key, scope) else { return false };
@@ -69,7 +69,8 @@
         Some(backend)
     }
 
-    /// Requests a health check, if one is due after a send and the settings ask for load reports by them.
+    /// Requests a health check, if one is due after a send and the settings require health checks for load
+    /// reports.
     fn schedule_health_check(&mut self, actions: &mut Vec<Action>) {
         let due = self.backends.next_health_check();
         if let Some(backend) = due.filter(|_| self.settings.health_checks_for_load_reports) {
@@ -77,27 +78,28 @@
         }
     }
 
-    /// Sets the next doubling timer of a call, if there is one.
+    /// Sets the next retry timer of a call, if the call has a further one.
     pub(super) fn set_retry_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         if let Some(at) = self.calls[key].schedule_retry_timer(&mut self.random) {
             actions.push(Action::SetTimer { at, token: Timer::Retry(key).into() });
         }
     }
 
-    /// Retries a call whose doubling timer has fired with the present probability, if an attempt is
+    /// Retries a call whose retry timer has fired, with the present retry probability and if an attempt is
     /// permitted.
     ///
-    /// A backend that has answered other calls since is alive, and the call merely long: a hedged attempt
-    /// would double the work of the longest calls, which overloads a busy fleet. That holds for one
-    /// timer. A call that is in flight for 3 T1 may never be answered, as its connection may stand still,
-    /// or its backend may have fallen silent since.
+    /// When the first timer fires and the backend has answered other calls since the send, the backend
+    /// works and the call merely takes long. Such a call is not retried: hedged attempts would double the
+    /// work of the longest calls, and overload a busy fleet. When the second timer fires, 3 T1 after the
+    /// dispatch, the call may be retried in any case: its connection may be stalled, or its backend may
+    /// have stopped responding in the meantime.
     pub(super) fn on_retry_timer(&mut self, key: CallKey, actions: &mut Vec<Action>) {
         self.calls[key].record_retry_timer_firing();
         self.set_retry_timer(key, actions);
-        let is_alive = self.observe_silence(key, Silence::Waiting);
-        let is_merely_long = is_alive && self.calls[key].retry_timer().has_fired_once();
+        let backend_responds = self.record_unanswered_attempts(key, UnansweredAttempt::Waiting);
+        let skips_first_retry = backend_responds && self.calls[key].retry_timer().has_fired_once();
         let probability = self.retry_probability(key);
-        if !is_merely_long
+        if !skips_first_retry
             && self.permitted_attempt(key).is_some()
             && self.random.random::<f64>() < probability
         {
@@ -111,9 +113,9 @@
 
     /// Returns the present probability of a retry.
     ///
-    /// The overload level lowers the probability of hedged attempts, which cost work twice, and of
-    /// retries that busy backends rejected. A call that got no connection has cost no work, and counts
-    /// among the admitted calls already.
+    /// The overload level lowers the probability of hedged attempts, which double the work of a request,
+    /// and of retries after a rejection by a busy backend. The overload level does not apply to a call that
+    /// got no connection: the call has caused no work, and has been admitted already.
     fn retry_probability(&mut self, key: CallKey) -> f64 {
         let has_reached_no_backend = self.calls[key].has_reached_no_backend();
         let overload_level = if has_reached_no_backend { 0.0 } else { self.overload_level() };
@@ -122,17 +124,18 @@
         retry_probability(t1, self.calls.unanswered(), sends_per_second, overload_level)
     }
 
-    /// Fails a call whose time is up. The time-out of its attempt finds the call gone, so that a backend
-    /// which hangs has to be noticed here.
+    /// Ends a call at its deadline. The failure of a backend that hangs is recorded here, because the call no
+    /// longer exists when the timeout of its attempt is reported.
     pub(super) fn on_deadline(&mut self, key: CallKey, actions: &mut Vec<Action>) {
-        self.observe_silence(key, Silence::Failed);
+        self.record_unanswered_attempts(key, UnansweredAttempt::TimedOut);
         self.finish_unserved(key, actions);
     }
 
-    /// Records the latency of the attempts in flight at backends that have answered nothing since the
-    /// sends. Returns whether another backend of the call has answered since, and so is alive.
-    fn observe_silence(&mut self, key: CallKey, silence: Silence) -> bool {
-        let mut is_alive = false;
+    /// Records the wait of each attempt in flight of a call, as a latency or as a failure depending on
+    /// `state`. Skips an attempt whose backend has responded to another call since the send, and returns
+    /// whether there is such an attempt.
+    fn record_unanswered_attempts(&mut self, key: CallKey, state: UnansweredAttempt) -> bool {
+        let mut backend_responds = false;
         let call = &self.calls[key];
         let expected = self.traffic.expected_latency(call.current_class());
         let outliers = self.backends.outliers_mut();
@@ -140,14 +143,14 @@
             let Attempt { backend, sent_at, .. } = *attempt;
             let waited: Time = self.now - sent_at;
             if outliers.has_responded_since(backend, sent_at) {
-                is_alive = true;
+                backend_responds = true;
                 continue;
             }
-            match silence {
-                Silence::Waiting => outliers.record_wait(backend, waited, expected, self.now),
-                Silence::Failed => outliers.record_failure(backend, waited, expected, self.now),
+            match state {
+                UnansweredAttempt::Waiting => outliers.record_wait(backend, waited, expected, self.now),
+                UnansweredAttempt::TimedOut => outliers.record_failure(backend, waited, expected, self.now),
             }
         }
-        is_alive
+        backend_responds
     }
 }
