--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -1,8 +1,8 @@
-//! Admission: requests are counted, ranked by their priority for their work, and rejected where a
-//! response would come too late. Under overload the entry tier lets requests of low rank wait, and
-//! rejects them if the overload lasts.
+//! Admission control: counts requests, computes their percentile rank by priority per unit of work, and
+//! rejects a request whose response would come too late. Under overload, the entry tier queues requests of
+//! low rank and rejects them if the overload lasts.
 
-use super::admission_queue::{AdmissionQueue, Rank};
+use super::admission_queue::{AdmissionQueue, PercentileRank};
 use super::quotas::QuotaStatus;
 use super::traffic::Traffic;
 use crate::interface::{ClassIndex, Request, Settings, Time};
@@ -10,18 +10,19 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// The least time left of a call at its dispatch, as a fraction of the expected latency. With less, the
-/// work of a backend would be given up half done.
+/// The least time left for which a call is dispatched, as a fraction of the expected latency. With less
+/// time left, the deadline would pass while a backend still processes the request, and the work would be
+/// wasted.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.6;
-/// The longest wait for admission, as a fraction of the timeout. Where few calls are in flight, an excess
-/// comes and goes within a few responses. Where the overload lasts, the wait of a request that is
-/// rejected in the end was for nothing, so that the fraction is small.
-const MAX_WAIT_FRACTION: f64 = 0.25;
-/// The clock quanta before the client's deadline by which a response must be out, as timers fire once a
-/// quantum.
-const RESPONSE_QUANTA: f64 = 2.0;
-
-/// The rates at which the requests of one class arrive.
+/// The longest wait for admission, as a fraction of the timeout. A short wait is enough where few calls are
+/// in flight, because their excess ends within a few responses. The fraction is small because, in a lasting
+/// overload, a request that is rejected in the end has waited in vain.
+const MAX_ADMISSION_WAIT_FRACTION: f64 = 0.25;
+/// The margin between the latest response and the client's deadline, in clock ticks. Timers fire only once
+/// per tick.
+const RESPONSE_MARGIN_CLOCK_TICKS: f64 = 2.0;
+
+/// The arrival rates of the requests of one class, by quota status.
 #[derive(Clone, Copy, Debug)]
 struct ArrivalRates {
     within_quota: DecayingRate,
@@ -49,31 +50,33 @@
     }
 }
 
-/// The arriving requests, and the calls that wait for admission.
+/// The arrival rates of requests, and the queue of calls that wait for admission.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
-    /// By class.
+    /// The arrival rates of each class.
     arrivals: Vec<ArrivalRates>,
     queue: AdmissionQueue,
 }
 
 impl Admission {
-    /// Adopts new classes. `previous` has the index of each class in the settings before, if it was
-    /// there; such a class keeps its arrival rates.
-    pub fn apply_settings(&mut self, previous: &[Option<ClassIndex>], now: Time) {
-        let fresh = ArrivalRates::starting_at(now);
-        let arrivals = previous.iter().map(|class| class.map_or(fresh, |class| self.arrivals[class.0]));
+    /// Applies the classes of new settings. `previous_indices` has, for each new class, its index in the
+    /// previous settings, or `None` if the class is new. A class that existed before keeps its arrival
+    /// rates.
+    pub fn apply_settings(&mut self, previous_indices: &[Option<ClassIndex>], now: Time) {
+        let no_arrivals = ArrivalRates::starting_at(now);
+        let arrivals =
+            previous_indices.iter().map(|class| class.map_or(no_arrivals, |class| self.arrivals[class.0]));
         self.arrivals = arrivals.collect();
     }
 
-    /// Counts a request of a class.
+    /// Records the arrival of a request of a class.
     pub fn record_arrival(&mut self, class: ClassIndex, quota: QuotaStatus, now: Time, time_constant: Time) {
         self.arrivals[class.0].get_mut(quota).record(now, time_constant);
     }
 
-    /// Returns the rank of a request of a class. Among requests of equal priority the rank is drawn at
-    /// random.
-    pub fn rank(
+    /// Returns the percentile rank of a request of a class. Ties between requests of equal priority are
+    /// broken at random.
+    pub fn percentile_rank(
         &self,
         class: ClassIndex,
         quota: QuotaStatus,
@@ -81,41 +84,41 @@
         settings: &Settings,
         traffic: &Traffic,
         random: &mut SmallRng,
-    ) -> Rank {
-        let own = priority_per_work(class, quota, settings, traffic);
-        let mut below = 0.0;
-        let mut equal = 0.0;
-        let mut all = 0.0;
+    ) -> PercentileRank {
+        let own_priority = priority_per_work(class, quota, settings, traffic);
+        let mut lower_rate = 0.0;
+        let mut equal_rate = 0.0;
+        let mut total_rate = 0.0;
         for (other_class, arrivals) in self.arrivals.iter().enumerate() {
             let other_class = ClassIndex(other_class);
             for other_quota in [QuotaStatus::Within, QuotaStatus::Exceeded] {
-                // A copy, so that the recorded rate decays at arrivals only.
+                // The rate is decayed in a copy, because the recorded rate decays only at arrivals.
                 let mut rate = arrivals.get(other_quota);
                 rate.decay(now, traffic.time_constant());
                 let priority = priority_per_work(other_class, other_quota, settings, traffic);
-                all += rate.per_second();
-                if priority < own {
-                    below += rate.per_second();
-                } else if priority == own {
-                    equal += rate.per_second();
+                total_rate += rate.per_second();
+                if priority < own_priority {
+                    lower_rate += rate.per_second();
+                } else if priority == own_priority {
+                    equal_rate += rate.per_second();
                 }
             }
         }
-        Rank((below + equal * random.random::<f64>()) / all.max(f64::MIN_POSITIVE))
+        PercentileRank((lower_rate + equal_rate * random.random::<f64>()) / total_rate.max(f64::MIN_POSITIVE))
     }
 
-    /// Returns the calls that wait for admission.
+    /// Returns the queue of calls that wait for admission.
     pub fn queue(&self) -> &AdmissionQueue {
         &self.queue
     }
 
-    /// Returns the calls that wait for admission.
+    /// Returns the mutable queue of calls that wait for admission.
     pub fn queue_mut(&mut self) -> &mut AdmissionQueue {
         &mut self.queue
     }
 }
 
-/// Returns the priority weight of a request over the work that the request takes a backend.
+/// Returns the priority weight of a request divided by the expected work of a backend for the request.
 fn priority_per_work(class: ClassIndex, quota: QuotaStatus, settings: &Settings, traffic: &Traffic) -> f64 {
     let quota_weight = match quota {
         QuotaStatus::Within => 1.0,
@@ -125,26 +128,27 @@
     quota_weight * settings.class(class).priority_weight / work
 }
 
-/// Returns the time in which a response to a request is of use, in seconds. A response must be out before
-/// the client gives up. Where a late response is worth nothing, a call that waits for one only keeps
-/// backends busy.
-pub(super) fn useful_timeout(request: &Request, settings: &Settings) -> Time {
+/// Returns the time within which a response to a request is useful, in seconds. A response must be sent
+/// before the client's deadline. If a response after the latency objective has no priority weight, the
+/// latency objective is the limit, because a call that waits longer only keeps backends busy.
+pub(super) fn effective_timeout(request: &Request, settings: &Settings) -> Time {
     let class = settings.class(request.class);
-    let timeout = request.timeout - RESPONSE_QUANTA * settings.quantum;
+    let timeout = request.timeout - RESPONSE_MARGIN_CLOCK_TICKS * settings.quantum;
     if class.late_priority_weight <= 0.0 { timeout.min(class.latency_objective) } else { timeout }
 }
 
-/// Returns the least time left with which a call of a class is dispatched, in seconds.
+/// Returns the least time left for which a call of a class is dispatched, in seconds.
 pub(super) fn min_time_left(class: ClassIndex, traffic: &Traffic) -> Time {
     MIN_TIME_LEFT_FRACTION * traffic.expected_latency(class)
 }
 
-/// Returns the longest wait of a call with this timeout for its admission, in seconds.
-pub(super) fn max_wait(timeout: Time) -> Time {
-    MAX_WAIT_FRACTION * timeout
+/// Returns the longest wait for admission of a call with this timeout, in seconds.
+pub(super) fn max_admission_wait(timeout: Time) -> Time {
+    MAX_ADMISSION_WAIT_FRACTION * timeout
 }
 
-/// Returns the wait that a rejection asks of the client, in seconds, where clients honour one.
+/// Returns the delay before a retry that a rejection asks of the client, in seconds. `None` where the
+/// settings set no such delay, as clients do not honour one.
 pub(super) fn retry_after(t1: Time, settings: &Settings) -> Option<Time> {
     let wait = t1.min(settings.max_retry_after);
     (wait > 0.0).then_some(wait)
--- a/crates/balancer/src/decisions/attempt_counts.rs
+++ b/crates/balancer/src/decisions/attempt_counts.rs
@@ -1,14 +1,14 @@
-//! The attempts of this balancer at each backend.
+//! The number of this balancer's attempts at each backend.
 
 use crate::support::{BackendIndex, BackendMap};
 
 /// The attempts at one backend.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptCount {
-    /// Attempts without an outcome whose request has been received completely.
+    /// The number of attempts without an outcome whose request the backend has received completely.
     in_flight: usize,
-    /// Attempts of unfinished calls, with or without an outcome.
-    referencing: usize,
+    /// The number of attempts of unfinished calls, with or without an outcome.
+    reference_count: usize,
 }
 
 /// The numbers of attempts by backend.
@@ -23,7 +23,7 @@
         self.counts.insert(index, AttemptCount::default());
     }
 
-    /// Returns the attempts in flight at a backend whose request has been received completely.
+    /// Returns the number of attempts in flight at a backend that has received their requests completely.
     pub fn in_flight(&self, index: BackendIndex) -> usize {
         self.counts[index].in_flight
     }
@@ -41,17 +41,17 @@
 
     /// Counts an attempt of an unfinished call.
     pub fn add_reference(&mut self, index: BackendIndex) {
-        self.counts[index].referencing += 1;
+        self.counts[index].reference_count += 1;
     }
 
-    /// Drops the count of an attempt whose call has finished.
+    /// Removes the count of an attempt whose call has finished.
     pub fn remove_reference(&mut self, index: BackendIndex) {
-        self.counts[index].referencing -= 1;
+        self.counts[index].reference_count -= 1;
     }
 
-    /// Returns whether an attempt in flight or of an unfinished call refers to a backend.
+    /// Returns whether a backend has an attempt in flight or an attempt of an unfinished call.
     pub fn is_referenced(&self, index: BackendIndex) -> bool {
-        let AttemptCount { in_flight, referencing } = self.counts[index];
-        in_flight > 0 || referencing > 0
+        let AttemptCount { in_flight, reference_count } = self.counts[index];
+        in_flight > 0 || reference_count > 0
     }
 }
--- a/crates/balancer/src/decisions/attempts.rs
+++ b/crates/balancer/src/decisions/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: whether a call may be sent, or sent again, by the effect of its class.
+//! Attempts: whether a call may be sent or sent again, according to the effect of its class.
 
 use super::calls::Call;
 use super::scope::Scope;
@@ -16,7 +16,7 @@
     pub zone: ZoneId,
     /// The time of the send, in seconds.
     pub sent_at: Time,
-    /// None while the attempt is in flight.
+    /// The outcome, or `None` while the attempt is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -32,33 +32,33 @@
     }
 }
 
-/// The bounds of a permitted attempt.
+/// The limits of an attempt that may be made.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Permission {
+pub(super) struct PermittedAttempt {
     /// The backends to which the attempt may be sent.
     pub scope: Scope,
     /// The time by which the request must have been written completely, in seconds.
     pub write_deadline: Time,
 }
 
-/// Returns the bounds of the next attempt of a call, or None if the call must not be sent at `now`.
-/// `quantum` is the resolution of clocks, in seconds. Every send is preceded by this check.
-pub(super) fn next_attempt(call: &Call, now: Time, quantum: Time) -> Option<Permission> {
+/// Returns the limits of the next attempt of a call, or `None` if the call must not be sent at `now`.
+/// `clock_resolution` is in seconds. This check precedes every send.
+pub(super) fn next_attempt(call: &Call, now: Time, clock_resolution: Time) -> Option<PermittedAttempt> {
     if !has_attempt_left(call, now) || !may_send_body(call) {
         return None;
     }
-    let unrestricted = Permission { scope: Scope::Anywhere, write_deadline: call.deadline() };
-    let Some(first) = call.attempts().iter().find(|attempt| attempt.may_have_run()) else {
+    let unrestricted = PermittedAttempt { scope: Scope::Anywhere, write_deadline: call.deadline() };
+    let Some(first_run) = call.attempts().iter().find(|attempt| attempt.may_have_run()) else {
         return Some(unrestricted);
     };
     match call.request_class().effect {
         Effect::Safe => Some(unrestricted),
         Effect::Unsafe => None,
         Effect::Idempotent { group, window } => {
-            // Clocks are rounded, so that the window counts as shorter by a quantum.
-            let write_deadline = call.deadline().min(first.sent_at + window - quantum);
-            let scope = idempotency_scope(group, first);
-            (now < write_deadline).then_some(Permission { scope, write_deadline })
+            // Clocks are rounded, so the window is shortened by the resolution of clocks.
+            let write_deadline = call.deadline().min(first_run.sent_at + window - clock_resolution);
+            let scope = idempotency_scope(group, first_run);
+            (now < write_deadline).then_some(PermittedAttempt { scope, write_deadline })
         }
     }
 }
@@ -67,23 +67,24 @@
     call.attempts().len() < call.settings().max_attempts && now < call.deadline()
 }
 
-/// Returns whether the body is still complete here, and need not be streamed to two backends at once.
+/// Returns whether the body can be sent in a new attempt: it must still be complete at this balancer, and
+/// must not be streamed to two backends at once.
 fn may_send_body(call: &Call) -> bool {
     let body = call.body();
     let may_hedge = call.settings().hedging_allowed && !body.is_streamed;
     !body.is_consumed && (may_hedge || !call.has_attempt_in_flight())
 }
 
-/// Returns the backends that recognise a repeat of the request whose `first` attempt may have run.
-fn idempotency_scope(group: IdempotencyGroup, first: &Attempt) -> Scope {
+/// Returns the backends that recognise a repeated request, given its first attempt that may have run.
+fn idempotency_scope(group: IdempotencyGroup, first_run: &Attempt) -> Scope {
     match group {
         IdempotencyGroup::All => Scope::Anywhere,
-        IdempotencyGroup::Zone => Scope::Zone(first.zone),
-        IdempotencyGroup::Cell => Scope::Cell(first.cell),
+        IdempotencyGroup::Zone => Scope::Zone(first_run.zone),
+        IdempotencyGroup::Cell => Scope::Cell(first_run.cell),
     }
 }
 
-/// Returns whether the client may send the request again without effects beyond those of one request.
+/// Returns whether the client may send the request again without effects beyond those of a single request.
 pub(super) fn is_safe_to_retry(call: &Call) -> bool {
     match call.request_class().effect {
         Effect::Safe | Effect::Idempotent { group: IdempotencyGroup::All, .. } => true,
--- a/crates/balancer/src/decisions/backends/mod.rs
+++ b/crates/balancer/src/decisions/backends/mod.rs
@@ -5,7 +5,7 @@
 use crate::decisions::attempt_counts::AttemptCounts;
 use crate::decisions::decision_context::DecisionContext;
 use crate::decisions::endpoint_table::{EndpointChange, EndpointTable};
-use crate::decisions::load_reports::{LoadReports, ReportingBackend};
+use crate::decisions::load_reports::{LoadReports, WarmUpState};
 use crate::decisions::maintenance::{Maintenance, PriorUse};
 use crate::decisions::outlier_detection::OutlierDetection;
 use crate::decisions::slow_start::{SlowStart, WarmRate};
@@ -32,7 +32,7 @@
     pub fn apply_settings(&mut self, old: &Settings, new: &Settings, traffic: &Traffic, now: Time) {
         self.outliers.set_rate_time_constant(traffic.time_constant());
         self.slow_start.apply_settings(new);
-        if !subset::assign_alike(old, new) {
+        if !subset::is_assignment_unchanged(old, new) {
             self.assign_subset(new, traffic.observed_calls_in_flight(), now);
         }
     }
@@ -109,7 +109,7 @@
     /// Forgets the removed backends to which no attempt refers.
     pub fn forget_removed(&mut self) {
         let attempt_counts = &self.attempt_counts;
-        self.endpoints.forget_removed(|index| attempt_counts.is_referenced(index));
+        self.endpoints.prune_removed(|index| attempt_counts.is_referenced(index));
     }
 
     /// Returns whether a backend is listed as in service, and not in maintenance.
@@ -140,7 +140,7 @@
 
     /// Removes a backend from service. Returns whether it was in service as far as operators are concerned.
     pub fn begin_maintenance(&mut self, id: BackendId, now: Time) -> bool {
-        self.maintenance.forget_returned(now, self.slow_start.duration());
+        self.maintenance.prune_returned(now, self.slow_start.duration());
         if self.maintenance.contains(id) {
             return false;
         }
@@ -152,7 +152,7 @@
 
     /// Puts a backend back into service. Returns whether it was in maintenance.
     pub fn end_maintenance(&mut self, id: BackendId, now: Time) -> bool {
-        self.maintenance.forget_returned(now, self.slow_start.duration());
+        self.maintenance.prune_returned(now, self.slow_start.duration());
         if !self.maintenance.contains(id) {
             return false;
         }
@@ -195,7 +195,7 @@
     /// Returns the rate of requests that this balancer would send to a member, if the member were not in slow
     /// start and were in as many subsets as the others. The plans of all balancers then add up alike.
     fn warm_rate(&self, member: BackendIndex, context: &mut DecisionContext<'_>) -> WarmRate {
-        let memberships = self.subset.memberships_over_mean(member);
+        let memberships = self.subset.membership_ratio_to_mean(member);
         let successes = context.traffic.successes_per_second(context.now);
         if let Some(reported) = self.load_reports.requests_per_second_per_backend() {
             let balancers = self.balancers_per_backend(context.settings);
@@ -243,8 +243,8 @@
     pub fn record_load_report(&mut self, id: BackendId, report: Option<LoadReport>, now: Time) {
         let Some((index, report)) = self.index_of(id).zip(report) else { return };
         let state = match self.warming_up_since(index, now) {
-            Some(_) => ReportingBackend::WarmingUp,
-            None => ReportingBackend::Warm,
+            Some(_) => WarmUpState::WarmingUp,
+            None => WarmUpState::Warm,
         };
         self.load_reports.record(index, state, report);
     }
--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -1,8 +1,8 @@
 //! The order of decisions from the arrival of a request to its dispatch.
 
 use super::Balancer;
-use crate::decisions::admission::{max_wait, min_time_left, retry_after, useful_timeout};
-use crate::decisions::admission_queue::Rank;
+use crate::decisions::admission::{effective_timeout, max_admission_wait, min_time_left, retry_after};
+use crate::decisions::admission_queue::PercentileRank;
 use crate::decisions::calls::{Call, CallKey, CallStage};
 use crate::decisions::retransmission::first_interval;
 use crate::decisions::timer::Timer;
@@ -10,7 +10,7 @@
 
 impl Balancer {
     pub(super) fn on_request(&mut self, request: Request, actions: &mut Vec<Action>) {
-        let timeout = useful_timeout(&request, &self.settings);
+        let timeout = effective_timeout(&request, &self.settings);
         let rank = self.record_arrival(&request);
         let t1 = self.t1(request.class, timeout);
         let ordering_key = request.key.filter(|_| self.settings.class(request.class).ordered_by_key);
@@ -37,11 +37,18 @@
     }
 
     /// Counts a request, and returns its rank among the arriving requests.
-    fn record_arrival(&mut self, request: &Request) -> Rank {
+    fn record_arrival(&mut self, request: &Request) -> PercentileRank {
         let Request { class, tenant, .. } = *request;
         let quota = self.quotas.status(tenant, self.now);
         self.admission.record_arrival(class, quota, self.now, self.traffic.time_constant());
-        self.admission.rank(class, quota, self.now, &self.settings, &self.traffic, &mut self.random)
+        self.admission.percentile_rank(
+            class,
+            quota,
+            self.now,
+            &self.settings,
+            &self.traffic,
+            &mut self.random,
+        )
     }
 
     /// Returns the timeout in seconds up to which a request is rejected, as its response would come too
@@ -59,8 +66,8 @@
     /// Returns whether a request of this rank is admitted. Load is shed at the entry tier, where no work
     /// has been done yet: the overload level that lowers the probability of a retry is also the fraction
     /// of the requests that are not admitted, those of the lowest ranks.
-    fn admits(&mut self, rank: Rank) -> bool {
-        !self.settings.tier.is_entry() || rank >= Rank(self.overload_level())
+    fn admits(&mut self, rank: PercentileRank) -> bool {
+        !self.settings.tier.is_entry() || rank >= PercentileRank(self.overload_level())
     }
 
     /// Returns the rejection of a request that has caused no effect. A client that honours the wait retries
@@ -74,9 +81,9 @@
         actions.push(Action::SetTimer { at, token: Timer::Deadline(key).into() });
     }
 
-    fn queue_for_admission(&mut self, key: CallKey, rank: Rank, actions: &mut Vec<Action>) {
+    fn queue_for_admission(&mut self, key: CallKey, rank: PercentileRank, actions: &mut Vec<Action>) {
         self.admission.queue_mut().insert(rank, key);
-        let at = self.now + max_wait(self.calls[key].timeout());
+        let at = self.now + max_admission_wait(self.calls[key].timeout());
         actions.push(Action::SetTimer { at, token: Timer::QueueWait(key).into() });
     }
 
@@ -89,9 +96,9 @@
     pub(super) fn dispatch_next(&mut self, ordering_key: u64, actions: &mut Vec<Action>) {
         let next = self.ordered_keys.next(ordering_key);
         let Some(next) = next.filter(|next| self.calls[next.key].is_queued()) else { return };
-        if self.now < next.rests_until {
+        if self.now < next.blocked_until {
             let token = Timer::QueueWait(next.key).into();
-            return actions.push(Action::SetTimer { at: next.rests_until, token });
+            return actions.push(Action::SetTimer { at: next.blocked_until, token });
         }
         self.dispatch_queued(next.key, actions);
     }
@@ -103,9 +110,9 @@
     /// short wait avoids rejections by chance. Rejected clients mostly retry at once, and are rejected
     /// again.
     pub(super) fn admit_queued(&mut self, actions: &mut Vec<Action>) {
-        while let Some(best_rank) = self.admission.queue().best_rank()
-            && self.admits(best_rank)
-            && let Some(best) = self.admission.queue_mut().pop_best()
+        while let Some(highest_rank) = self.admission.queue().highest_rank()
+            && self.admits(highest_rank)
+            && let Some(best) = self.admission.queue_mut().pop_highest()
         {
             self.dispatch_queued(best, actions);
         }
--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -1,7 +1,7 @@
 //! The order of decisions when an attempt is made, and when a timer of a call fires.
 
 use super::Balancer;
-use crate::decisions::attempts::{self, Attempt, Permission};
+use crate::decisions::attempts::{self, Attempt, PermittedAttempt};
 use crate::decisions::calls::CallKey;
 use crate::decisions::decision_context::DecisionContext;
 use crate::decisions::placement::{Constraints, Placement, Placer};
@@ -23,14 +23,16 @@
 
 impl Balancer {
     /// Returns the bounds of the next attempt of a call, or None if the call must not be sent.
-    pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<Permission> {
+    pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<PermittedAttempt> {
         attempts::next_attempt(&self.calls[key], self.now, self.settings.quantum)
     }
 
     /// Sends a call, the first time or again, if an attempt is permitted and a backend can be found.
     /// Returns whether an attempt was sent.
     pub(super) fn send(&mut self, key: CallKey, actions: &mut Vec<Action>) -> bool {
-        let Some(Permission { scope, write_deadline }) = self.permitted_attempt(key) else { return false };
+        let Some(PermittedAttempt { scope, write_deadline }) = self.permitted_attempt(key) else {
+            return false;
+        };
         let Some(index) = self.place(key, scope) else { return false };
         if !self.calls[key].body().is_receiving {
             self.backends.record_request_received(index, self.now);
@@ -139,7 +141,7 @@
         for attempt in call.attempts().iter().filter(|attempt| attempt.is_in_flight()) {
             let Attempt { backend, sent_at, .. } = *attempt;
             let waited: Time = self.now - sent_at;
-            if outliers.has_responded_since(backend, sent_at) {
+            if outliers.has_succeeded_since(backend, sent_at) {
                 is_alive = true;
                 continue;
             }
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -23,12 +23,12 @@
             }
         }
         // An attempt of an ended call may have blocked its ordering key.
-        let orphan_key = self.ordered_keys.settle_orphan(ended.id, ended.attempt);
+        let orphan_key = self.ordered_keys.remove_orphan(ended.id, ended.attempt);
         let ordering_key = key.map_or(orphan_key, |key| self.calls[key].ordering_key());
         if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
             // Clocks are rounded, so that the rest counts as longer by a quantum.
             let until = self.now + self.settings.key_rest_duration + self.settings.quantum;
-            self.ordered_keys.rest(ordering_key, until);
+            self.ordered_keys.block_until(ordering_key, until);
         }
         match (key, orphan_key) {
             (Some(key), _) => self.on_outcome(key, &ended, actions),
@@ -66,7 +66,7 @@
     /// Records the latency of a successful attempt, in seconds. The duration of a streamed request
     /// depends on its client, and shows nothing of the backend.
     fn observe_success(&mut self, index: BackendIndex, key: CallKey, latency: Time) {
-        self.backends.outliers_mut().record_response(index, self.now);
+        self.backends.outliers_mut().record_success(index, self.now);
         self.traffic.record_success(self.now);
         let call = &self.calls[key];
         if call.body().is_streamed {
--- a/crates/balancer/src/decisions/endpoint_table.rs
+++ b/crates/balancer/src/decisions/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: the entry of each known backend in the endpoint list.
+//! The endpoint table: the entry of the endpoint list for each known backend.
 
 use crate::interface::{BackendId, Endpoint, Status};
 use crate::support::{BackendIndex, BackendMap};
@@ -7,11 +7,11 @@
 /// The change that an update of the endpoint list makes to the entry of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointChange {
-    /// The backend was not known. Its index may have been that of another backend before.
+    /// The backend was not known. Its index may have belonged to another backend before.
     Added,
-    /// The backend has been restarted, as its start time differs.
+    /// The backend has restarted: its start time differs from the previous entry.
     Restarted,
-    /// Another field may differ.
+    /// The start time is unchanged. Other fields may differ.
     Updated,
 }
 
@@ -24,14 +24,14 @@
     pub change: EndpointChange,
 }
 
-/// All known backends. A backend that has been removed from the list stays known while attempts refer to
-/// it, until [`EndpointTable::forget_removed`] drops its entry.
+/// All known backends. The entry of a backend that was removed from the endpoint list stays while attempts
+/// refer to the backend, until [`EndpointTable::prune_removed`] drops the entry.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     endpoints: BackendMap<Endpoint>,
     by_id: HashMap<BackendId, BackendIndex>,
-    /// The indices of forgotten backends, which are reused for new ones.
-    vacant: Vec<BackendIndex>,
+    /// The indices of dropped entries, to be reused for new backends.
+    free_indices: Vec<BackendIndex>,
 }
 
 impl EndpointTable {
@@ -50,12 +50,12 @@
         self.by_id.len()
     }
 
-    /// Returns all indices in ascending order, those of forgotten backends included.
+    /// Returns all indices in ascending order, including the indices of dropped entries.
     pub fn indices(&self) -> impl Iterator<Item = BackendIndex> + use<> {
         self.endpoints.indices()
     }
 
-    /// Returns the endpoints that the list names.
+    /// Returns the endpoints that the endpoint list contains.
     pub fn listed(&self) -> impl Iterator<Item = &Endpoint> {
         self.endpoints.values().filter(|endpoint| endpoint.status != Status::Removed)
     }
@@ -72,31 +72,32 @@
     }
 
     fn add(&mut self, endpoint: &Endpoint) -> UpsertedEndpoint {
-        let index = self.vacant.pop().unwrap_or(self.endpoints.next_index());
+        let index = self.free_indices.pop().unwrap_or(self.endpoints.next_index());
         self.by_id.insert(endpoint.id, index);
         self.endpoints.insert(index, endpoint.clone());
         UpsertedEndpoint { index, change: EndpointChange::Added }
     }
 
-    /// Marks all endpoints as removed. A complete list then marks those that it names as present.
+    /// Marks all endpoints as removed. Applying a complete list afterwards marks the endpoints in that list
+    /// as present again.
     pub fn mark_all_removed(&mut self) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.status = Status::Removed;
         }
     }
 
-    /// Forgets the removed backends for which `is_referenced` returns false. Where deployments replace all
-    /// backends again and again, the table would otherwise grow without bound.
-    pub fn forget_removed(&mut self, is_referenced: impl Fn(BackendIndex) -> bool) {
+    /// Drops the entries of removed backends for which `is_referenced` returns false. The table would
+    /// otherwise grow without bound where deployments replace all backends again and again.
+    pub fn prune_removed(&mut self, is_referenced: impl Fn(BackendIndex) -> bool) {
         for index in self.endpoints.indices() {
             let Endpoint { id, status, .. } = self.endpoints[index];
             if status != Status::Removed || is_referenced(index) {
                 continue;
             }
-            let is_known = self.by_id.get(&id) == Some(&index);
-            if is_known {
+            let has_entry = self.by_id.get(&id) == Some(&index);
+            if has_entry {
                 self.by_id.remove(&id);
-                self.vacant.push(index);
+                self.free_indices.push(index);
             }
         }
     }
--- a/crates/balancer/src/decisions/load_reports.rs
+++ b/crates/balancer/src/decisions/load_reports.rs
@@ -1,5 +1,5 @@
-//! Load reports: how long requests take each backend, how many requests the fleet serves, and the health
-//! checks that bring the reports where responses do not.
+//! Load reports: the service time of each backend, the request rate of the fleet, and the health checks
+//! that bring load reports where responses do not carry them.
 
 use crate::interface::{LoadReport, Time};
 use crate::support::{BackendIndex, BackendMap, SmoothedMean};
@@ -8,41 +8,41 @@
 const BACKEND_REPORT_WEIGHT: f64 = 0.3;
 /// The weight of a new report in the means over all backends.
 const FLEET_REPORT_WEIGHT: f64 = 0.02;
-/// The number of sends for each health check, where only health checks bring load reports.
+/// The number of sends between two health checks, where only health checks bring load reports.
 const SENDS_PER_HEALTH_CHECK: usize = 3;
 
-/// Whether the backend that reports is in slow start.
+/// Whether a backend that reports its load is in slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ReportingBackend {
+pub(super) enum WarmUpState {
     /// The backend has its full capacity.
     Warm,
-    /// The backend is in slow start, and serves fewer requests than its full capacity allows.
+    /// The backend is in slow start and serves fewer requests than at full capacity.
     WarmingUp,
 }
 
-/// The means of the load reports, by backend and over all backends.
+/// The means of the load reports, for each backend and over all backends.
 #[derive(Debug, Default)]
 pub(super) struct LoadReports {
     /// The service time of each backend, in seconds.
     service_times: BackendMap<SmoothedMean>,
     /// The mean service time of all backends, in seconds.
     fleet_service_time: SmoothedMean,
-    /// The mean number of requests per second that one warm backend serves.
+    /// The mean number of requests per second that a warm backend serves.
     fleet_request_rate: SmoothedMean,
     /// The number of attempts sent so far.
     sends: usize,
 }
 
 impl LoadReports {
-    /// Adds a backend that has not reported yet.
+    /// Adds a backend without reports.
     pub fn add_backend(&mut self, index: BackendIndex) {
         self.service_times.insert(index, SmoothedMean::default());
     }
 
-    /// Records the report of a backend. Values that are absent or not positive are skipped.
-    pub fn record(&mut self, index: BackendIndex, state: ReportingBackend, report: LoadReport) {
+    /// Records the load report of a backend. Values that are absent or not positive are skipped.
+    pub fn record(&mut self, index: BackendIndex, state: WarmUpState, report: LoadReport) {
         let rate = report.requests_per_second.filter(|rate| *rate > 0.0);
-        if let Some(rate) = rate.filter(|_| state == ReportingBackend::Warm) {
+        if let Some(rate) = rate.filter(|_| state == WarmUpState::Warm) {
             self.fleet_request_rate.update(rate, FLEET_REPORT_WEIGHT);
         }
         if let Some(service_time) = report.service_time.filter(|time| *time > 0.0) {
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Returns the service time of a backend over that of the fleet, or 1 if nothing has been reported.
+    /// Returns the ratio of the service time of a backend to the mean of the fleet, or 1 if either is
+    /// unknown.
     pub fn relative_service_time(&self, index: BackendIndex) -> f64 {
         let service_time: Option<Time> = self.service_times[index].get();
         let fleet_service_time: Option<Time> = self.fleet_service_time.get();
@@ -61,14 +62,14 @@
         }
     }
 
-    /// Returns the mean number of requests per second that a warm backend serves, from all balancers, if
-    /// backends report their rates.
+    /// Returns the mean number of requests per second that a warm backend serves for all balancers, or
+    /// `None` if no warm backend has reported its rate.
     pub fn requests_per_second_per_backend(&self) -> Option<f64> {
         self.fleet_request_rate.get()
     }
 
-    /// Counts a send. Returns the member whose health is to be checked, the next one in turn, if a health
-    /// check is due after this send.
+    /// Counts a send. Returns the member to check, in round-robin order, if a health check is due after
+    /// this send.
     pub fn count_send(&mut self, members: &[BackendIndex]) -> Option<BackendIndex> {
         self.sends += 1;
         if !self.sends.is_multiple_of(SENDS_PER_HEALTH_CHECK) || members.is_empty() {
--- a/crates/balancer/src/decisions/maintenance.rs
+++ b/crates/balancer/src/decisions/maintenance.rs
@@ -1,18 +1,18 @@
-//! Maintenance: backends that operators remove from service and put back.
+//! Maintenance: backends that operators remove from service and put back into service.
 
 use crate::interface::{BackendId, Time};
 use std::collections::HashMap;
 
-/// Whether this balancer sent calls to a backend before the maintenance of the backend began.
+/// Whether this balancer sent calls to a backend before the maintenance of that backend began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PriorUse {
-    /// The backend was a member of the subset, or was used recently in place of one.
+    /// The backend was a member of the subset, or received calls recently in place of a member.
     Used,
-    /// The balancer did not use the backend.
+    /// The balancer sent no recent calls to the backend, which was not a member.
     Unused,
 }
 
-/// The progress of one maintenance.
+/// The phase of the maintenance of a backend.
 #[derive(Clone, Copy, Debug)]
 enum Phase {
     /// The backend is out of service.
@@ -20,22 +20,22 @@
         /// The time at which the maintenance began, in seconds.
         since: Time,
     },
-    /// The backend may serve again.
+    /// The backend is back in service.
     Returned {
-        /// The time at which the backend counts as started, in seconds, as its restart may be listed late.
-        /// None if the endpoint list shows a start during the maintenance.
+        /// The assumed start time of the backend, in seconds, as the endpoint list may show the restart
+        /// late. `None` if the list shows a start during the maintenance.
         assumed_start: Option<Time>,
     },
 }
 
-/// The maintenance of one backend.
+/// The state of the maintenance of one backend.
 #[derive(Clone, Copy, Debug)]
 struct MaintenanceState {
     phase: Phase,
     prior_use: PriorUse,
 }
 
-/// The backends in maintenance, and the backends that have returned recently.
+/// The backends in maintenance and the backends that have returned recently.
 #[derive(Debug, Default)]
 pub(super) struct Maintenance {
     states: HashMap<BackendId, MaintenanceState>,
@@ -48,8 +48,8 @@
         state.is_some_and(|state| matches!(state.phase, Phase::InMaintenance { .. }))
     }
 
-    /// Returns the time at which a backend counts as started by its return, if the backend returned
-    /// recently and the endpoint list did not show its start then.
+    /// Returns the assumed start time of a backend that has returned recently, in seconds, or `None` if the
+    /// endpoint list showed its start when it returned.
     pub fn assumed_start(&self, backend: BackendId) -> Option<Time> {
         match self.states.get(&backend)?.phase {
             Phase::InMaintenance { .. } => None,
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Returns whether a backend that is in maintenance or has returned recently was in use before.
+    /// Returns whether this balancer used a backend before its maintenance, if the backend is in
+    /// maintenance or has returned recently.
     pub fn was_used(&self, backend: BackendId) -> bool {
         self.states.get(&backend).is_some_and(|state| state.prior_use == PriorUse::Used)
     }
@@ -68,8 +69,8 @@
         self.states.insert(backend, MaintenanceState { phase, prior_use });
     }
 
-    /// Records that the maintenance of a backend ends. The backend has been restarted in the meantime, and
-    /// counts as started now unless `listed_start` lies within the maintenance.
+    /// Records that the maintenance of a backend ends. The backend has been restarted during the
+    /// maintenance. Its assumed start time is `now`, unless `listed_start` lies within the maintenance.
     pub fn end(&mut self, backend: BackendId, now: Time, listed_start: Option<Time>) {
         let Some(state) = self.states.get_mut(&backend) else { return };
         let Phase::InMaintenance { since } = state.phase else { return };
@@ -78,8 +79,9 @@
         state.phase = Phase::Returned { assumed_start };
     }
 
-    /// Forgets the backends whose slow start after their return, of `slow_start_duration` seconds, is over.
-    pub fn forget_returned(&mut self, now: Time, slow_start_duration: Time) {
+    /// Drops the state of returned backends whose slow start of `slow_start_duration` seconds after their
+    /// return is over.
+    pub fn prune_returned(&mut self, now: Time, slow_start_duration: Time) {
         self.states.retain(|_, state| match state.phase {
             Phase::InMaintenance { .. } => true,
             Phase::Returned { assumed_start } => {
--- a/crates/balancer/src/decisions/mod.rs
+++ b/crates/balancer/src/decisions/mod.rs
@@ -1,10 +1,10 @@
-//! The decisions of one balancer: events with their times in, actions out, in the types of
+//! The decisions of one balancer: timestamped events go in, actions come out. The types of both are in
 //! [`crate::interface`].
 //!
-//! Each module has one concern, with its state in private fields and its tuning constants with their
-//! reasons. [`Balancer`] holds one of each, and its code says in which order they are asked. A request
-//! passes through them in this order: `quotas`, `admission`, `ordered_keys` where its class is ordered,
-//! then `attempts` and `placement` for each attempt, and `retransmission` while it is unanswered.
+//! Each module covers one concern and holds its state in private fields and its tuning constants with their
+//! reasons. [`Balancer`] has one instance of each concern and calls them in a fixed order. A request passes
+//! through `quotas` and `admission`, then `ordered_keys` if its class is ordered. Each attempt passes
+//! through `attempts` and `placement`; `retransmission` controls its retries while it is unanswered.
 
 mod admission;
 mod admission_queue;
--- a/crates/balancer/src/decisions/placement.rs
+++ b/crates/balancer/src/decisions/placement.rs
@@ -1,17 +1,19 @@
-//! Placement: the backend to which an attempt is sent.
+//! Placement: chooses the backend of an attempt by the power of two random choices. Of two candidates that
+//! are sampled at random, the one with less load gets the attempt.
 
 use super::backends::Backends;
 use super::decision_context::DecisionContext;
 use super::scope::Scope;
-use super::subset::{MIN_MEMBERS, is_cross_zone};
+use super::subset::{MIN_SUBSET_SIZE, incurs_cross_zone_cost};
 use crate::support::BackendIndex;
 use rand::Rng;
 
-/// The additional load that a backend in another zone counts as having, as a multiple of its own load,
-/// for each unit of the cost of crossing zones. That unit is the priority weight of an average request.
-const CROSS_ZONE_LOAD: f64 = 40.0;
-/// The fraction by which a load may exceed the mean and still count as equal: the error of rounding.
-const LOAD_TOLERANCE: f64 = f64::EPSILON * 16.0;
+/// The additional load of a backend in another zone, as a multiple of its own load, for each unit of the
+/// cost of crossing zones. One unit of cost is the priority weight of an average request.
+const CROSS_ZONE_LOAD_FACTOR: f64 = 40.0;
+/// The rounding error by which a load may exceed the mean and still count as equal, as a fraction of the
+/// mean.
+const LOAD_ROUNDING_TOLERANCE: f64 = f64::EPSILON * 16.0;
 
 /// The constraints on the backend of an attempt.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +35,7 @@
 pub(super) struct Placement {
     /// The backend to which the attempt is sent.
     pub backend: BackendIndex,
-    /// The other backend that was drawn, to which a retry is sent.
+    /// The sampled candidate that was not chosen, if there is one. A retry is sent to it.
     pub alternative: Option<BackendIndex>,
 }
 
@@ -41,13 +43,13 @@
 pub(super) struct Placer<'a, 'c> {
     /// The backends to choose from.
     pub backends: &'a mut Backends,
-    /// The state that the decision uses.
+    /// The state of the balancer that the decision uses.
     pub context: &'a mut DecisionContext<'c>,
 }
 
 impl Placer<'_, '_> {
-    /// Returns the alternative of an earlier attempt, if there is one that can be used; else the one with
-    /// less load of two backends that are drawn from the candidates. None if there is no candidate.
+    /// Returns the `alternative` of an earlier attempt if it is usable. Otherwise samples two candidates
+    /// and returns the one with less load. Returns `None` if there is no candidate.
     pub fn place(
         &mut self,
         alternative: Option<BackendIndex>,
@@ -58,10 +60,10 @@
         {
             return Some(Placement { backend, alternative: None });
         }
-        let mut pool = self.candidates(constraints);
-        self.drop_loaded(&mut pool);
-        let first = pool.swap_remove(self.draw_index(pool.len())?);
-        let Some(second) = self.draw_index(pool.len()).map(|index| pool[index]) else {
+        let mut candidates = self.candidates(constraints);
+        self.drop_above_mean_load(&mut candidates);
+        let first = candidates.swap_remove(self.sample_index(candidates.len())?);
+        let Some(second) = self.sample_index(candidates.len()).map(|index| candidates[index]) else {
             return Some(Placement { backend: first, alternative: None });
         };
         if self.load(second) < self.load(first) {
@@ -71,57 +73,61 @@
         }
     }
 
-    /// Returns the usable members, and other usable backends in place of members that have used up their
-    /// budget of slow start. Otherwise the requests that those members cannot take would all go to the
-    /// few warm members of this subset, and overload them. Where no member is usable, some other backends
-    /// are returned.
+    /// Returns the usable members. Other usable backends replace the members without budget in slow start;
+    /// otherwise, requests that these members cannot take would all go to the few warm members of this
+    /// subset and overload them. If no member is usable, returns a few other usable backends.
     fn candidates(&mut self, constraints: Constraints<'_>) -> Vec<BackendIndex> {
-        let mut pool = self.backends.subset().members().to_vec();
-        pool.retain(|index| constraints.permit(*index, self.backends));
-        let permitted_members = pool.len();
-        pool.retain(|index| self.is_usable(*index));
-        let wanted = if pool.is_empty() { 2 * MIN_MEMBERS } else { permitted_members };
-        if pool.len() < wanted {
-            self.add_others(&mut pool, wanted, constraints);
+        let mut candidates = self.backends.subset().members().to_vec();
+        candidates.retain(|index| constraints.permit(*index, self.backends));
+        let permitted_member_count = candidates.len();
+        candidates.retain(|index| self.is_usable(*index));
+        let target_count = if candidates.is_empty() { 2 * MIN_SUBSET_SIZE } else { permitted_member_count };
+        if candidates.len() < target_count {
+            self.add_non_members(&mut candidates, target_count, constraints);
         }
-        pool
+        candidates
     }
 
-    /// Draws usable backends outside the subset until the pool has `wanted` backends, as far as there are
-    /// any.
-    fn add_others(&mut self, pool: &mut Vec<BackendIndex>, wanted: usize, constraints: Constraints<'_>) {
+    /// Samples usable backends outside the subset until there are `target_count` candidates or no such
+    /// backend is left.
+    fn add_non_members(
+        &mut self,
+        candidates: &mut Vec<BackendIndex>,
+        target_count: usize,
+        constraints: Constraints<'_>,
+    ) {
         let subset = self.backends.subset();
-        let mut others = subset.in_service().to_vec();
-        others.retain(|index| constraints.permit(*index, self.backends) && !subset.contains(*index));
-        while pool.len() < wanted
-            && let Some(drawn) = self.draw_index(others.len())
+        let mut non_members = subset.in_service().to_vec();
+        non_members.retain(|index| constraints.permit(*index, self.backends) && !subset.contains(*index));
+        while candidates.len() < target_count
+            && let Some(sampled_index) = self.sample_index(non_members.len())
         {
-            let other = others.swap_remove(drawn);
-            if self.is_usable(other) {
-                pool.push(other);
+            let non_member = non_members.swap_remove(sampled_index);
+            if self.is_usable(non_member) {
+                candidates.push(non_member);
             }
         }
     }
 
-    /// Drops the backends with more than the mean load. A slow machine would be overloaded whenever both
-    /// backends that are drawn are slow.
-    fn drop_loaded(&self, pool: &mut Vec<BackendIndex>) {
-        let mean = pool.iter().map(|index| self.load(*index)).sum::<f64>() / pool.len() as f64;
-        pool.retain(|index| self.load(*index) <= mean * (1.0 + LOAD_TOLERANCE));
+    /// Drops the candidates whose load exceeds the mean. Otherwise a slow machine would be overloaded
+    /// whenever both sampled candidates are slow.
+    fn drop_above_mean_load(&self, candidates: &mut Vec<BackendIndex>) {
+        let mean = candidates.iter().map(|index| self.load(*index)).sum::<f64>() / candidates.len() as f64;
+        candidates.retain(|index| self.load(*index) <= mean * (1.0 + LOAD_ROUNDING_TOLERANCE));
     }
 
-    /// Returns the load that one more call would put on a backend: this balancer's calls in flight times
-    /// the backend's service time relative to the fleet's, per weight.
+    /// Returns the load of a backend with one more call: the number of this balancer's calls in flight plus
+    /// one, times the backend's relative service time, divided by its weight.
     ///
-    /// A backend that fails fast or hangs looks idle by that count, so that its latency penalty
-    /// multiplies the load.
+    /// The latency penalty multiplies the load, because a backend that fails fast or hangs looks idle by
+    /// the number of calls. The additional load of a backend in another zone multiplies the load as well.
     fn load(&self, index: BackendIndex) -> f64 {
         let DecisionContext { now, settings, traffic, .. } = &*self.context;
         let endpoint = self.backends.endpoint(index);
         let in_flight = self.backends.in_flight(index);
         let expected_latency = traffic.overall_expected_latency();
-        let crossing = if is_cross_zone(endpoint, settings) {
-            1.0 + CROSS_ZONE_LOAD * settings.cross_zone_cost
+        let cross_zone_factor = if incurs_cross_zone_cost(endpoint, settings) {
+            1.0 + CROSS_ZONE_LOAD_FACTOR * settings.cross_zone_cost
         } else {
             1.0
         };
@@ -129,15 +135,15 @@
         let service_time = self.backends.relative_service_time(index);
         let penalty = self.backends.outliers().latency_penalty(index, in_flight, expected_latency, *now);
         let weight = endpoint.weight.max(f64::MIN_POSITIVE);
-        crossing * calls * service_time * penalty / weight
+        cross_zone_factor * calls * service_time * penalty / weight
     }
 
     fn is_usable(&mut self, index: BackendIndex) -> bool {
         self.backends.is_usable(index, self.context)
     }
 
-    /// Draws a random index below `len`, or returns None without a draw if there is none.
-    fn draw_index(&mut self, len: usize) -> Option<usize> {
+    /// Returns a random index below `len`, or `None` without using the random generator if `len` is 0.
+    fn sample_index(&mut self, len: usize) -> Option<usize> {
         (len > 0).then(|| self.context.random.random_range(0..len))
     }
 }
--- a/crates/balancer/src/decisions/quotas.rs
+++ b/crates/balancer/src/decisions/quotas.rs
@@ -1,33 +1,33 @@
-//! Quotas: whether a request lies within the quota of its tenant.
+//! Quotas: whether a request is within the quota of its tenant.
 
 use crate::interface::{Settings, Tenant, TenantIndex, Time};
 use crate::support::TokenBucket;
 
-/// The time for which the unused quota of a tenant is kept, in seconds. Quotas are given per second.
+/// The time for which a tenant accumulates unused quota, in seconds. Quotas are given per second.
 const BURST_SECONDS: Time = 1.0;
 
-/// Whether a request lies within the quota of its tenant.
+/// Whether a request is within the quota of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QuotaStatus {
     /// The tenant has quota left, or the request has no tenant.
     Within,
-    /// Less than one request is left of the quota.
+    /// The tenant has less than one request left in its quota.
     Exceeded,
 }
 
-/// The share of one balancer in the quota of a tenant.
+/// The share of this balancer in the quota of a tenant.
 #[derive(Clone, Copy, Debug)]
 struct Quota {
-    /// The rate at which quota becomes available, in requests per second.
+    /// The refill rate, in requests per second.
     requests_per_second: f64,
-    /// The greatest number of requests for which unused quota is kept.
+    /// The limit of unused quota, in requests.
     burst: f64,
-    /// The quota that is left, in requests.
+    /// The remaining quota, in requests.
     available: TokenBucket,
 }
 
 impl Quota {
-    /// Returns the quota of a tenant, which is divided evenly among `instances` balancers.
+    /// Returns the full quota of a tenant, which is divided evenly among `instances` balancers.
     fn new(tenant: &Tenant, instances: f64, now: Time) -> Self {
         let requests_per_second = tenant.quota_per_second / instances;
         let burst = (requests_per_second * BURST_SECONDS).max(1.0);
@@ -35,29 +35,36 @@
     }
 }
 
-/// The quotas by tenant.
+/// The quotas of all tenants.
 #[derive(Debug, Default)]
 pub(super) struct Quotas {
     quotas: Vec<Quota>,
 }
 
 impl Quotas {
-    /// Applies new settings. `previous` has the index of each tenant in the settings before, if it was
-    /// there; such a tenant keeps the quota that it has left.
-    pub fn apply_settings(&mut self, settings: &Settings, previous: &[Option<TenantIndex>], now: Time) {
+    /// Applies the tenants of new settings. `previous_indices` has, for each new tenant, its index in the
+    /// previous settings, or `None` if the tenant is new. A tenant that existed before keeps its remaining
+    /// quota.
+    pub fn apply_settings(
+        &mut self,
+        settings: &Settings,
+        previous_indices: &[Option<TenantIndex>],
+        now: Time,
+    ) {
         let instances = settings.instance_count.max(1) as f64;
         let mut quotas = Vec::with_capacity(settings.tenants.len());
-        for (tenant, previous) in settings.tenants.iter().zip(previous) {
+        for (tenant, previous_index) in settings.tenants.iter().zip(previous_indices) {
             let mut quota = Quota::new(tenant, instances, now);
-            if let Some(previous) = *previous {
-                quota.available = self.quotas[previous.0].available;
+            if let Some(previous_index) = *previous_index {
+                quota.available = self.quotas[previous_index.0].available;
             }
             quotas.push(quota);
         }
         self.quotas = quotas;
     }
 
-    /// Returns whether a request of a tenant, if it has one, lies within the quota at `now`.
+    /// Returns the quota status at `now` of a request of a tenant. A request without a tenant is within
+    /// quota.
     pub fn status(&mut self, tenant: Option<TenantIndex>, now: Time) -> QuotaStatus {
         let Some(quota) = tenant.and_then(|tenant| self.quotas.get_mut(tenant.0)) else {
             return QuotaStatus::Within;
@@ -66,9 +73,9 @@
         if available < 1.0 { QuotaStatus::Exceeded } else { QuotaStatus::Within }
     }
 
-    /// Takes one request from the quota of a tenant, if the request has one. Called for admitted requests
-    /// only: clients retry rejected requests, and under overload these retries would put every tenant
-    /// over its quota.
+    /// Takes one request from the quota of a tenant, if there is a tenant. Callers consume quota for
+    /// admitted requests only: clients retry rejected requests, and these retries would put every tenant
+    /// over its quota under overload.
     pub fn consume(&mut self, tenant: Option<TenantIndex>) {
         if let Some(quota) = tenant.and_then(|tenant| self.quotas.get_mut(tenant.0)) {
             quota.available.take_available();
--- a/crates/balancer/src/decisions/scope.rs
+++ b/crates/balancer/src/decisions/scope.rs
@@ -2,7 +2,7 @@
 
 use crate::interface::{CellId, Endpoint, ZoneId};
 
-/// The backends to which an attempt may be sent.
+/// The set of backends to which an attempt may be sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Scope {
     /// All backends.
--- a/crates/balancer/src/decisions/slow_start.rs
+++ b/crates/balancer/src/decisions/slow_start.rs
@@ -1,52 +1,53 @@
-//! Slow start: the requests that a backend which is warming up may be sent, so that the sum of all
-//! balancers does not overload the backend.
+//! Slow start: limits the requests that this balancer sends to a backend that is warming up, so that all
+//! balancers together do not overload the backend.
 
 use crate::interface::{Settings, Time};
 use crate::support::{BackendIndex, BackendMap, TokenBucket};
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// The fraction of the rate that would overload a backend in slow start which all balancers together plan
-/// to send, where each balancer knows its own traffic only.
-const OWN_RATE_MARGIN: f64 = 0.35;
-/// The same fraction where backends report their rates. Uneven traffic of the balancers uses up none of
-/// this margin.
-const REPORTED_RATE_MARGIN: f64 = 0.5;
+/// The fraction of the overload rate of a backend in slow start that all balancers together may send, if
+/// each balancer estimates the rate from its own traffic.
+const OWN_RATE_BUDGET_FRACTION: f64 = 0.35;
+/// The fraction of the overload rate of a backend in slow start that all balancers together may send, if
+/// backends report their rates. It is greater than [`OWN_RATE_BUDGET_FRACTION`], as uneven traffic of the
+/// balancers uses up none of the remaining margin.
+const REPORTED_RATE_BUDGET_FRACTION: f64 = 0.5;
 
-/// The rate of requests that this balancer would send to one backend that is not in slow start.
+/// The estimated rate of requests that this balancer would send to a backend that is not in slow start.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum WarmRate {
-    /// An even share of the rate that warm backends report, in requests per second. What a busy balancer
-    /// sends its own members is more than its share, and the sum of all balancers would be too much.
+    /// An even share of the rate that warm backends report, in requests per second. A busy balancer sends
+    /// its members more than an even share, so that budgets from its own rate would add up to too much.
     Reported(f64),
-    /// The rate of successful responses to this balancer, in requests per second and member. Under overload
-    /// this is less than the send rate.
+    /// The rate of successful responses that this balancer gets from each member, in requests per second.
+    /// Under overload, it is less than the send rate.
     Own(f64),
 }
 
 /// The parameters of slow start.
 #[derive(Clone, Copy, Debug, Default)]
 struct Parameters {
-    /// The fraction of its capacity that a backend has at its start.
+    /// The capacity of a backend at its start, as a fraction of its full capacity.
     initial_capacity: f64,
-    /// The time from its start after which a backend has its full capacity, in seconds.
+    /// The time after its start at which a backend reaches its full capacity, in seconds.
     duration: Time,
-    /// The multiple of its present capacity beyond which a backend is overloaded.
+    /// The multiple of its present capacity at which the load overloads a backend.
     overload_multiple: f64,
-    /// The time for which a backend has to be sent more than that to be overloaded, in seconds.
+    /// The time for which the load must exceed that multiple to overload a backend, in seconds.
     overload_window: Time,
 }
 
-/// The budgets of the backends in slow start.
+/// The request budgets of the backends in slow start.
 #[derive(Debug, Default)]
 pub(super) struct SlowStart {
     parameters: Parameters,
-    /// The requests that this balancer may send to each backend while it is in slow start.
+    /// The number of requests that this balancer may send to each backend during its slow start.
     budgets: BackendMap<TokenBucket>,
 }
 
 impl SlowStart {
-    /// Adopts the parameters of new settings.
+    /// Applies the slow start parameters of new settings.
     pub fn apply_settings(&mut self, settings: &Settings) {
         self.parameters = Parameters {
             initial_capacity: settings.slow_start_initial_capacity,
@@ -56,7 +57,7 @@
         };
     }
 
-    /// Returns the time after which a backend that started at 0 has its full capacity, in seconds.
+    /// Returns the duration of slow start, in seconds.
     pub fn duration(&self) -> Time {
         self.parameters.duration
     }
@@ -71,17 +72,16 @@
         self.budgets.insert(index, TokenBucket::new(0.0, now));
     }
 
-    /// Takes a request from the budget of a backend.
+    /// Takes one request from the budget of a backend.
     pub fn record_send(&mut self, index: BackendIndex) {
         self.budgets[index].take();
     }
 
-    /// Returns whether a request may be sent to a backend that started at `started_at` and is in slow
-    /// start.
+    /// Returns whether a request may be sent to a backend in slow start that started at `started_at`.
     ///
-    /// A fraction of a token is the probability of a send, and is spent whether the draw permits the send
-    /// or not. Were fractions saved until they make a whole token, many balancers would spend theirs at
-    /// once.
+    /// A fraction of a token is the probability that the request may be sent, and is consumed whether or
+    /// not it may. If fractions accumulated to whole tokens, many balancers would spend their tokens at the
+    /// same time.
     pub fn has_budget(
         &mut self,
         index: BackendIndex,
@@ -102,17 +102,17 @@
         is_permitted
     }
 
-    /// Returns the requests per second that this balancer may send to a backend that started at
-    /// `started_at`: the rate of a warm backend, times the present fraction of capacity, times a fraction
-    /// of the multiple that would overload the backend.
+    /// Returns the rate of requests that this balancer may send to a backend that started at `started_at`,
+    /// in requests per second: the rate for a warm backend, times the present fraction of capacity, times
+    /// the budgeted fraction of the overload multiple.
     fn permitted_rate(&self, started_at: Time, warm_rate: WarmRate, now: Time) -> f64 {
-        let (rate, margin) = match warm_rate {
-            WarmRate::Reported(rate) => (rate, REPORTED_RATE_MARGIN),
-            WarmRate::Own(rate) => (rate, OWN_RATE_MARGIN),
+        let (rate, budget_fraction) = match warm_rate {
+            WarmRate::Reported(rate) => (rate, REPORTED_RATE_BUDGET_FRACTION),
+            WarmRate::Own(rate) => (rate, OWN_RATE_BUDGET_FRACTION),
         };
         let Parameters { initial_capacity, duration, overload_multiple, .. } = self.parameters;
         let progress = ((now - started_at) / duration).clamp(0.0, 1.0);
         let capacity = initial_capacity + (1.0 - initial_capacity) * progress;
-        rate * capacity * (margin * overload_multiple)
+        rate * capacity * (budget_fraction * overload_multiple)
     }
 }
--- a/crates/balancer/src/decisions/timer.rs
+++ b/crates/balancer/src/decisions/timer.rs
@@ -1,34 +1,35 @@
-//! The timers of the decision module, and the tokens by which the caller hands them back.
+//! The timers of the decision module, and the tokens that identify them to the caller.
 
 use super::calls::CallKey;
 use crate::interface::TimerToken;
 use slotmap::{Key, KeyData};
 
-/// The purpose of a timer. The timers of a call name the call; a timer whose call has ended is
-/// recognised, as keys are never reused.
+/// The purpose of a timer. A call timer contains the key of its call. Keys are never reused, so a timer of
+/// an ended call is recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
-    /// The endpoint list is polled.
+    /// The endpoint list is due for a poll.
     EndpointPoll,
-    /// The next doubling timer of a call fires, and the call may be retried.
+    /// The next retry timer of a call fires, and the call may be retried.
     Retry(CallKey),
     /// The deadline of a call passes.
     Deadline(CallKey),
-    /// A queued call has waited long enough for admission, or its ordering key may be used again. Both
-    /// are one kind of timer, as a call waits for one of the two only.
+    /// The wait of a queued call ends: the call has reached its longest wait for admission, or its ordering
+    /// key is no longer blocked. One kind of timer is enough, as a call waits for only one of the two.
     QueueWait(CallKey),
 }
 
-/// The token of [`Timer::EndpointPoll`]. The tokens of calls are greater.
+/// The token of [`Timer::EndpointPoll`]. Tokens of call timers are greater.
 const ENDPOINT_POLL_TOKEN: u64 = 0;
-/// The number of low bits of a call's token that encode the purpose.
+/// The number of low bits in the token of a call timer that encode the purpose.
 const PURPOSE_BITS: u32 = 2;
 const PURPOSE_MASK: u64 = (1 << PURPOSE_BITS) - 1;
-/// The number of bits above the purpose that encode the slot of the call in the table. Memory ends long
-/// before as many calls are open.
+/// The number of bits above the purpose that encode the slot of the call in the call table. Memory runs out
+/// long before that many calls are open.
 const SLOT_BITS: u32 = 31;
 const SLOT_MASK: u64 = (1 << SLOT_BITS) - 1;
-/// The number of low bits of a key's integer that are the slot; those above are the version of the slot.
+/// The number of low bits of a key's integer that encode the slot. The higher bits encode the version of
+/// the slot.
 const KEY_SLOT_BITS: u32 = 32;
 const RETRY: u64 = 0;
 const DEADLINE: u64 = 1;
@@ -61,9 +62,9 @@
     }
 }
 
-/// Returns a key in as few bits as the purpose leaves in a token. The version of a slot with a call is odd,
-/// so that its lowest bit tells nothing. Every other bit is needed: two calls that have had a slot one after
-/// the other differ in the version only.
+/// Returns a key in the bits of a token that the purpose leaves. The version of an occupied slot is always
+/// odd, so its lowest bit is left out. All other bits are needed: the keys of two calls that use the same
+/// slot one after the other differ only in the version.
 fn pack(key: CallKey) -> u64 {
     let key = key.data().as_ffi();
     let half_version = key >> (KEY_SLOT_BITS + 1);
--- a/crates/balancer/tests/concerns/admission.rs
+++ b/crates/balancer/tests/concerns/admission.rs
@@ -1,8 +1,10 @@
 //! Admission: the ranks of requests, and the times that bound their admission.
 
 use super::fixtures::{request, request_class};
-use crate::decisions::admission::{Admission, max_wait, min_time_left, retry_after, useful_timeout};
-use crate::decisions::admission_queue::Rank;
+use crate::decisions::admission::{
+    Admission, effective_timeout, max_admission_wait, min_time_left, retry_after,
+};
+use crate::decisions::admission_queue::PercentileRank;
 use crate::decisions::quotas::QuotaStatus;
 use crate::decisions::traffic::{LoadState, Traffic};
 use crate::interface::{ClassIndex, Effect, Request, RequestClass, Settings, Time};
@@ -47,7 +49,7 @@
 
     fn rank(&mut self, class: ClassIndex, quota: QuotaStatus, now: Time) -> f64 {
         let Self { settings, traffic, admission, random } = self;
-        let Rank(rank) = admission.rank(class, quota, now, settings, traffic, random);
+        let PercentileRank(rank) = admission.percentile_rank(class, quota, now, settings, traffic, random);
         rank
     }
 
@@ -119,7 +121,7 @@
     let of_use_when_late = RequestClass { late_priority_weight: 0.1, ..worthless_when_late.clone() };
     let classes = vec![worthless_when_late, of_use_when_late];
     let settings = Settings { classes, quantum: 0.01, ..Settings::default() };
-    let useful = |class, timeout| useful_timeout(&Request { class, timeout, ..request(1) }, &settings);
+    let useful = |class, timeout| effective_timeout(&Request { class, timeout, ..request(1) }, &settings);
 
     assert_close(useful(ClassIndex(0), 2.0), 1.0);
     assert_close(useful(ClassIndex(0), 0.5), 0.48);
@@ -134,7 +136,7 @@
 
     assert_close(without_observation, 0.0);
     assert_close(min_time_left(PLAIN, &traffic), 0.06);
-    assert_close(max_wait(2.0), 0.5);
+    assert_close(max_admission_wait(2.0), 0.5);
 }
 
 #[test]
--- a/crates/balancer/tests/concerns/admission_queue.rs
+++ b/crates/balancer/tests/concerns/admission_queue.rs
@@ -1,23 +1,23 @@
 //! The queue of calls that wait for admission: the order in which they leave.
 
 use super::fixtures::call_keys;
-use crate::decisions::admission_queue::{AdmissionQueue, Rank};
+use crate::decisions::admission_queue::{AdmissionQueue, PercentileRank};
 use crate::decisions::calls::CallKey;
 
 #[test]
 fn the_call_of_the_best_rank_leaves_first() {
     let [worst, best, middle] = call_keys();
     let mut queue = AdmissionQueue::default();
-    queue.insert(Rank(0.1), worst);
-    queue.insert(Rank(0.9), best);
-    queue.insert(Rank(0.5), middle);
+    queue.insert(PercentileRank(0.1), worst);
+    queue.insert(PercentileRank(0.9), best);
+    queue.insert(PercentileRank(0.5), middle);
 
-    let best_rank = queue.best_rank();
-    let order = [(); 4].map(|()| queue.pop_best());
+    let highest_rank = queue.highest_rank();
+    let order = [(); 4].map(|()| queue.pop_highest());
 
-    assert_eq!(best_rank, Some(Rank(0.9)));
+    assert_eq!(highest_rank, Some(PercentileRank(0.9)));
     assert_eq!(order, [Some(best), Some(middle), Some(worst), None]);
-    assert_eq!(queue.best_rank(), None);
+    assert_eq!(queue.highest_rank(), None);
 }
 
 #[test]
@@ -25,10 +25,10 @@
     let calls: [CallKey; 3] = call_keys();
     let mut queue = AdmissionQueue::default();
     for call in calls {
-        queue.insert(Rank(0.5), call);
+        queue.insert(PercentileRank(0.5), call);
     }
 
-    let order = calls.map(|_| queue.pop_best());
+    let order = calls.map(|_| queue.pop_highest());
 
     assert_eq!(order, calls.map(Some));
 }
@@ -37,13 +37,13 @@
 fn a_call_that_no_longer_waits_does_not_leave() {
     let [removed, waiting] = call_keys();
     let mut queue = AdmissionQueue::default();
-    queue.insert(Rank(0.9), removed);
-    queue.insert(Rank(0.1), waiting);
+    queue.insert(PercentileRank(0.9), removed);
+    queue.insert(PercentileRank(0.1), waiting);
 
     queue.remove(removed);
     queue.remove(removed);
 
-    assert_eq!(queue.best_rank(), Some(Rank(0.1)));
-    assert_eq!(queue.pop_best(), Some(waiting));
-    assert_eq!(queue.pop_best(), None);
+    assert_eq!(queue.highest_rank(), Some(PercentileRank(0.1)));
+    assert_eq!(queue.pop_highest(), Some(waiting));
+    assert_eq!(queue.pop_highest(), None);
 }
--- a/crates/balancer/tests/concerns/attempts.rs
+++ b/crates/balancer/tests/concerns/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: which attempts the effect of a class permits, and within which bounds.
 
 use super::fixtures::{TIMEOUT, attempt, backend_indices, call_of, request, settings_with_effect};
-use crate::decisions::attempts::{Attempt, Permission, is_safe_to_retry, next_attempt};
+use crate::decisions::attempts::{Attempt, PermittedAttempt, is_safe_to_retry, next_attempt};
 use crate::decisions::calls::Call;
 use crate::decisions::scope::Scope;
 use crate::interface::{CellId, Effect, IdempotencyGroup, Outcome, Request, Settings, Time, ZoneId};
@@ -29,7 +29,7 @@
     call
 }
 
-fn permission(call: &Call, now: Time) -> Option<Permission> {
+fn permission(call: &Call, now: Time) -> Option<PermittedAttempt> {
     next_attempt(call, now, QUANTUM)
 }
 
--- a/crates/balancer/tests/concerns/endpoint_table.rs
+++ b/crates/balancer/tests/concerns/endpoint_table.rs
@@ -58,7 +58,7 @@
     table.upsert(&Endpoint { status: Status::Removed, ..endpoint(3) });
     table.upsert(&Endpoint { status: Status::Draining, ..endpoint(4) });
 
-    table.forget_removed(|index| index == referenced);
+    table.prune_removed(|index| index == referenced);
 
     let is_known = |id: &u32| table.index_of(BackendId(*id)).is_some();
     let known: Vec<u32> = (1..=4).filter(is_known).collect();
@@ -69,8 +69,8 @@
 fn reuses_the_index_of_a_forgotten_backend_once() {
     let mut table = EndpointTable::default();
     let forgotten = table.upsert(&Endpoint { status: Status::Removed, ..endpoint(1) }).index;
-    table.forget_removed(|_| false);
-    table.forget_removed(|_| false);
+    table.prune_removed(|_| false);
+    table.prune_removed(|_| false);
 
     let first = table.upsert(&endpoint(2));
     let second = table.upsert(&endpoint(3));
--- a/crates/balancer/tests/concerns/fleet_assignment.rs
+++ b/crates/balancer/tests/concerns/fleet_assignment.rs
@@ -80,7 +80,7 @@
     let mean = memberships.values().sum::<usize>() as f64 / 17.0;
     for member in assignment.members(0, 17) {
         let expected = memberships[&member.index] as f64 / mean;
-        assert!((member.memberships_over_mean - expected).abs() < 1e-9, "{member:?}, expected {expected}");
+        assert!((member.membership_ratio_to_mean - expected).abs() < 1e-9, "{member:?}, expected {expected}");
     }
 }
 
--- a/crates/balancer/tests/concerns/load_reports.rs
+++ b/crates/balancer/tests/concerns/load_reports.rs
@@ -1,7 +1,7 @@
 //! Load reports: service times, request rates, and the health checks that are due.
 
 use super::fixtures::backend_indices;
-use crate::decisions::load_reports::{LoadReports, ReportingBackend};
+use crate::decisions::load_reports::{LoadReports, WarmUpState};
 use crate::interface::{LoadReport, Time};
 use crate::support::BackendIndex;
 use crate::support::tests::assertions::assert_close;
@@ -25,8 +25,8 @@
     let mut reports = reports_of(&[fast, slow, silent]);
 
     for _ in 0..1000 {
-        reports.record(fast, ReportingBackend::Warm, report(Some(0.1), None));
-        reports.record(slow, ReportingBackend::Warm, report(Some(0.3), None));
+        reports.record(fast, WarmUpState::Warm, report(Some(0.1), None));
+        reports.record(slow, WarmUpState::Warm, report(Some(0.3), None));
     }
 
     let fast_ratio = reports.relative_service_time(fast);
@@ -41,9 +41,9 @@
     let [backend] = backend_indices();
     let mut reports = reports_of(&[backend]);
 
-    reports.record(backend, ReportingBackend::Warm, report(Some(0.0), Some(0.0)));
-    reports.record(backend, ReportingBackend::Warm, report(Some(-1.0), Some(f64::NAN)));
-    reports.record(backend, ReportingBackend::Warm, report(None, None));
+    reports.record(backend, WarmUpState::Warm, report(Some(0.0), Some(0.0)));
+    reports.record(backend, WarmUpState::Warm, report(Some(-1.0), Some(f64::NAN)));
+    reports.record(backend, WarmUpState::Warm, report(None, None));
 
     assert_eq!(reports.requests_per_second_per_backend(), None);
     assert_close(reports.relative_service_time(backend), 1.0);
@@ -54,10 +54,10 @@
     let [warm, warming_up] = backend_indices();
     let mut reports = reports_of(&[warm, warming_up]);
 
-    reports.record(warming_up, ReportingBackend::WarmingUp, report(None, Some(1.0)));
+    reports.record(warming_up, WarmUpState::WarmingUp, report(None, Some(1.0)));
     let before_a_warm_report = reports.requests_per_second_per_backend();
-    reports.record(warm, ReportingBackend::Warm, report(None, Some(50.0)));
-    reports.record(warming_up, ReportingBackend::WarmingUp, report(None, Some(1.0)));
+    reports.record(warm, WarmUpState::Warm, report(None, Some(50.0)));
+    reports.record(warming_up, WarmUpState::WarmingUp, report(None, Some(1.0)));
 
     assert_eq!(before_a_warm_report, None);
     assert_eq!(reports.requests_per_second_per_backend(), Some(50.0));
@@ -67,8 +67,8 @@
 fn a_backend_added_at_a_reused_index_has_not_reported() {
     let [removed, other] = backend_indices();
     let mut reports = reports_of(&[removed, other]);
-    reports.record(other, ReportingBackend::Warm, report(Some(0.1), None));
-    reports.record(removed, ReportingBackend::Warm, report(Some(0.9), None));
+    reports.record(other, WarmUpState::Warm, report(Some(0.1), None));
+    reports.record(removed, WarmUpState::Warm, report(Some(0.9), None));
 
     reports.add_backend(removed);
 
--- a/crates/balancer/tests/concerns/maintenance.rs
+++ b/crates/balancer/tests/concerns/maintenance.rs
@@ -62,9 +62,9 @@
     maintenance.end(BACKEND, END, None);
     let used = [BACKEND, OTHER].map(|backend| maintenance.was_used(backend));
 
-    maintenance.forget_returned(END + SLOW_START_DURATION - 0.1, SLOW_START_DURATION);
+    maintenance.prune_returned(END + SLOW_START_DURATION - 0.1, SLOW_START_DURATION);
     let is_used_during_slow_start = maintenance.was_used(BACKEND);
-    maintenance.forget_returned(END + SLOW_START_DURATION, SLOW_START_DURATION);
+    maintenance.prune_returned(END + SLOW_START_DURATION, SLOW_START_DURATION);
 
     assert_eq!(used, [true, false]);
     assert!(is_used_during_slow_start);
@@ -75,7 +75,7 @@
 fn does_not_forget_a_backend_in_maintenance_however_long_that_lasts() {
     let mut maintenance = maintenance_begun();
 
-    maintenance.forget_returned(BEGIN + 1e9, SLOW_START_DURATION);
+    maintenance.prune_returned(BEGIN + 1e9, SLOW_START_DURATION);
 
     assert!(maintenance.contains(BACKEND));
     assert!(maintenance.was_used(BACKEND));
--- a/crates/balancer/tests/concerns/ordered_keys.rs
+++ b/crates/balancer/tests/concerns/ordered_keys.rs
@@ -28,7 +28,7 @@
     let [ended, other] = call_keys();
     let mut keys = OrderedKeys::default();
     keys.enqueue(KEY, ended, 0.0);
-    keys.rest(KEY, 5.0);
+    keys.block_until(KEY, 5.0);
     keys.remove(KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
     for other_key in 0..MANY_QUEUES {
         keys.enqueue(100 + other_key, other, now);
@@ -64,8 +64,8 @@
 
     keys.remove(KEY, ended, &call_with_attempt(None));
     let while_in_flight = next_key(&keys);
-    let settled = keys.settle_orphan(RequestId(1), AttemptNumber(0));
-    let settled_again = keys.settle_orphan(RequestId(1), AttemptNumber(0));
+    let settled = keys.remove_orphan(RequestId(1), AttemptNumber(0));
+    let settled_again = keys.remove_orphan(RequestId(1), AttemptNumber(0));
 
     assert_eq!(while_in_flight, None);
     assert_eq!(settled, Some(KEY));
@@ -83,7 +83,7 @@
     keys.remove(KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
 
     assert_eq!(next_key(&keys), Some(waiting));
-    assert_eq!(keys.settle_orphan(RequestId(1), AttemptNumber(0)), None);
+    assert_eq!(keys.remove_orphan(RequestId(1), AttemptNumber(0)), None);
 }
 
 #[test]
@@ -93,7 +93,7 @@
 
     keys.enqueue(KEY, call, 4.9);
 
-    assert_eq!(keys.next(KEY).map(|next| next.rests_until), Some(5.0));
+    assert_eq!(keys.next(KEY).map(|next| next.blocked_until), Some(5.0));
 }
 
 #[test]
@@ -103,7 +103,7 @@
 
     keys.enqueue(KEY, call, 5.0);
 
-    assert_eq!(keys.next(KEY).map(|next| next.rests_until), Some(0.0));
+    assert_eq!(keys.next(KEY).map(|next| next.blocked_until), Some(0.0));
 }
 
 #[test]
--- a/crates/balancer/tests/concerns/outlier_detection.rs
+++ b/crates/balancer/tests/concerns/outlier_detection.rs
@@ -122,15 +122,15 @@
 fn tells_recent_activity_and_responses_from_older_ones() {
     let [backend] = backend_indices();
     let mut detection = detection_of(&[backend]);
-    let has_responded_before = detection.has_responded_since(backend, 0.0);
+    let has_responded_before = detection.has_succeeded_since(backend, 0.0);
 
     detection.record_activity(backend, 1.0);
-    detection.record_response(backend, 1.0);
+    detection.record_success(backend, 1.0);
 
     let one_time_constant = 0.5 * RATE_TIME_CONSTANT;
     assert!(!has_responded_before);
-    assert!(detection.has_responded_since(backend, 0.5));
-    assert!(!detection.has_responded_since(backend, 1.0));
+    assert!(detection.has_succeeded_since(backend, 0.5));
+    assert!(!detection.has_succeeded_since(backend, 1.0));
     assert!(detection.was_recently_active(backend, 0.5 + one_time_constant));
     assert!(!detection.was_recently_active(backend, 1.0 + one_time_constant));
 }
--- a/crates/balancer/tests/concerns/subset.rs
+++ b/crates/balancer/tests/concerns/subset.rs
@@ -3,7 +3,7 @@
 use super::fixtures::endpoint;
 use crate::decisions::endpoint_table::EndpointTable;
 use crate::decisions::maintenance::{Maintenance, PriorUse};
-use crate::decisions::subset::{AssignmentInputs, Subset, assign_alike};
+use crate::decisions::subset::{AssignmentInputs, Subset, is_assignment_unchanged};
 use crate::interface::{BackendId, Endpoint, Settings, Tier, ZoneId};
 use crate::support::BackendIndex;
 use std::collections::BTreeSet;
@@ -195,7 +195,7 @@
     let without_cost = Settings { cross_zone_cost: 0.0, ..settings.clone() };
     let with_more_instances = Settings { instance_count: 2, ..settings.clone() };
 
-    assert!(assign_alike(&settings, &with_other_cost));
-    assert!(!assign_alike(&settings, &without_cost));
-    assert!(!assign_alike(&settings, &with_more_instances));
+    assert!(is_assignment_unchanged(&settings, &with_other_cost));
+    assert!(!is_assignment_unchanged(&settings, &without_cost));
+    assert!(!is_assignment_unchanged(&settings, &with_more_instances));
 }
