--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -10,9 +10,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// The least time left for which a call is dispatched, as a fraction of the expected latency. With less
-/// time left, the deadline would pass while a backend still processes the request, and the work would be
-/// wasted.
+/// The least time left at the dispatch of a call, as a fraction of the expected latency. With less time
+/// left, the deadline would pass while a backend still processes the request, and the work would be wasted.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.6;
 /// The longest wait for admission, as a fraction of the timeout. A short wait is enough where few calls are
 /// in flight, because their excess ends within a few responses. The fraction is small because, in a lasting
@@ -137,7 +136,7 @@
     if class.late_priority_weight <= 0.0 { timeout.min(class.latency_objective) } else { timeout }
 }
 
-/// Returns the least time left for which a call of a class is dispatched, in seconds.
+/// Returns the least time left at the dispatch of a call of a class, in seconds.
 pub(super) fn min_time_left(class: ClassIndex, traffic: &Traffic) -> Time {
     MIN_TIME_LEFT_FRACTION * traffic.expected_latency(class)
 }
--- a/crates/balancer/src/decisions/attempts.rs
+++ b/crates/balancer/src/decisions/attempts.rs
@@ -37,7 +37,7 @@
 pub(super) struct PermittedAttempt {
     /// The backends to which the attempt may be sent.
     pub scope: Scope,
-    /// The time by which the request must have been written completely, in seconds.
+    /// The deadline for writing the complete request, in seconds.
     pub write_deadline: Time,
 }
 
--- a/crates/balancer/src/decisions/endpoint_table.rs
+++ b/crates/balancer/src/decisions/endpoint_table.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Drops the entries of removed backends for which `is_referenced` returns false. The table would
+    /// Drops the entry of each removed backend unless `is_referenced` returns true. The table would
     /// otherwise grow without bound where deployments replace all backends again and again.
     pub fn prune_removed(&mut self, is_referenced: impl Fn(BackendIndex) -> bool) {
         for index in self.endpoints.indices() {
--- a/crates/balancer/src/decisions/outlier_detection.rs
+++ b/crates/balancer/src/decisions/outlier_detection.rs
@@ -156,8 +156,8 @@
         if in_flight == 0 || expected <= 0.0 {
             return relative_latency;
         }
-        let time_without_response = (now - self.observations[index].last_active_at) / expected;
-        relative_latency.max(time_without_response.min(FAILURE_RELATIVE_LATENCY))
+        let relative_time_without_response = (now - self.observations[index].last_active_at) / expected;
+        relative_latency.max(relative_time_without_response.min(FAILURE_RELATIVE_LATENCY))
     }
 
     /// Returns the relative latency beyond which a backend is an outlier. The threshold is a multiple of
--- a/crates/balancer/src/decisions/quotas.rs
+++ b/crates/balancer/src/decisions/quotas.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Settings, Tenant, TenantIndex, Time};
 use crate::support::TokenBucket;
 
-/// The time for which a tenant accumulates unused quota, in seconds. Quotas are given per second.
+/// The duration over which unused quota accumulates, in seconds. Quotas are given per second.
 const BURST_SECONDS: Time = 1.0;
 
 /// Whether a request is within the quota of its tenant.
--- a/crates/balancer/src/decisions/slow_start.rs
+++ b/crates/balancer/src/decisions/slow_start.rs
@@ -34,7 +34,7 @@
     duration: Time,
     /// The multiple of its present capacity at which the load overloads a backend.
     overload_multiple: f64,
-    /// The time for which the load must exceed that multiple to overload a backend, in seconds.
+    /// The least duration of a load above that multiple that overloads a backend, in seconds.
     overload_window: Time,
 }
 
--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -16,8 +16,8 @@
 /// The fraction of the latency objective at which latency samples are capped. Without a cap, a balancer
 /// that starts during an overload would record the waits as the expected latency.
 const MAX_EXPECTED_LATENCY_FRACTION: f64 = 0.25;
-/// The fraction of the time constant for which sends must have been observed before the average number of
-/// calls in flight can be estimated.
+/// The least observation time of sends before the average number of calls in flight can be estimated, as a
+/// fraction of the time constant.
 const MIN_OBSERVATION_FRACTION: f64 = 0.5;
 
 /// Whether the balancer was overloaded when a latency was observed.
