--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -85,8 +85,8 @@
         random: &mut SmallRng,
     ) -> PercentileRank {
         let own_priority = priority_per_work(class, quota, settings, traffic);
-        let mut lower_rate = 0.0;
-        let mut equal_rate = 0.0;
+        let mut lower_priority_rate = 0.0;
+        let mut equal_priority_rate = 0.0;
         let mut total_rate = 0.0;
         for (other_class, arrivals) in self.arrivals.iter().enumerate() {
             let other_class = ClassIndex(other_class);
@@ -97,13 +97,16 @@
                 let priority = priority_per_work(other_class, other_quota, settings, traffic);
                 total_rate += rate.per_second();
                 if priority < own_priority {
-                    lower_rate += rate.per_second();
+                    lower_priority_rate += rate.per_second();
                 } else if priority == own_priority {
-                    equal_rate += rate.per_second();
+                    equal_priority_rate += rate.per_second();
                 }
             }
         }
-        PercentileRank((lower_rate + equal_rate * random.random::<f64>()) / total_rate.max(f64::MIN_POSITIVE))
+        PercentileRank(
+            (lower_priority_rate + equal_priority_rate * random.random::<f64>())
+                / total_rate.max(f64::MIN_POSITIVE),
+        )
     }
 
     /// Returns the queue of calls that wait for admission.
--- a/crates/balancer/src/decisions/fleet_assignment.rs
+++ b/crates/balancer/src/decisions/fleet_assignment.rs
@@ -106,10 +106,11 @@
         backends.sort_by_cached_key(|backend| hash_in_round(backend.id, ORDER_ROUND));
         let memberships = vec![0; backends.len()];
         let balancers = shape.balancers.max(1);
-        let count = backends.len();
-        let shape = FleetShape { balancers, min_members: shape.min_members.min(count as f64) };
-        let mean = count as f64 / balancers as f64;
-        let max_assigned = ((MAX_ASSIGNED_TO_MEAN_RATIO * mean).ceil() as usize).max(MIN_ASSIGNED_LIMIT);
+        let backend_count = backends.len();
+        let shape = FleetShape { balancers, min_members: shape.min_members.min(backend_count as f64) };
+        let mean_assigned = backend_count as f64 / balancers as f64;
+        let max_assigned =
+            ((MAX_ASSIGNED_TO_MEAN_RATIO * mean_assigned).ceil() as usize).max(MIN_ASSIGNED_LIMIT);
         let capacity = max_assigned.max(shape.min_members.ceil() as usize);
         let subsets = Subsets::new(balancers, capacity);
         let mut assignment = Self { shape, backends, subsets, memberships };
@@ -148,10 +149,10 @@
         for position in 0..self.backends.len() {
             let id = self.backends[position].id;
             let rounds = FIRST_ASSIGNMENT_ROUND..FIRST_ASSIGNMENT_ROUND + MAX_HASH_PROBES;
-            let mut hashed = rounds.map(|round| self.hashed_balancer(id, round));
+            let mut hashed_balancers = rounds.map(|round| self.hashed_balancer(id, round));
             let has_room = |balancer: &usize| self.subsets.members_of(*balancer).len() < max_assigned;
             let balancer =
-                hashed.find(has_room).or_else(|| (0..self.subsets.balancer_count()).find(has_room));
+                hashed_balancers.find(has_room).or_else(|| (0..self.subsets.balancer_count()).find(has_room));
             self.add_member(
                 balancer.expect("the limit on assigned backends exceeds the mean, so some balancer has room"),
                 position,
--- a/crates/balancer/src/decisions/load_reports.rs
+++ b/crates/balancer/src/decisions/load_reports.rs
@@ -30,7 +30,7 @@
     /// The mean number of requests per second that a warm backend serves.
     fleet_request_rate: SmoothedMean,
     /// The number of attempts sent so far.
-    sends: usize,
+    send_count: usize,
 }
 
 impl LoadReports {
@@ -71,11 +71,11 @@
     /// Counts a send. Returns the member to check, in round-robin order, if a health check is due after
     /// this send.
     pub fn count_send(&mut self, members: &[BackendIndex]) -> Option<BackendIndex> {
-        self.sends += 1;
-        if !self.sends.is_multiple_of(SENDS_PER_HEALTH_CHECK) || members.is_empty() {
+        self.send_count += 1;
+        if !self.send_count.is_multiple_of(SENDS_PER_HEALTH_CHECK) || members.is_empty() {
             return None;
         }
-        let checks = self.sends / SENDS_PER_HEALTH_CHECK;
-        Some(members[checks % members.len()])
+        let check_number = self.send_count / SENDS_PER_HEALTH_CHECK;
+        Some(members[check_number % members.len()])
     }
 }
--- a/crates/balancer/src/decisions/maintenance.rs
+++ b/crates/balancer/src/decisions/maintenance.rs
@@ -8,7 +8,7 @@
 pub(super) enum PriorUse {
     /// The backend was a member of the subset, or received calls recently in place of a member.
     Used,
-    /// The balancer sent no recent calls to the backend, which was not a member.
+    /// The backend was not a member, and received no recent calls from this balancer.
     Unused,
 }
 
--- a/crates/balancer/src/decisions/outlier_detection.rs
+++ b/crates/balancer/src/decisions/outlier_detection.rs
@@ -139,8 +139,8 @@
     /// is tried again.
     pub fn relative_latency(&self, index: BackendIndex, now: Time) -> f64 {
         let RelativeLatency { ratio, updated_at } = self.observations[index].relative_latency;
-        let age = (now - updated_at) / self.time_constant;
-        EXPECTED_RELATIVE_LATENCY + (ratio - EXPECTED_RELATIVE_LATENCY) * (-age).exp()
+        let age_in_time_constants = (now - updated_at) / self.time_constant;
+        EXPECTED_RELATIVE_LATENCY + (ratio - EXPECTED_RELATIVE_LATENCY) * (-age_in_time_constants).exp()
     }
 
     /// Returns the greater of the relative latency of a backend and, if calls are in flight, the time
@@ -161,7 +161,7 @@
     }
 
     /// Returns the relative latency beyond which a backend is an outlier. The threshold is a multiple of
-    /// the least relative latency among the `warm` members, or among all `members` if none is warm. It is
+    /// the least relative latency among the `warm_members`, or among all `members` if none is warm. It is
     /// never below the expected latency, which is also the value for backends without observations, so such
     /// a backend is no outlier however fast the best member is.
     ///
@@ -169,13 +169,13 @@
     /// other members would look like outliers compared with them.
     pub fn threshold(
         &self,
-        warm: impl Iterator<Item = BackendIndex>,
+        warm_members: impl Iterator<Item = BackendIndex>,
         members: impl Iterator<Item = BackendIndex>,
         now: Time,
     ) -> f64 {
-        let best = self.least_relative_latency(warm, now);
-        let best = best.or_else(|| self.least_relative_latency(members, now));
-        (OUTLIER_LATENCY_RATIO * best.unwrap_or(f64::INFINITY)).max(EXPECTED_RELATIVE_LATENCY)
+        let least = self.least_relative_latency(warm_members, now);
+        let least = least.or_else(|| self.least_relative_latency(members, now));
+        (OUTLIER_LATENCY_RATIO * least.unwrap_or(f64::INFINITY)).max(EXPECTED_RELATIVE_LATENCY)
     }
 
     fn least_relative_latency(&self, backends: impl Iterator<Item = BackendIndex>, now: Time) -> Option<f64> {
--- a/crates/balancer/src/decisions/overload.rs
+++ b/crates/balancer/src/decisions/overload.rs
@@ -4,10 +4,10 @@
 use crate::interface::Time;
 use crate::support::DecayingMean;
 
-/// The excess threshold without a lasting excess, in deviations. An excess below the threshold counts as
-/// random variation.
+/// The greatest excess threshold, in deviations. It applies while there is no lasting excess. An excess
+/// below the threshold counts as random variation.
 const MAX_EXCESS_THRESHOLD: f64 = 3.5;
-/// The lower limit of the excess threshold under a lasting excess, in deviations.
+/// The least excess threshold, in deviations. It applies under a large lasting excess.
 const MIN_EXCESS_THRESHOLD: f64 = 0.5;
 /// The least deviation, as a fraction of the expected number of calls. Otherwise a deviation is the square
 /// root of the expected number, which is a small fraction of the number at a busy balancer.
@@ -70,7 +70,7 @@
     }
 }
 
-/// Returns the excess, in deviations, up to which the deviation counts as random variation.
+/// Returns the excess threshold in deviations. An excess up to the threshold counts as random variation.
 fn excess_threshold(mean_excess: f64) -> f64 {
     let threshold = MAX_EXCESS_THRESHOLD - EXCESS_THRESHOLD_REDUCTION * (mean_excess - TOLERATED_MEAN_EXCESS);
     threshold.clamp(MIN_EXCESS_THRESHOLD, MAX_EXCESS_THRESHOLD)
--- a/crates/balancer/src/decisions/retransmission.rs
+++ b/crates/balancer/src/decisions/retransmission.rs
@@ -94,8 +94,8 @@
     if latency.samples() <= 0.0 {
         return max_t1.max(timer_resolution);
     }
-    let observed = latency.mean() + T1_MEAN_DEVIATIONS * latency.deviation();
-    observed.min(max_t1).max(timer_resolution)
+    let t1_from_latency = latency.mean() + T1_MEAN_DEVIATIONS * latency.deviation();
+    t1_from_latency.min(max_t1).max(timer_resolution)
 }
 
 /// Returns the probability of a retry: the probability p of the paper, from the unanswered calls and the
--- a/crates/balancer/src/decisions/scope.rs
+++ b/crates/balancer/src/decisions/scope.rs
@@ -1,4 +1,4 @@
-//! The backends to which an attempt may be sent.
+//! The scope of an attempt: all backends, or those of one zone or cell.
 
 use crate::interface::{CellId, Endpoint, ZoneId};
 
--- a/crates/balancer/src/decisions/subset.rs
+++ b/crates/balancer/src/decisions/subset.rs
@@ -170,7 +170,7 @@
     ) -> Vec<AssignedMember> {
         let AssignmentInputs { settings, endpoints, .. } = inputs;
         let is_local = |index: BackendIndex| !incurs_cross_zone_cost(endpoints.get(index), settings);
-        let members = |backends: Vec<AssignableBackend>, min_members, target_size| {
+        let assign_members = |backends: Vec<AssignableBackend>, min_members, target_size| {
             let shape = FleetShape { balancers: settings.instance_count, min_members };
             let members = FleetAssignment::new(backends, shape).members(settings.instance_index, target_size);
             // The number of balancers in this zone that have a backend as a member is unknown.
@@ -180,7 +180,7 @@
         let min_local_members = self.min_size(settings).max(self.backends_per_balancer(settings));
         let min_remote_members =
             (min_local_members - MIN_SUBSET_SIZE as f64).max(MIN_CROSS_ZONE_MEMBERS as f64);
-        let one_balancer_assignment = members(backends.clone(), 0.0, 0);
+        let one_balancer_assignment = assign_members(backends.clone(), 0.0, 0);
         let (mut assigned, mut assigned_remote): (Vec<_>, Vec<_>) =
             one_balancer_assignment.partition(|member| is_local(member.index));
         let (local, remote): (Vec<_>, Vec<_>) =
@@ -188,12 +188,12 @@
         let target_size = self.high_watermark;
         add_missing(
             &mut assigned,
-            members(local, min_local_members, target_size),
+            assign_members(local, min_local_members, target_size),
             target_size.max(min_local_members.ceil() as usize),
         );
         add_missing(
             &mut assigned_remote,
-            members(remote, min_remote_members, 0),
+            assign_members(remote, min_remote_members, 0),
             min_remote_members.ceil() as usize,
         );
         assigned.extend(assigned_remote);
--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -134,8 +134,8 @@
     /// Returns the average number of calls in flight as of the latest send, by Little's law, or `None`
     /// until sends have been observed for long enough.
     pub fn observed_calls_in_flight(&self) -> Option<f64> {
-        let is_observed = self.send_rate.span() > MIN_OBSERVATION_FRACTION * self.time_constant;
-        is_observed.then(|| self.send_rate.per_second() * self.overall_latency.mean())
+        let is_observed_long_enough = self.send_rate.span() > MIN_OBSERVATION_FRACTION * self.time_constant;
+        is_observed_long_enough.then(|| self.send_rate.per_second() * self.overall_latency.mean())
     }
 }
 
