--- a/crates/balancer/src/decisions/backends/mod.rs
+++ b/crates/balancer/src/decisions/backends/mod.rs
@@ -5,7 +5,7 @@
 use crate::decisions::attempt_counts::AttemptCounts;
 use crate::decisions::decision_context::DecisionContext;
 use crate::decisions::endpoint_table::{EndpointChange, EndpointTable};
-use crate::decisions::load_reports::{LoadReports, ReportingBackend};
+use crate::decisions::load_reports::{LoadReports, WarmUpState};
 use crate::decisions::maintenance::{Maintenance, PriorUse};
 use crate::decisions::outlier_detection::OutlierDetection;
 use crate::decisions::slow_start::{SlowStart, WarmRate};
@@ -32,7 +32,7 @@
     pub fn apply_settings(&mut self, old: &Settings, new: &Settings, traffic: &Traffic, now: Time) {
         self.outliers.set_rate_time_constant(traffic.time_constant());
         self.slow_start.apply_settings(new);
-        if !subset::assign_alike(old, new) {
+        if !subset::is_assignment_unchanged(old, new) {
             self.assign_subset(new, traffic.observed_calls_in_flight(), now);
         }
     }
@@ -110,7 +110,7 @@
     /// refers.
     pub fn remove_unreferenced(&mut self) {
         let attempt_counts = &self.attempt_counts;
-        self.endpoints.forget_removed(|index| attempt_counts.is_referenced(index));
+        self.endpoints.prune_removed(|index| attempt_counts.is_referenced(index));
     }
 
     /// Returns whether a backend is in service by the endpoint list, and not in maintenance.
@@ -142,7 +142,7 @@
     /// Begins the maintenance of a backend. Returns whether the maintenance has begun, which is false if the
     /// backend was in maintenance already.
     pub fn begin_maintenance(&mut self, id: BackendId, now: Time) -> bool {
-        self.maintenance.forget_returned(now, self.slow_start.duration());
+        self.maintenance.prune_returned(now, self.slow_start.duration());
         if self.maintenance.contains(id) {
             return false;
         }
@@ -154,7 +154,7 @@
 
     /// Ends the maintenance of a backend. Returns whether the backend was in maintenance.
     pub fn end_maintenance(&mut self, id: BackendId, now: Time) -> bool {
-        self.maintenance.forget_returned(now, self.slow_start.duration());
+        self.maintenance.prune_returned(now, self.slow_start.duration());
         if !self.maintenance.contains(id) {
             return false;
         }
@@ -199,7 +199,7 @@
     /// rate is divided by the number of subsets of the member over the mean, so that the rates of all
     /// balancers add up to the same total for each backend.
     fn warm_rate(&self, member: BackendIndex, context: &mut DecisionContext<'_>) -> WarmRate {
-        let memberships = self.subset.memberships_over_mean(member);
+        let memberships = self.subset.membership_ratio_to_mean(member);
         let successes = context.traffic.successes_per_second(context.now);
         if let Some(reported) = self.load_reports.requests_per_second_per_backend() {
             let balancers = self.balancers_per_backend(context.settings);
@@ -247,8 +247,8 @@
     pub fn record_load_report(&mut self, id: BackendId, report: Option<LoadReport>, now: Time) {
         let Some((index, report)) = self.index_of(id).zip(report) else { return };
         let state = match self.warming_up_since(index, now) {
-            Some(_) => ReportingBackend::WarmingUp,
-            None => ReportingBackend::Warm,
+            Some(_) => WarmUpState::WarmingUp,
+            None => WarmUpState::Warm,
         };
         self.load_reports.record(index, state, report);
     }
--- a/crates/balancer/src/decisions/scope.rs
+++ b/crates/balancer/src/decisions/scope.rs
@@ -1,8 +1,8 @@
-//! The backends to which an attempt may be sent.
+//! The scope of an attempt: all backends, or those of one zone or cell.
 
 use crate::interface::{CellId, Endpoint, ZoneId};
 
-/// The backends to which an attempt may be sent.
+/// The set of backends to which an attempt may be sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Scope {
     /// All backends.
