--- a/crates/balancer-proxy/src/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -3,7 +3,7 @@
 //! Owns the task of each running attempt. An attempt is removed once, by whichever event ends it
 //! first; the removal aborts its task, and later events find no attempt with its id.
 
-use crate::upstream::shared_flag::SharedFlag;
+use crate::upstream::completion_flag::CompletionFlag;
 use balancer::{AttemptId, BackendId, Time};
 use std::collections::HashMap;
 use tokio::task::AbortHandle;
@@ -29,13 +29,13 @@
 pub(super) struct RunningAttempt {
     sent: SentAttempt,
     /// Set by the task once the request has been written completely.
-    written: SharedFlag,
+    written: CompletionFlag,
     task: AbortHandle,
 }
 
 impl RunningAttempt {
     /// Combines an attempt with its task, which sets `written` once the request is written completely.
-    pub(super) fn new(sent: SentAttempt, written: SharedFlag, task: AbortHandle) -> Self {
+    pub(super) fn new(sent: SentAttempt, written: CompletionFlag, task: AbortHandle) -> Self {
         Self { sent, written, task }
     }
 }
--- a/crates/balancer-proxy/src/engine/attempts/tests.rs
+++ b/crates/balancer-proxy/src/engine/attempts/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the table of running attempts.
 
 use super::{RunningAttempt, RunningAttempts, SentAttempt, WriteProgress};
-use crate::upstream::shared_flag::SharedFlag;
+use crate::upstream::completion_flag::CompletionFlag;
 use balancer::{AttemptId, AttemptNumber, BackendId, RequestId};
 
 const ID: AttemptId = AttemptId { request: RequestId(7), number: AttemptNumber(1) };
@@ -17,7 +17,7 @@
 fn reports_the_write_progress_of_a_running_attempt_only() {
     run_with_tasks(async {
         let mut attempts = RunningAttempts::default();
-        let written = SharedFlag::default();
+        let written = CompletionFlag::default();
         let task = tokio::task::spawn_local(std::future::pending::<()>());
         attempts.insert(ID, RunningAttempt::new(SENT, written.clone(), task.abort_handle()));
 
@@ -38,7 +38,7 @@
     run_with_tasks(async {
         let mut attempts = RunningAttempts::default();
         let task = tokio::task::spawn_local(std::future::pending::<()>());
-        attempts.insert(ID, RunningAttempt::new(SENT, SharedFlag::default(), task.abort_handle()));
+        attempts.insert(ID, RunningAttempt::new(SENT, CompletionFlag::default(), task.abort_handle()));
 
         let first = attempts.remove(ID);
         let second = attempts.remove(ID);
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -14,7 +14,7 @@
 use crate::settings::SettingsSnapshot;
 use crate::upstream::attempt::{self, AttemptParameters, AttemptResult};
 use crate::upstream::load_report;
-use crate::upstream::shared_flag::SharedFlag;
+use crate::upstream::completion_flag::CompletionFlag;
 use balancer::{Action, AttemptId, BackendId, Event, RequestId, Time};
 use std::cell::{RefCell, RefMut};
 use std::rc::{Rc, Weak};
@@ -160,7 +160,7 @@
         let id = AttemptId { request: command.request, number: request.count_attempt() };
         let deadline = request.attempt_deadline(command.decided_at, command.timeout);
         let response_deadline = request.response_deadline(deadline, command.decided_at);
-        let written = SharedFlag::default();
+        let written = CompletionFlag::default();
         let attempt = attempt::attempt(AttemptParameters {
             pool,
             request: request.forwarded.clone(),
--- a/crates/balancer-proxy/src/upstream/attempt.rs
+++ b/crates/balancer-proxy/src/upstream/attempt.rs
@@ -9,7 +9,7 @@
 use super::load_report;
 use super::pool::{CheckedOutConnection, ConnectionLease, ConnectionPool};
 use super::response_body::{BackendResponse, ResponseContent, StreamedResponseBody};
-use super::shared_flag::SharedFlag;
+use super::completion_flag::CompletionFlag;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use balancer::{LoadReport, Outcome, Time};
@@ -60,7 +60,7 @@
     /// Set once the complete request has been written. From then on the request may run even if the
     /// attempt fails, so that a failure is reported as a reset. If the attempt is dropped before, the
     /// request never runs.
-    pub written: SharedFlag,
+    pub written: CompletionFlag,
     /// The metrics in which a request that has been written is counted.
     pub metrics: Rc<Metrics>,
 }
@@ -69,7 +69,7 @@
 pub async fn attempt(parameters: AttemptParameters) -> AttemptResult {
     let AttemptParameters { pool, request, clock, response_deadline, write_deadline, written, metrics } =
         parameters;
-    let build_request = |final_data: &SharedFlag| request.build(response_deadline - clock.now(), final_data);
+    let build_request = |final_data: &CompletionFlag| request.build(response_deadline - clock.now(), final_data);
     let context = ExchangeContext {
         request_written: written,
         write_deadline: write_deadline.map(|deadline| clock.instant_at(deadline)),
@@ -84,7 +84,7 @@
     path: &'static str,
     clock: Clock,
 ) -> AttemptResult {
-    let build_request = |final_data: &SharedFlag| {
+    let build_request = |final_data: &CompletionFlag| {
         final_data.set();
         let mut request = Request::new(AttemptBody::empty());
         *request.uri_mut() = Uri::from_static(path);
--- a/crates/balancer-proxy/src/upstream/attempt_body.rs
+++ b/crates/balancer-proxy/src/upstream/attempt_body.rs
@@ -1,7 +1,7 @@
 //! The body that one attempt sends to its backend.
 
 use super::request_body::StreamedRequestBody;
-use super::shared_flag::SharedFlag;
+use super::completion_flag::CompletionFlag;
 use crate::stream_error::StreamError;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
@@ -20,7 +20,7 @@
         /// The number of chunks that this attempt has handed out.
         sent_chunks: usize,
         /// Set once the last chunk has been handed out.
-        final_data: SharedFlag,
+        final_data: CompletionFlag,
     },
 }
 
@@ -32,7 +32,7 @@
 
     /// Creates a body that hands out `source` from its beginning, and sets `final_data` with the last
     /// chunk.
-    pub(super) fn streamed(source: Rc<StreamedRequestBody>, final_data: SharedFlag) -> Self {
+    pub(super) fn streamed(source: Rc<StreamedRequestBody>, final_data: CompletionFlag) -> Self {
         Self::Streamed { source, sent_chunks: 0, final_data }
     }
 }
--- a/crates/balancer-proxy/src/upstream/shared_flag.rs
+++ b/crates/balancer-proxy/src/upstream/completion_flag.rs
@@ -1,13 +1,13 @@
-//! A flag that several parts of one attempt share.
+//! A flag that marks a step of an attempt as complete, shared by the parts that set and read it.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A flag for use on one thread, initially not set. All clones of a flag share its value.
+/// A flag for use on one thread, initially not set. All clones of a flag share one value.
 #[derive(Clone, Debug, Default)]
-pub struct SharedFlag(Rc<Cell<bool>>);
+pub struct CompletionFlag(Rc<Cell<bool>>);
 
-impl SharedFlag {
+impl CompletionFlag {
     /// Returns whether the flag is set.
     #[must_use]
     pub fn is_set(&self) -> bool {
--- a/crates/balancer-proxy/src/upstream/exchange.rs
+++ b/crates/balancer-proxy/src/upstream/exchange.rs
@@ -5,7 +5,7 @@
 use super::body_chunks::BodyChunks;
 use super::connection::{Connection, ConnectionOrigin};
 use super::exchange_progress::{EarlyData, ExchangeContext};
-use super::shared_flag::SharedFlag;
+use super::completion_flag::CompletionFlag;
 use crate::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -24,7 +24,7 @@
 /// Builds the request of an exchange, once for each connection to which the request is written. Returns
 /// `None` if the body cannot be sent any more. The request sets the flag once the end of its body has
 /// been handed out.
-pub(super) type BuildRequest<'a> = &'a dyn Fn(&SharedFlag) -> Option<Request<AttemptBody>>;
+pub(super) type BuildRequest<'a> = &'a dyn Fn(&CompletionFlag) -> Option<Request<AttemptBody>>;
 
 /// A response with any status.
 pub(super) struct ReceivedResponse {
@@ -102,7 +102,7 @@
 async fn send_and_receive(
     connection: &mut Connection,
     request: Request<AttemptBody>,
-    request_written: &SharedFlag,
+    request_written: &CompletionFlag,
 ) -> Result<ReceivedResponse, ExchangeError> {
     let response = match connection.send(request).await {
         Some(Ok(response)) => response,
--- a/crates/balancer-proxy/src/upstream/exchange_progress.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_progress.rs
@@ -1,7 +1,7 @@
 //! The state that an exchange shares with the socket of its connection: the time at which data of the
 //! response last arrived, and the write progress of the request.
 
-use super::shared_flag::SharedFlag;
+use super::completion_flag::CompletionFlag;
 use crate::metrics::Metrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -53,7 +53,7 @@
 pub(super) struct ExchangeContext {
     /// Set once the complete request has been written. The engine shares this flag: when the engine ends
     /// the attempt, the flag decides whether the request may run.
-    pub(super) request_written: SharedFlag,
+    pub(super) request_written: CompletionFlag,
     /// The time after which the last byte of the request is not written, if there is such a limit.
     pub(super) write_deadline: Option<Instant>,
     /// The metrics in which a request that has been written is counted, if it is to be counted.
@@ -75,7 +75,7 @@
 pub(super) struct RequestWriteState {
     context: RefCell<ExchangeContext>,
     /// Set once the end of the body has been handed out: the next write contains the last byte.
-    final_data: SharedFlag,
+    final_data: CompletionFlag,
     early_data: Cell<EarlyData>,
 }
 
@@ -93,7 +93,7 @@
     }
 
     /// Returns the flag that the body of the request sets once its end has been handed out.
-    pub(super) fn final_data(&self) -> &SharedFlag {
+    pub(super) fn final_data(&self) -> &CompletionFlag {
         &self.final_data
     }
 
--- a/crates/balancer-proxy/src/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_body::AttemptBody;
 use super::request_body::StreamedRequestBody;
-use super::shared_flag::SharedFlag;
+use super::completion_flag::CompletionFlag;
 use balancer::Time;
 use bytes::Bytes;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue};
@@ -47,7 +47,7 @@
     pub(super) fn build(
         &self,
         remaining_time: Time,
-        final_data: &SharedFlag,
+        final_data: &CompletionFlag,
     ) -> Option<Request<AttemptBody>> {
         let mut request = Request::new(self.attempt_body(final_data)?);
         *request.method_mut() = self.method.clone();
@@ -68,7 +68,7 @@
     }
 
     /// Returns the body for one attempt, or `None` if the body cannot be sent any more.
-    fn attempt_body(&self, final_data: &SharedFlag) -> Option<AttemptBody> {
+    fn attempt_body(&self, final_data: &CompletionFlag) -> Option<AttemptBody> {
         match &self.body {
             ForwardedBody::Buffered(complete) => {
                 final_data.set();
--- a/crates/balancer-proxy/src/upstream/mod.rs
+++ b/crates/balancer-proxy/src/upstream/mod.rs
@@ -13,6 +13,6 @@
 pub(crate) mod request_body;
 pub(crate) mod response_body;
 mod send_deadlines;
-pub mod shared_flag;
+pub mod completion_flag;
 mod socket;
 mod transfer_pace;
--- a/crates/balancer-proxy/src/upstream/request_body.rs
+++ b/crates/balancer-proxy/src/upstream/request_body.rs
@@ -3,7 +3,7 @@
 //! request can be sent again, until more than the beginning has been forwarded.
 
 use super::body_chunks::BodyChunks;
-use super::shared_flag::SharedFlag;
+use super::completion_flag::CompletionFlag;
 use super::transfer_pace::TransferPace;
 use crate::limits::MAX_BODY_BYTES;
 use crate::stream_error::StreamError;
@@ -167,7 +167,7 @@
         &self,
         cx: &mut Context<'_>,
         sent_chunks: &mut usize,
-        final_data: &SharedFlag,
+        final_data: &CompletionFlag,
     ) -> Poll<Option<Result<Bytes, StreamError>>> {
         let mut state = self.state.borrow_mut();
         let next = match state.buffered.get(*sent_chunks) {
--- a/crates/balancer-proxy/tests/forwarding.rs
+++ b/crates/balancer-proxy/tests/forwarding.rs
@@ -10,7 +10,7 @@
 use balancer_proxy::upstream::attempt::{AttemptParameters, attempt};
 use balancer_proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
 use balancer_proxy::upstream::pool::{ConnectionPool, ConnectionTimeouts};
-use balancer_proxy::upstream::shared_flag::SharedFlag;
+use balancer_proxy::upstream::completion_flag::CompletionFlag;
 use common::closed_address::ClosedAddress;
 use common::configuration::{READINESS_REQUEST, default_settings, endpoint_list, listed_endpoint, request};
 use common::proxy_process::ProxyProcess;
@@ -112,7 +112,7 @@
             clock: Clock::start(),
             response_deadline: 20.0,
             write_deadline: Some(20.0),
-            written: SharedFlag::default(),
+            written: CompletionFlag::default(),
             metrics,
         });
         runtime.block_on(running_attempt).outcome
--- a/crates/balancer-proxy/tests/withheld_last_byte.rs
+++ b/crates/balancer-proxy/tests/withheld_last_byte.rs
@@ -10,7 +10,7 @@
 use balancer_proxy::upstream::attempt::{AttemptParameters, attempt};
 use balancer_proxy::upstream::forwarded_request::{ForwardedBody, ForwardedRequest};
 use balancer_proxy::upstream::pool::{ConnectionPool, ConnectionTimeouts};
-use balancer_proxy::upstream::shared_flag::SharedFlag;
+use balancer_proxy::upstream::completion_flag::CompletionFlag;
 use common::waiting::TEST_TIMEOUT;
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
@@ -37,7 +37,7 @@
             headers: [("host".parse().unwrap(), "app.svc".parse().unwrap())].into_iter().collect(),
             body: ForwardedBody::Buffered("body".into()),
         };
-        let written = SharedFlag::default();
+        let written = CompletionFlag::default();
         let metrics = Metrics::new(&ProxySettings::default());
         let timeouts = ConnectionTimeouts { connect: TEST_TIMEOUT, idle: TEST_TIMEOUT };
         let pool = Rc::new(ConnectionPool::new(address, Budget::new(4), timeouts));
