--- a/crates/balancer-proxy/src/downstream/server.rs
+++ b/crates/balancer-proxy/src/downstream/server.rs
@@ -159,7 +159,7 @@
         stop_signal.await;
         let schedule = ShutdownSchedule::new(self.engine.longest_deadline());
         self.lifecycle.start_shutdown(schedule);
-        self.engine.finish_by(schedule.response_deadline.into_std());
+        self.engine.set_shutdown_deadline(schedule.response_deadline.into_std());
         log!("balancer-proxy: stopping");
         let has_successor = self.instance_lock.as_ref().is_some_and(|lock| lock.other_is_listening());
         if has_successor {
--- a/crates/balancer-proxy/src/engine/submission.rs
+++ b/crates/balancer-proxy/src/engine/submission.rs
@@ -106,7 +106,7 @@
 
     /// Gives all requests, including those that arrive later, their final responses by
     /// `shutdown_deadline`, at which the process ends.
-    pub fn finish_by(&self, shutdown_deadline: Instant) {
+    pub fn set_shutdown_deadline(&self, shutdown_deadline: Instant) {
         let start = self.dispatcher.clock.start_instant();
         let deadline = shutdown_deadline.saturating_duration_since(start).as_secs_f64();
         let brought_forward = self.dispatcher.state().requests.set_shutdown_deadline(deadline);
