--- a/crates/balancer-proxy/src/engine/background_tasks.rs
+++ b/crates/balancer-proxy/src/engine/background_tasks.rs
@@ -33,7 +33,7 @@
         lateness = lateness.max(now - scheduled.due);
         engine.dispatcher.expire_timer(scheduled.timer);
     }
-    engine.scheduling_lag.record(lateness);
+    engine.event_loop_lag.record(lateness);
 }
 
 async fn sweep_idle_connections(engine: Rc<Engine>) {
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -14,7 +14,7 @@
 //! - `state`: these parts together, and how requests and attempts end;
 //! - `dispatcher`: gives events to the module and carries out its actions;
 //! - `background_tasks`: the tasks that expire timers and close idle connections;
-//! - `scheduling_lag`: how late the process runs its timers;
+//! - `event_loop_lag`: how late the process runs its timers;
 //! - `supervisor`: restarts the background tasks after a panic.
 
 mod attempts;
@@ -23,7 +23,7 @@
 mod dispatcher;
 mod endpoints;
 mod requests;
-mod scheduling_lag;
+mod event_loop_lag;
 mod state;
 mod submission;
 mod supervisor;
@@ -41,7 +41,7 @@
 use balancer::{BackendId, Event, MaintenanceChange, ServingProcesses, Time};
 use decisions::PendingEvent;
 use dispatcher::Dispatcher;
-use scheduling_lag::SchedulingLag;
+use event_loop_lag::EventLoopLag;
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -52,7 +52,7 @@
 /// Drives the decision module.
 pub struct Engine {
     dispatcher: Rc<Dispatcher>,
-    scheduling_lag: SchedulingLag,
+    event_loop_lag: EventLoopLag,
     /// Set once a backend in service has been listed.
     has_listed_backend: Cell<bool>,
 }
@@ -72,7 +72,7 @@
     ) -> Rc<Self> {
         let engine = Rc::new(Self {
             dispatcher: Dispatcher::new(settings, seed, max_backend_connections, metrics),
-            scheduling_lag: SchedulingLag::default(),
+            event_loop_lag: EventLoopLag::default(),
             has_listed_backend: Cell::new(false),
         });
         background_tasks::spawn(&engine);
--- a/crates/balancer-proxy/src/engine/submission.rs
+++ b/crates/balancer-proxy/src/engine/submission.rs
@@ -66,7 +66,7 @@
         }
         let now = self.dispatcher.clock.now();
         // The client's timeout started when it sent the request, which may then have waited to be read.
-        request.timeout -= self.scheduling_lag.get();
+        request.timeout -= self.event_loop_lag.get();
         let timeout = request.timeout - RESPONSE_MARGIN_SECS;
         request.timeout -= DECISION_MARGIN_SECS;
         let deadline = state.requests.insert(
