--- a/crates/balancer-proxy/src/engine/decisions.rs
+++ b/crates/balancer-proxy/src/engine/decision_module.rs
@@ -28,12 +28,12 @@
 }
 
 /// The decision module with its queue of events.
-pub(super) struct Decisions {
+pub(super) struct DecisionModule {
     balancer: Balancer,
     pending: VecDeque<PendingEvent>,
 }
 
-impl Decisions {
+impl DecisionModule {
     /// Creates a decision module at time `now`, whose random draws depend on `seed`.
     pub(super) fn new(now: Time, seed: u64, settings: Settings) -> Self {
         Self { balancer: Balancer::new(now, seed, settings), pending: VecDeque::new() }
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -4,7 +4,7 @@
 //! spawns the tasks of attempts and health checks, and reports the end of each to the module.
 
 use super::attempts::{RunningAttempt, SentAttempt};
-use super::decisions::PendingEvent;
+use super::decision_module::PendingEvent;
 use super::requests::FinalResponse;
 use super::state::State;
 use super::timers::{Timer, Timers};
@@ -102,14 +102,14 @@
 
     /// Queues an event, and has the module decide on all pending events.
     pub(super) fn handle(&self, mut state: RefMut<'_, State>, event: impl Into<PendingEvent>) {
-        state.decisions.push(event);
+        state.decision_module.push(event);
         self.decide(state);
     }
 
     /// Has the module decide on all pending events, and carries out its actions.
     fn decide(&self, mut state: RefMut<'_, State>) {
         let mut actions = Vec::new();
-        while let Some(now) = state.decisions.handle_next(&self.clock, &mut actions) {
+        while let Some(now) = state.decision_module.handle_next(&self.clock, &mut actions) {
             for action in actions.drain(..) {
                 self.carry_out(&mut state, action, now);
             }
@@ -201,7 +201,7 @@
     pub(super) fn expire_timer(&self, timer: Timer) {
         let mut state = self.state();
         match timer {
-            Timer::Decision(token) => state.decisions.push(Event::Timer(token)),
+            Timer::Decision(token) => state.decision_module.push(Event::Timer(token)),
             Timer::WriteDeadline(id) => state.expire_write_deadline(id),
             Timer::AttemptDeadline(id) => state.expire_attempt_deadline(id),
             Timer::RequestDeadline(id) => state.expire_request_deadline(id),
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -10,7 +10,7 @@
 //! - `attempts`: the running attempts;
 //! - `endpoints`: the backends and their connection pools;
 //! - `timers`: the timers, in the order in which they are due;
-//! - `decisions`: the decision module and its pending events;
+//! - `decision_module`: the decision module and its pending events;
 //! - `state`: these parts together, and how requests and attempts end;
 //! - `dispatcher`: gives events to the module and carries out its actions;
 //! - `background_tasks`: the tasks that expire timers and close idle connections;
@@ -19,7 +19,7 @@
 
 mod attempts;
 mod background_tasks;
-mod decisions;
+mod decision_module;
 mod dispatcher;
 mod endpoints;
 mod requests;
@@ -39,7 +39,7 @@
 use super::settings::SettingsSnapshot;
 use super::watch_event::WatchEvent;
 use balancer::{BackendId, Event, MaintenanceChange, ServingProcesses, Time};
-use decisions::PendingEvent;
+use decision_module::PendingEvent;
 use dispatcher::Dispatcher;
 use event_loop_lag::EventLoopLag;
 use std::cell::Cell;
@@ -161,8 +161,8 @@
     pub fn metrics_json(&self) -> serde_json::Result<String> {
         let state = self.dispatcher.state();
         let backends = BackendCounts {
-            listed: state.decisions.backends_listed(),
-            avoided: state.decisions.backends_avoided(),
+            listed: state.decision_module.backends_listed(),
+            avoided: state.decision_module.backends_avoided(),
         };
         self.metrics().to_json(backends)
     }
--- a/crates/balancer-proxy/src/engine/state.rs
+++ b/crates/balancer-proxy/src/engine/state.rs
@@ -5,7 +5,7 @@
 //! once, and the client of a request gets the first response.
 
 use super::attempts::{RunningAttempts, WriteProgress};
-use super::decisions::Decisions;
+use super::decision_module::DecisionModule;
 use super::endpoints::Endpoints;
 use super::requests::{FinalResponse, OpenRequest, OpenRequests};
 use crate::clock::Clock;
@@ -15,7 +15,7 @@
 /// The state that events and actions change.
 pub(super) struct State {
     clock: Clock,
-    pub(super) decisions: Decisions,
+    pub(super) decision_module: DecisionModule,
     pub(super) requests: OpenRequests,
     pub(super) attempts: RunningAttempts,
     pub(super) endpoints: Endpoints,
@@ -27,7 +27,7 @@
     pub(super) fn new(clock: Clock, seed: u64, settings: Settings, max_backend_connections: usize) -> Self {
         Self {
             clock,
-            decisions: Decisions::new(clock.now(), seed, settings),
+            decision_module: DecisionModule::new(clock.now(), seed, settings),
             requests: OpenRequests::new(),
             attempts: RunningAttempts::default(),
             endpoints: Endpoints::new(max_backend_connections),
@@ -41,12 +41,12 @@
             return;
         };
         if self.requests.get(id.request).is_some_and(|request| request.forwarded.is_consumed()) {
-            self.decisions.push(Event::BodyConsumed(id.request));
+            self.decision_module.push(Event::BodyConsumed(id.request));
         }
         if let Some(response) = result.response {
             self.requests.respond(id.request, FinalResponse::Success(response));
         }
-        self.decisions.push(Event::AttemptEnded(EndedAttempt {
+        self.decision_module.push(Event::AttemptEnded(EndedAttempt {
             id: id.request,
             backend: sent.backend,
             attempt: id.number,
@@ -59,7 +59,7 @@
 
     /// Notifies the module that an attempt for which it asked was not sent.
     pub(super) fn report_not_sent(&mut self, id: RequestId, backend: BackendId) {
-        self.decisions.push(Event::AttemptEnded(EndedAttempt {
+        self.decision_module.push(Event::AttemptEnded(EndedAttempt {
             id,
             backend,
             attempt: self.requests.get(id).map_or(AttemptNumber::default(), OpenRequest::next_attempt_number),
@@ -107,7 +107,7 @@
     /// in time, and learns of the end as if the client had disconnected.
     pub(super) fn expire_request_deadline(&mut self, id: RequestId) {
         if self.requests.respond(id, FinalResponse::Failed) {
-            self.decisions.push(Event::ClientDisconnected(id));
+            self.decision_module.push(Event::ClientDisconnected(id));
         }
     }
 
