--- a/crates/balancer-proxy/src/engine/background_tasks.rs
+++ b/crates/balancer-proxy/src/engine/background_tasks.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Interval between two sweeps of the idle connections.
-const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+const IDLE_CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Spawns the tasks on the current [`tokio::task::LocalSet`].
 pub(super) fn spawn(engine: &Rc<Engine>) {
@@ -38,9 +38,9 @@
 
 async fn sweep_idle_connections(engine: Rc<Engine>) {
     loop {
-        tokio::time::sleep(IDLE_SWEEP_INTERVAL).await;
+        tokio::time::sleep(IDLE_CONNECTION_SWEEP_INTERVAL).await;
         let mut state = engine.dispatcher.state();
-        state.endpoints.forget_removed(&engine.dispatcher.clock);
+        state.endpoints.drop_expired_pools(&engine.dispatcher.clock);
         state.endpoints.sweep_idle();
     }
 }
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -6,7 +6,7 @@
 use super::attempts::{RunningAttempt, SentAttempt};
 use super::decision_module::PendingEvent;
 use super::requests::FinalResponse;
-use super::state::State;
+use super::state::EngineState;
 use super::timers::{Timer, Timers};
 use crate::clock::Clock;
 use crate::control::discovery::Discovery;
@@ -20,11 +20,11 @@
 use std::rc::{Rc, Weak};
 
 /// Path of a health check that finds out only whether the backend serves requests.
-const HEALTH_PATH: &str = "/-/healthy";
+const HEALTH_CHECK_PATH: &str = "/-/healthy";
 /// Path of a health check whose response is a load report.
 const LOAD_REPORT_PATH: &str = "/-/load";
 /// The timeout of [`Action::Send`] by which an attempt may take as long as its request.
-const REQUEST_TIMEOUT: Time = 0.0;
+const NO_ATTEMPT_TIMEOUT_SECS: Time = 0.0;
 
 /// The command of the decision module to send an attempt. Times are those of the proxy's clock, in
 /// seconds.
@@ -43,9 +43,9 @@
 pub(super) struct Dispatcher {
     /// A reference to the dispatcher itself, by which the tasks of attempts and health checks report
     /// their ends.
-    this: Weak<Dispatcher>,
+    weak_self: Weak<Dispatcher>,
     pub(super) clock: Clock,
-    state: RefCell<State>,
+    state: RefCell<EngineState>,
     pub(super) timers: Timers,
     discovery: RefCell<Weak<Discovery>>,
     pub(super) metrics: Rc<Metrics>,
@@ -64,9 +64,9 @@
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let clock = Clock::start();
-        let state = State::new(clock, seed, settings.balancer.clone(), max_backend_connections);
-        Rc::new_cyclic(|this| Self {
-            this: this.clone(),
+        let state = EngineState::new(clock, seed, settings.balancer.clone(), max_backend_connections);
+        Rc::new_cyclic(|weak_self| Self {
+            weak_self: weak_self.clone(),
             clock,
             state: RefCell::new(state),
             timers: Timers::default(),
@@ -77,7 +77,7 @@
     }
 
     /// Returns the state for changes. The borrow must end before the next one begins.
-    pub(super) fn state(&self) -> RefMut<'_, State> {
+    pub(super) fn state(&self) -> RefMut<'_, EngineState> {
         self.state.borrow_mut()
     }
 
@@ -101,29 +101,29 @@
     }
 
     /// Queues an event, and has the module decide on all pending events.
-    pub(super) fn handle(&self, mut state: RefMut<'_, State>, event: impl Into<PendingEvent>) {
+    pub(super) fn handle(&self, mut state: RefMut<'_, EngineState>, event: impl Into<PendingEvent>) {
         state.decision_module.push(event);
         self.decide(state);
     }
 
     /// Has the module decide on all pending events, and carries out its actions.
-    fn decide(&self, mut state: RefMut<'_, State>) {
+    fn decide(&self, mut state: RefMut<'_, EngineState>) {
         let mut actions = Vec::new();
         while let Some(now) = state.decision_module.handle_next(&self.clock, &mut actions) {
             for action in actions.drain(..) {
-                self.carry_out(&mut state, action, now);
+                self.execute(&mut state, action, now);
             }
         }
     }
 
     /// Carries out an action on which the module decided at time `now`.
-    fn carry_out(&self, state: &mut State, action: Action, now: Time) {
+    fn execute(&self, state: &mut EngineState, action: Action, now: Time) {
         match action {
             Action::Send { id, backend, timeout, write_within } => {
                 let command = SendCommand {
                     request: id,
                     backend,
-                    timeout: (timeout != REQUEST_TIMEOUT).then_some(timeout),
+                    timeout: (timeout != NO_ATTEMPT_TIMEOUT_SECS).then_some(timeout),
                     write_deadline: write_within.is_finite().then_some(now + write_within),
                     decided_at: now,
                 };
@@ -150,10 +150,10 @@
 
     /// Sends the next attempt of a request. If the request is closed or has no attempt left, or the
     /// backend is unknown, the module is notified that nothing was sent.
-    fn send(&self, state: &mut State, command: &SendCommand) {
+    fn send(&self, state: &mut EngineState, command: &SendCommand) {
         let pool = state.endpoints.pool(command.backend);
         let request = state.requests.get_mut(command.request).filter(|request| request.has_attempt_left());
-        let (Some(request), Some(pool), Some(this)) = (request, pool, self.this.upgrade()) else {
+        let (Some(request), Some(pool), Some(this)) = (request, pool, self.weak_self.upgrade()) else {
             return state.report_not_sent(command.request, command.backend);
         };
         state.endpoints.evict_idle_if_full();
@@ -210,12 +210,12 @@
     }
 
     /// Starts a health check of a backend that has a pool.
-    fn check_health(&self, state: &State, backend: BackendId) {
-        let (Some(pool), Some(this)) = (state.endpoints.pool(backend), self.this.upgrade()) else {
+    fn check_health(&self, state: &EngineState, backend: BackendId) {
+        let (Some(pool), Some(this)) = (state.endpoints.pool(backend), self.weak_self.upgrade()) else {
             return;
         };
-        let wants_load_report = self.settings.borrow().balancer.health_checks_for_load_reports;
-        let path = if wants_load_report { LOAD_REPORT_PATH } else { HEALTH_PATH };
+        let requests_load_report = self.settings.borrow().balancer.health_checks_for_load_reports;
+        let path = if requests_load_report { LOAD_REPORT_PATH } else { HEALTH_CHECK_PATH };
         let check = attempt::health_check(pool, path, self.clock);
         tokio::task::spawn_local(async move {
             let result = check.await;
--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -136,8 +136,8 @@
     /// Forgets the backends that are gone and past their grace period, so that memory stays bounded
     /// where backends are replaced all the time. A pool with a single reference is in use by no attempt
     /// and no health check, and may be dropped.
-    pub(super) fn forget_removed(&mut self, clock: &Clock) {
-        self.pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.can_be_forgotten(clock));
+    pub(super) fn drop_expired_pools(&mut self, clock: &Clock) {
+        self.pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.is_removal_expired(clock));
     }
 
     /// Limits the connections that are open at once, and closes idle ones beyond the limit.
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -156,14 +156,14 @@
     /// Sets the deadline of the shutdown, and returns the requests whose deadlines it brings forward.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Time) -> Vec<RequestId> {
         self.shutdown_deadline = deadline;
-        let mut brought_forward = Vec::new();
+        let mut moved_earlier = Vec::new();
         for (id, request) in &mut self.by_id {
             if request.deadline > deadline {
                 request.deadline = deadline;
-                brought_forward.push(*id);
+                moved_earlier.push(*id);
             }
         }
-        brought_forward
+        moved_earlier
     }
 
     /// Returns the longest deadline of any class, in seconds, in all settings under which open requests
--- a/crates/balancer-proxy/src/engine/requests/tests.rs
+++ b/crates/balancer-proxy/src/engine/requests/tests.rs
@@ -79,11 +79,11 @@
         })
         .collect();
 
-    let mut brought_forward = requests.set_shutdown_deadline(4.0);
+    let mut moved_earlier = requests.set_shutdown_deadline(4.0);
     let later_deadline = requests.insert(ids[3], request_with_deadline(9.0).0);
 
-    brought_forward.sort_unstable();
-    assert_eq!(brought_forward, [ids[1], ids[2]]);
+    moved_earlier.sort_unstable();
+    assert_eq!(moved_earlier, [ids[1], ids[2]]);
     assert_eq!(later_deadline, 4.0);
     assert_eq!(requests.get(ids[0]).unwrap().deadline, 2.0);
 }
--- a/crates/balancer-proxy/src/engine/state.rs
+++ b/crates/balancer-proxy/src/engine/state.rs
@@ -1,7 +1,7 @@
 //! The state of the engine, and how requests and attempts end.
 //!
 //! Owns the decision module with its pending events, the open requests, the running attempts and the
-//! backends. Each end of an attempt passes through [`State`], so that the module is notified of the end
+//! backends. Each end of an attempt passes through [`EngineState`], so that the module is notified of the end
 //! once, and the client of a request gets the first response.
 
 use super::attempts::{RunningAttempts, WriteProgress};
@@ -13,7 +13,7 @@
 use balancer::{AttemptId, AttemptNumber, BackendId, EndedAttempt, Event, Outcome, RequestId, Settings};
 
 /// The state that events and actions change.
-pub(super) struct State {
+pub(super) struct EngineState {
     clock: Clock,
     pub(super) decision_module: DecisionModule,
     pub(super) requests: OpenRequests,
@@ -21,7 +21,7 @@
     pub(super) endpoints: Endpoints,
 }
 
-impl State {
+impl EngineState {
     /// Creates the state without requests and backends. At most `max_backend_connections` connections
     /// to backends will be open at once.
     pub(super) fn new(clock: Clock, seed: u64, settings: Settings, max_backend_connections: usize) -> Self {
--- a/crates/balancer-proxy/src/engine/submission.rs
+++ b/crates/balancer-proxy/src/engine/submission.rs
@@ -109,8 +109,8 @@
     pub fn set_shutdown_deadline(&self, shutdown_deadline: Instant) {
         let start = self.dispatcher.clock.start_instant();
         let deadline = shutdown_deadline.saturating_duration_since(start).as_secs_f64();
-        let brought_forward = self.dispatcher.state().requests.set_shutdown_deadline(deadline);
-        for id in brought_forward {
+        let moved_earlier = self.dispatcher.state().requests.set_shutdown_deadline(deadline);
+        for id in moved_earlier {
             self.dispatcher.timers.set(deadline, Timer::RequestDeadline(id));
         }
     }
--- a/crates/balancer-proxy/src/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns whether the backend is removed and its grace period is over.
-    pub(crate) fn can_be_forgotten(&self, clock: &Clock) -> bool {
+    pub(crate) fn is_removal_expired(&self, clock: &Clock) -> bool {
         self.send_deadlines.is_expired(clock.now())
     }
 
