--- a/crates/balancer-proxy/src/upstream/mod.rs
+++ b/crates/balancer-proxy/src/upstream/mod.rs
@@ -15,4 +15,4 @@
 mod send_deadlines;
 pub mod completion_flag;
 mod socket;
-mod transfer_pace;
+mod transfer_rate;
--- a/crates/balancer-proxy/src/upstream/request_body.rs
+++ b/crates/balancer-proxy/src/upstream/request_body.rs
@@ -4,7 +4,7 @@
 
 use super::body_chunks::BodyChunks;
 use super::completion_flag::CompletionFlag;
-use super::transfer_pace::TransferPace;
+use super::transfer_rate::TransferRateMonitor;
 use crate::limits::MAX_BODY_BYTES;
 use crate::stream_error::StreamError;
 use bytes::Bytes;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Interval between two checks of the pace of a body.
-const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const RATE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The body of a request, while it is received from its client.
 pub struct StreamedRequestBody {
@@ -30,7 +30,7 @@
     incoming: Incoming,
     /// The number of bytes still to be received, if the length is known.
     remaining_bytes: Option<u64>,
-    pace: TransferPace,
+    transfer_rate: TransferRateMonitor,
     /// Set once the body is complete, or cannot be completed any more.
     end: Option<Result<(), StreamError>>,
     /// Set once more has been forwarded than is buffered.
@@ -48,7 +48,7 @@
             }
             match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Pending => {
-                    self.pace.start_waiting();
+                    self.transfer_rate.start_waiting();
                     return Poll::Pending;
                 }
                 Poll::Ready(Some(Ok(frame))) => {
@@ -66,8 +66,8 @@
 
     /// Counts a chunk that was received, and returns it, or `None` if the body has become too long.
     fn accept(&mut self, chunk: Bytes) -> Option<Bytes> {
-        self.pace.record_chunk(chunk.len());
-        if self.pace.received_bytes() as u64 > MAX_BODY_BYTES {
+        self.transfer_rate.record_chunk(chunk.len());
+        if self.transfer_rate.received_bytes() as u64 > MAX_BODY_BYTES {
             self.finish(Err(StreamError::TooLong));
             return None;
         }
@@ -95,7 +95,7 @@
             buffered: BodyChunks::default(),
             remaining_bytes: incoming.size_hint().exact(),
             incoming,
-            pace: TransferPace::new(base_timeout),
+            transfer_rate: TransferRateMonitor::new(base_timeout),
             end: None,
             is_consumed: false,
             end_waker: None,
@@ -151,8 +151,8 @@
 
     /// Returns once the body arrives too slowly.
     async fn wait_until_too_slow(&self) {
-        while !self.state.borrow().pace.is_too_slow() {
-            tokio::time::sleep(PACE_CHECK_INTERVAL).await;
+        while !self.state.borrow().transfer_rate.is_too_slow() {
+            tokio::time::sleep(RATE_CHECK_INTERVAL).await;
         }
     }
 
--- a/crates/balancer-proxy/src/upstream/transfer_pace.rs
+++ b/crates/balancer-proxy/src/upstream/transfer_rate.rs
@@ -4,11 +4,11 @@
 use tokio::time::Instant;
 
 /// Least average rate, in bytes per second, at which a body must arrive beyond its base timeout.
-const MIN_BYTES_PER_SECOND: f64 = 40e3;
+const MIN_TRANSFER_BYTES_PER_SECOND: f64 = 40e3;
 
 /// The time spent waiting for a body, and the bytes received of the body. Time in which no chunk is
 /// awaited, because the receiving side is slower, does not count.
-pub(super) struct TransferPace {
+pub(super) struct TransferRateMonitor {
     /// The time that the body is allowed in addition to that of its bytes.
     base_timeout: Duration,
     /// The time since which the next chunk is awaited, if one is awaited.
@@ -18,7 +18,7 @@
     received_bytes: usize,
 }
 
-impl TransferPace {
+impl TransferRateMonitor {
     /// Creates the pace of a body that is allowed `base_timeout` in addition to the time of its bytes.
     pub(super) fn new(base_timeout: Duration) -> Self {
         Self { base_timeout, waiting_since: None, waited: Duration::ZERO, received_bytes: 0 }
@@ -52,10 +52,10 @@
     }
 }
 
-/// Returns the time that a body of this length may take at [`MIN_BYTES_PER_SECOND`]. The conversion is
+/// Returns the time that a body of this length may take at [`MIN_TRANSFER_BYTES_PER_SECOND`]. The conversion is
 /// exact, as bodies are far shorter than 2^53 bytes.
 fn time_allowed_for(bytes: usize) -> Duration {
-    Duration::from_secs_f64(bytes as f64 / MIN_BYTES_PER_SECOND)
+    Duration::from_secs_f64(bytes as f64 / MIN_TRANSFER_BYTES_PER_SECOND)
 }
 
 #[cfg(test)]
