--- a/crates/balancer-proxy/src/upstream/attempt.rs
+++ b/crates/balancer-proxy/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use super::attempt_body::AttemptBody;
 use super::connection::{Connection, ConnectionOrigin};
 use super::exchange::{BuildRequest, ExchangeError, ReceivedBody, ReceivedResponse, exchange};
-use super::exchange_progress::ExchangeContext;
+use super::exchange_state::ExchangeContext;
 use super::forwarded_request::ForwardedRequest;
 use super::load_report;
 use super::pool::{CheckedOutConnection, ConnectionLease, ConnectionPool};
@@ -69,13 +69,13 @@
 pub async fn attempt(parameters: AttemptParameters) -> AttemptResult {
     let AttemptParameters { pool, request, clock, response_deadline, write_deadline, written, metrics } =
         parameters;
-    let build_request = |final_data: &CompletionFlag| request.build(response_deadline - clock.now(), final_data);
+    let build_request = |end_of_body: &CompletionFlag| request.build(response_deadline - clock.now(), end_of_body);
     let context = ExchangeContext {
         request_written: written,
         write_deadline: write_deadline.map(|deadline| clock.instant_at(deadline)),
         metrics: Some(metrics),
     };
-    run(&pool, &clock, &build_request, &context).await
+    run_exchange(&pool, &clock, &build_request, &context).await
 }
 
 /// Makes one health check, which is a GET of `path`.
@@ -84,8 +84,8 @@
     path: &'static str,
     clock: Clock,
 ) -> AttemptResult {
-    let build_request = |final_data: &CompletionFlag| {
-        final_data.set();
+    let build_request = |end_of_body: &CompletionFlag| {
+        end_of_body.set();
         let mut request = Request::new(AttemptBody::empty());
         *request.uri_mut() = Uri::from_static(path);
         request.headers_mut().insert(HOST, HeaderValue::from_static(HEALTH_CHECK_HOST));
@@ -93,7 +93,7 @@
     };
     let timeout = HEALTH_CHECK_TIMEOUT_MULTIPLE * pool.connect_timeout();
     let context = ExchangeContext::default();
-    let result = tokio::time::timeout(timeout, run(&pool, &clock, &build_request, &context)).await;
+    let result = tokio::time::timeout(timeout, run_exchange(&pool, &clock, &build_request, &context)).await;
     result.unwrap_or(AttemptResult::without_response(Outcome::Timeout))
 }
 
@@ -104,7 +104,7 @@
     lease: ConnectionLease,
 }
 
-async fn run(
+async fn run_exchange(
     pool: &Rc<ConnectionPool>,
     clock: &Clock,
     build_request: BuildRequest<'_>,
@@ -154,7 +154,7 @@
     /// Classifies the response, and releases its connection: now, or once the body has been streamed.
     fn into_result(self) -> AttemptResult {
         let Self { response: ReceivedResponse { head, body }, connection, lease } = self;
-        let outcome = classify(head.status, &head.headers);
+        let outcome = classify_response(head.status, &head.headers);
         let report = head.headers.get(LOAD_REPORT_HEADER);
         let report = report.and_then(|value| load_report::parse(value.as_bytes()));
         let content = match body {
@@ -172,7 +172,7 @@
 }
 
 /// Returns the outcome for which a response with this status and these headers stands.
-fn classify(status: StatusCode, headers: &HeaderMap) -> Outcome {
+fn classify_response(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_marked_rejected = headers.get(REJECTED_HEADER).is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Success,
--- a/crates/balancer-proxy/src/upstream/attempt_body.rs
+++ b/crates/balancer-proxy/src/upstream/attempt_body.rs
@@ -20,7 +20,7 @@
         /// The number of chunks that this attempt has handed out.
         sent_chunks: usize,
         /// Set once the last chunk has been handed out.
-        final_data: CompletionFlag,
+        end_of_body: CompletionFlag,
     },
 }
 
@@ -30,10 +30,10 @@
         Self::Buffered(None)
     }
 
-    /// Creates a body that hands out `source` from its beginning, and sets `final_data` with the last
+    /// Creates a body that hands out `source` from its beginning, and sets `end_of_body` with the last
     /// chunk.
-    pub(super) fn streamed(source: Rc<StreamedRequestBody>, final_data: CompletionFlag) -> Self {
-        Self::Streamed { source, sent_chunks: 0, final_data }
+    pub(super) fn streamed(source: Rc<StreamedRequestBody>, end_of_body: CompletionFlag) -> Self {
+        Self::Streamed { source, sent_chunks: 0, end_of_body }
     }
 }
 
@@ -47,8 +47,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         let next = match &mut *self {
             Self::Buffered(content) => content.take().map(Ok),
-            Self::Streamed { source, sent_chunks, final_data } => {
-                ready!(source.poll_chunk(cx, sent_chunks, final_data))
+            Self::Streamed { source, sent_chunks, end_of_body } => {
+                ready!(source.poll_chunk(cx, sent_chunks, end_of_body))
             }
         };
         Poll::Ready(next.map(|chunk| chunk.map(Frame::data)))
--- a/crates/balancer-proxy/src/upstream/connection.rs
+++ b/crates/balancer-proxy/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 //! dropping the connection ends the exchange and closes the socket at once.
 
 use super::attempt_body::AttemptBody;
-use super::exchange_progress::{RequestWriteState, ResponseActivity};
+use super::exchange_state::{RequestWriteState, ResponseActivity};
 use super::socket::BackendSocket;
 use crate::limits::MAX_HEAD_BYTES;
 use hyper::body::Incoming;
@@ -37,7 +37,7 @@
     sender: http1::SendRequest<AttemptBody>,
     driver: Driver,
     activity: ResponseActivity,
-    progress: Rc<RequestWriteState>,
+    write_state: Rc<RequestWriteState>,
 }
 
 /// Connects to `address` within `timeout`.
@@ -58,14 +58,14 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let activity = ResponseActivity::default();
-    let progress = Rc::<RequestWriteState>::default();
-    let socket = BackendSocket::new(stream, activity.clone(), progress.clone());
+    let write_state = Rc::<RequestWriteState>::default();
+    let socket = BackendSocket::new(stream, activity.clone(), write_state.clone());
     let mut builder = http1::Builder::new();
     // The head of a response must not grow without bound.
     builder.max_buf_size(MAX_HEAD_BYTES);
     let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
     let driver = Driver { connection: Box::pin(connection), ended: false };
-    Ok(Connection { sender, driver, activity, progress })
+    Ok(Connection { sender, driver, activity, write_state })
 }
 
 impl Connection {
@@ -102,8 +102,8 @@
     }
 
     /// Returns the write progress of the current request.
-    pub(super) fn progress(&self) -> &Rc<RequestWriteState> {
-        &self.progress
+    pub(super) fn write_state(&self) -> &Rc<RequestWriteState> {
+        &self.write_state
     }
 }
 
--- a/crates/balancer-proxy/src/upstream/exchange.rs
+++ b/crates/balancer-proxy/src/upstream/exchange.rs
@@ -4,7 +4,7 @@
 use super::attempt_body::AttemptBody;
 use super::body_chunks::BodyChunks;
 use super::connection::{Connection, ConnectionOrigin};
-use super::exchange_progress::{EarlyData, ExchangeContext};
+use super::exchange_state::{EarlyInput, ExchangeContext};
 use super::completion_flag::CompletionFlag;
 use crate::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use bytes::Bytes;
@@ -19,7 +19,7 @@
 
 /// Longest time for which a response of unknown length is buffered before it is streamed. A client of a
 /// slow long response then gets the first bytes after this time.
-const MAX_BUFFERING_TIME: Duration = Duration::from_millis(250);
+const MAX_RESPONSE_BUFFERING_TIME: Duration = Duration::from_millis(250);
 
 /// Builds the request of an exchange, once for each connection to which the request is written. Returns
 /// `None` if the body cannot be sent any more. The request sets the flag once the end of its body has
@@ -77,13 +77,13 @@
 ) -> Result<ReceivedResponse, ExchangeError> {
     let activity = connection.activity().clone();
     activity.clear();
-    let progress = connection.progress().clone();
-    progress.start_request(context);
-    let mut request = build_request(progress.final_data()).ok_or(ExchangeError::BodyConsumed)?;
+    let write_state = connection.write_state().clone();
+    write_state.start_request(context);
+    let mut request = build_request(write_state.end_of_body()).ok_or(ExchangeError::BodyConsumed)?;
     let is_buffered = matches!(request.body(), AttemptBody::Buffered(_));
-    let is_early_data_invalid = origin == ConnectionOrigin::Reused && is_buffered;
-    let early_data = if is_early_data_invalid { EarlyData::Invalid } else { EarlyData::PartOfResponse };
-    progress.set_early_data(early_data);
+    let is_early_input_stale = origin == ConnectionOrigin::Reused && is_buffered;
+    let early_input = if is_early_input_stale { EarlyInput::Stale } else { EarlyInput::PartOfResponse };
+    write_state.set_early_input(early_input);
     // Informational (1xx) responses precede the final one, perhaps by a long time.
     let informational_activity = activity.clone();
     hyper::ext::on_informational(&mut request, move |_| informational_activity.clear());
@@ -92,7 +92,7 @@
         () = activity.wait_for_stall() => Err(ExchangeError::NoValidResponse),
     };
     match result {
-        Err(ExchangeError::NotSent) if build_request(progress.final_data()).is_none() => {
+        Err(ExchangeError::NotSent) if build_request(write_state.end_of_body()).is_none() => {
             Err(ExchangeError::BodyConsumed)
         }
         result => result,
@@ -133,7 +133,7 @@
     if announced_bytes.is_some_and(|bytes| bytes > MAX_BUFFERED_BODY_BYTES as u64) {
         return Some(ReceivedBody::Streamed { received, incoming });
     }
-    let mut buffering_timeout = pin!(tokio::time::sleep(MAX_BUFFERING_TIME));
+    let mut buffering_timeout = pin!(tokio::time::sleep(MAX_RESPONSE_BUFFERING_TIME));
     while received.bytes() <= MAX_BUFFERED_BODY_BYTES {
         let frame = tokio::select! {
             biased;
--- a/crates/balancer-proxy/src/upstream/exchange_progress.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_state.rs
@@ -62,12 +62,12 @@
 
 /// The meaning of data that arrives before the request has been written completely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum EarlyData {
+pub(super) enum EarlyInput {
     /// The data belongs to the response.
     #[default]
     PartOfResponse,
     /// The data belongs to an earlier exchange, and makes the connection unusable.
-    Invalid,
+    Stale,
 }
 
 /// The write progress of the current request of a connection.
@@ -75,31 +75,31 @@
 pub(super) struct RequestWriteState {
     context: RefCell<ExchangeContext>,
     /// Set once the end of the body has been handed out: the next write contains the last byte.
-    final_data: CompletionFlag,
-    early_data: Cell<EarlyData>,
+    end_of_body: CompletionFlag,
+    early_input: Cell<EarlyInput>,
 }
 
 impl RequestWriteState {
     /// Resets the progress for a new request.
     pub(super) fn start_request(&self, context: &ExchangeContext) {
         context.request_written.clear();
-        self.final_data.clear();
+        self.end_of_body.clear();
         self.context.replace(context.clone());
     }
 
     /// Sets the meaning of data that arrives before the request has been written completely.
-    pub(super) fn set_early_data(&self, early_data: EarlyData) {
-        self.early_data.set(early_data);
+    pub(super) fn set_early_input(&self, early_input: EarlyInput) {
+        self.early_input.set(early_input);
     }
 
     /// Returns the flag that the body of the request sets once its end has been handed out.
-    pub(super) fn final_data(&self) -> &CompletionFlag {
-        &self.final_data
+    pub(super) fn end_of_body(&self) -> &CompletionFlag {
+        &self.end_of_body
     }
 
     /// Returns whether data that arrives now cannot belong to the response.
-    pub(super) fn is_too_early(&self) -> bool {
-        self.early_data.get() == EarlyData::Invalid && !self.context.borrow().request_written.is_set()
+    pub(super) fn is_input_unexpected(&self) -> bool {
+        self.early_input.get() == EarlyInput::Stale && !self.context.borrow().request_written.is_set()
     }
 
     /// Returns whether the deadline for writing the last byte has passed.
--- a/crates/balancer-proxy/src/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -42,14 +42,14 @@
 
 impl ForwardedRequest {
     /// Builds the request for an attempt that ends in `remaining_time` seconds. The body of the request
-    /// sets `final_data` once its end has been handed out. Returns `None` if the body cannot be sent any
+    /// sets `end_of_body` once its end has been handed out. Returns `None` if the body cannot be sent any
     /// more.
     pub(super) fn build(
         &self,
         remaining_time: Time,
-        final_data: &CompletionFlag,
+        end_of_body: &CompletionFlag,
     ) -> Option<Request<AttemptBody>> {
-        let mut request = Request::new(self.attempt_body(final_data)?);
+        let mut request = Request::new(self.attempt_body(end_of_body)?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
@@ -68,16 +68,16 @@
     }
 
     /// Returns the body for one attempt, or `None` if the body cannot be sent any more.
-    fn attempt_body(&self, final_data: &CompletionFlag) -> Option<AttemptBody> {
+    fn attempt_body(&self, end_of_body: &CompletionFlag) -> Option<AttemptBody> {
         match &self.body {
             ForwardedBody::Buffered(complete) => {
-                final_data.set();
+                end_of_body.set();
                 let content = (!complete.is_empty()).then(|| complete.clone());
                 Some(AttemptBody::Buffered(content))
             }
             ForwardedBody::Streamed { body, .. } if body.is_consumed() => None,
             ForwardedBody::Streamed { body, .. } => {
-                Some(AttemptBody::streamed(body.clone(), final_data.clone()))
+                Some(AttemptBody::streamed(body.clone(), end_of_body.clone()))
             }
         }
     }
--- a/crates/balancer-proxy/src/upstream/mod.rs
+++ b/crates/balancer-proxy/src/upstream/mod.rs
@@ -6,7 +6,7 @@
 mod body_chunks;
 pub(crate) mod connection;
 mod exchange;
-mod exchange_progress;
+mod exchange_state;
 pub mod forwarded_request;
 pub(crate) mod load_report;
 pub mod pool;
--- a/crates/balancer-proxy/src/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -16,12 +16,12 @@
 
 /// Fraction of the idle timeout of backends up to which an idle connection is reused. Near the timeout,
 /// the backend may close the connection while a request is on its way, and the request is then lost.
-const REUSE_FRACTION: f64 = 0.7;
+const REUSE_IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
 /// A connection is reused only when it has been idle for this long. Data that a backend writes after the
 /// end of a response arrives in that time and makes the connection unusable, so that the data is not
 /// mistaken for the response to the next request.
-const MIN_IDLE_TIME: Duration = Duration::from_millis(25);
+const MIN_IDLE_TIME_BEFORE_REUSE: Duration = Duration::from_millis(25);
 
 /// The timeouts of the connections to backends.
 #[derive(Clone, Copy, Debug)]
@@ -142,7 +142,7 @@
 
     /// Returns whether the connection has not been idle for too long to be reused.
     fn is_fresh(&self, idle: &IdleConnection) -> bool {
-        idle.since.elapsed() < self.timeouts.get().idle.mul_f64(REUSE_FRACTION)
+        idle.since.elapsed() < self.timeouts.get().idle.mul_f64(REUSE_IDLE_TIMEOUT_FRACTION)
     }
 
     /// Returns the time at which the connection that has been idle longest became idle.
@@ -181,7 +181,7 @@
     /// that are found on the way are closed.
     fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(index) = idle.iter().rposition(|idle| idle.since.elapsed() >= MIN_IDLE_TIME) {
+        while let Some(index) = idle.iter().rposition(|idle| idle.since.elapsed() >= MIN_IDLE_TIME_BEFORE_REUSE) {
             let candidate = idle.remove(index);
             if self.is_fresh(&candidate)
                 && let Some(reusable) = candidate.into_reusable()
--- a/crates/balancer-proxy/src/upstream/pool/tests.rs
+++ b/crates/balancer-proxy/src/upstream/pool/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of a connection pool with a listener on a loopback address.
 
-use super::{CheckedOutConnection, ConnectionPool, ConnectionTimeouts, MIN_IDLE_TIME};
+use super::{CheckedOutConnection, ConnectionPool, ConnectionTimeouts, MIN_IDLE_TIME_BEFORE_REUSE};
 use crate::limits::Budget;
 use crate::upstream::connection::ConnectionOrigin;
 use socket2::{Domain, Socket, Type};
@@ -37,7 +37,7 @@
 
 /// Waits until connections that were released just now can be reused.
 async fn wait_until_reusable() {
-    tokio::time::sleep(2 * MIN_IDLE_TIME).await;
+    tokio::time::sleep(2 * MIN_IDLE_TIME_BEFORE_REUSE).await;
 }
 
 #[test]
--- a/crates/balancer-proxy/src/upstream/request_body.rs
+++ b/crates/balancer-proxy/src/upstream/request_body.rs
@@ -162,12 +162,12 @@
     }
 
     /// Returns the next chunk for an attempt that has sent `sent_chunks` chunks, and increases that number;
-    /// `None` at the end. Sets `final_data` if no data follows, and clears it otherwise.
+    /// `None` at the end. Sets `end_of_body` if no data follows, and clears it otherwise.
     pub(super) fn poll_chunk(
         &self,
         cx: &mut Context<'_>,
         sent_chunks: &mut usize,
-        final_data: &CompletionFlag,
+        end_of_body: &CompletionFlag,
     ) -> Poll<Option<Result<Bytes, StreamError>>> {
         let mut state = self.state.borrow_mut();
         let next = match state.buffered.get(*sent_chunks) {
@@ -181,9 +181,9 @@
         *sent_chunks += 1;
         let is_buffer_sent = state.is_consumed || *sent_chunks >= state.buffered.count();
         if is_buffer_sent && state.end == Some(Ok(())) {
-            final_data.set();
+            end_of_body.set();
         } else {
-            final_data.clear();
+            end_of_body.clear();
         }
         if state.is_consumed {
             state.buffered.clear();
--- a/crates/balancer-proxy/src/upstream/response_body.rs
+++ b/crates/balancer-proxy/src/upstream/response_body.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, Sleep};
 
 /// Time without data from a backend after which the backend is not expected to complete its response.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+const RESPONSE_BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The body of a response that is still being received from its backend.
 pub struct StreamedResponseBody {
@@ -29,7 +29,7 @@
     length: Option<u64>,
     /// The length of the chunks returned so far, in bytes.
     returned_bytes: u64,
-    /// Ends [`IDLE_TIMEOUT`] after the last arrival of data.
+    /// Ends [`RESPONSE_BODY_IDLE_TIMEOUT`] after the last arrival of data.
     idle_timer: Pin<Box<Sleep>>,
 }
 
@@ -53,7 +53,7 @@
             incoming,
             leased: Some(LeasedConnection { connection, lease }),
             returned_bytes: 0,
-            idle_timer: Box::pin(tokio::time::sleep(IDLE_TIMEOUT)),
+            idle_timer: Box::pin(tokio::time::sleep(RESPONSE_BODY_IDLE_TIMEOUT)),
         }
     }
 
@@ -75,7 +75,7 @@
             let connection_ended = connection.poll_ended(cx);
             match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.idle_timer.as_mut().reset(Instant::now() + IDLE_TIMEOUT);
+                    self.idle_timer.as_mut().reset(Instant::now() + RESPONSE_BODY_IDLE_TIMEOUT);
                     // Trailers need not be forwarded.
                     let Ok(chunk) = frame.into_data() else { continue };
                     return Poll::Ready(Some(self.accept(chunk)));
--- a/crates/balancer-proxy/src/upstream/socket.rs
+++ b/crates/balancer-proxy/src/upstream/socket.rs
@@ -2,7 +2,7 @@
 //! a request a little later than the rest: until then the request can still be stopped or moved to
 //! another connection.
 
-use super::exchange_progress::{RequestWriteState, ResponseActivity};
+use super::exchange_state::{RequestWriteState, ResponseActivity};
 use socket2::SockRef;
 use std::future::Future;
 use std::io::{self, Read};
@@ -30,7 +30,7 @@
 #[derive(Debug, Error)]
 enum AbortedExchange {
     #[error("data arrived before the request had been written")]
-    EarlyData,
+    StaleInput,
     #[error("the deadline for writing the request has passed")]
     WriteDeadlineExceeded,
 }
@@ -45,7 +45,7 @@
 pub(super) struct BackendSocket {
     stream: TcpStream,
     activity: ResponseActivity,
-    progress: Rc<RequestWriteState>,
+    write_state: Rc<RequestWriteState>,
     /// The last byte of a request that the HTTP library has written and the stream has not.
     delayed_byte: Option<u8>,
     delay: Pin<Box<Sleep>>,
@@ -56,14 +56,14 @@
 
 impl BackendSocket {
     /// Wraps a connected stream, whose arrivals are recorded in `activity` and whose write progress is
-    /// recorded in `progress`.
+    /// recorded in `write_state`.
     pub(super) fn new(
         stream: TcpStream,
         activity: ResponseActivity,
-        progress: Rc<RequestWriteState>,
+        write_state: Rc<RequestWriteState>,
     ) -> Self {
         let delay = Box::pin(tokio::time::sleep(Duration::ZERO));
-        Self { stream, activity, progress, delayed_byte: None, delay, is_delay_extended: false }
+        Self { stream, activity, write_state, delayed_byte: None, delay, is_delay_extended: false }
     }
 
     /// Takes over the last byte of a request, which is written after the delay.
@@ -90,12 +90,12 @@
 
     /// Checks that the last byte may be written.
     fn check_last_byte(&self) -> Result<(), AbortedExchange> {
-        if self.progress.is_too_early() && self.has_pending_input() {
-            return Err(AbortedExchange::EarlyData);
+        if self.write_state.is_input_unexpected() && self.has_pending_input() {
+            return Err(AbortedExchange::StaleInput);
         }
         // A timer does not suffice for this check: after the process was suspended, all of its timers are
         // due at once and expire in any order.
-        if self.progress.is_write_deadline_exceeded() {
+        if self.write_state.is_write_deadline_exceeded() {
             return Err(AbortedExchange::WriteDeadlineExceeded);
         }
         Ok(())
@@ -130,8 +130,8 @@
         if buffer.filled().len() > filled_before {
             // The order of the data and the last byte is decided here: after the error, the last byte is
             // never written.
-            if self.progress.is_too_early() {
-                return Poll::Ready(Err(AbortedExchange::EarlyData.into()));
+            if self.write_state.is_input_unexpected() {
+                return Poll::Ready(Err(AbortedExchange::StaleInput.into()));
             }
             self.activity.record();
         }
@@ -143,7 +143,7 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         // More data follows: the delayed byte was not the last one.
         ready!(self.poll_write_delayed(cx))?;
-        if !self.progress.final_data().is_set() {
+        if !self.write_state.end_of_body().is_set() {
             return Pin::new(&mut self.stream).poll_write(cx, data);
         }
         let Some((last, rest)) = data.split_last() else {
@@ -164,7 +164,7 @@
             ready!(self.poll_delay(cx));
             self.check_last_byte()?;
             ready!(self.poll_write_delayed(cx))?;
-            self.progress.finish_request();
+            self.write_state.finish_request();
         }
         Pin::new(&mut self.stream).poll_flush(cx)
     }
