--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -7,7 +7,7 @@
 use super::request::{self, ParsedRequest, Submission};
 use super::request_error::RequestError;
 use super::response::{self, ClientResponse};
-use crate::engine::{ClientIdInUse, Engine, FinalResponse, SubmittedRequest};
+use crate::engine::{ClientRequestIdInUse, Engine, FinalResponse, SubmittedRequest};
 use crate::limits::Budget;
 use crate::metrics::{ClassMetrics, OutstandingRequest};
 use crate::upstream::request_body::StreamedRequestBody;
@@ -131,7 +131,7 @@
     /// [`DUPLICATE_ID_TIMEOUT`].
     async fn wait_for_request_id(&self, client_request_id: u64) {
         let started = Instant::now();
-        while self.engine.is_client_id_in_use(client_request_id) && started.elapsed() < DUPLICATE_ID_TIMEOUT {
+        while self.engine.is_client_request_id_in_use(client_request_id) && started.elapsed() < DUPLICATE_ID_TIMEOUT {
             tokio::time::sleep(DUPLICATE_ID_POLL_INTERVAL).await;
         }
     }
@@ -158,7 +158,7 @@
         let Submission { client_request_id, request, forwarded, body_permit: _body_permit } = submission;
         let submitted = self.engine.submit(client_request_id, request, forwarded);
         let SubmittedRequest { id, response: mut receiver } =
-            submitted.map_err(|ClientIdInUse| RequestError::DuplicateRequestId)?;
+            submitted.map_err(|ClientRequestIdInUse| RequestError::DuplicateRequestId)?;
         let _guard = DisconnectGuard { engine: &self.engine, id };
         if let Some(body) = streamed_body {
             tokio::select! {
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -30,7 +30,7 @@
 mod timers;
 
 pub use requests::FinalResponse;
-pub use submission::{ClientIdInUse, SubmittedRequest};
+pub use submission::{ClientRequestIdInUse, SubmittedRequest};
 
 use super::clock::Clock;
 use super::control::discovery::{Discovery, WatchListener};
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -25,7 +25,7 @@
 /// A request without a final response.
 pub(super) struct OpenRequest {
     /// The id that the client gave the request.
-    pub(super) client_id: u64,
+    pub(super) client_request_id: u64,
     /// Sends the final response to the client's connection.
     pub(super) response: oneshot::Sender<FinalResponse>,
     /// The request in the form in which attempts send it.
@@ -86,7 +86,7 @@
     /// which has its final response, is still running.
     by_id: HashMap<RequestId, OpenRequest>,
     /// The ids that clients gave the open requests.
-    client_ids: HashSet<u64>,
+    client_request_ids: HashSet<u64>,
     /// The id that was assigned last; 0 if none was assigned.
     last_id: u64,
     /// The time by which all requests must have their final responses because the process ends, in seconds
@@ -99,7 +99,7 @@
     pub(super) fn new() -> Self {
         Self {
             by_id: HashMap::new(),
-            client_ids: HashSet::new(),
+            client_request_ids: HashSet::new(),
             last_id: 0,
             shutdown_deadline: Time::INFINITY,
         }
@@ -122,8 +122,8 @@
     }
 
     /// Returns whether a request to which its client gave this id is open.
-    pub(super) fn is_client_id_in_use(&self, client_id: u64) -> bool {
-        self.client_ids.contains(&client_id)
+    pub(super) fn is_client_request_id_in_use(&self, client_request_id: u64) -> bool {
+        self.client_request_ids.contains(&client_request_id)
     }
 
     /// Returns a request, or `None` if it is not open.
@@ -140,7 +140,7 @@
     pub(super) fn insert(&mut self, id: RequestId, mut request: OpenRequest) -> Time {
         request.deadline = request.deadline.min(self.shutdown_deadline);
         let deadline = request.deadline;
-        self.client_ids.insert(request.client_id);
+        self.client_request_ids.insert(request.client_request_id);
         self.by_id.insert(id, request);
         deadline
     }
@@ -191,7 +191,7 @@
 
     fn close(&mut self, id: RequestId) -> Option<OpenRequest> {
         let request = self.by_id.remove(&id)?;
-        self.client_ids.remove(&request.client_id);
+        self.client_request_ids.remove(&request.client_request_id);
         Some(request)
     }
 }
--- a/crates/balancer-proxy/src/engine/requests/tests.rs
+++ b/crates/balancer-proxy/src/engine/requests/tests.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-const CLIENT_ID: u64 = 11;
+const CLIENT_REQUEST_ID: u64 = 11;
 
 /// Creates a request with this deadline, and the receiver of its final response.
 fn request_with_deadline(deadline: Time) -> (OpenRequest, oneshot::Receiver<FinalResponse>) {
@@ -23,7 +23,7 @@
         ..SettingsSnapshot::default()
     };
     let request = OpenRequest {
-        client_id: CLIENT_ID,
+        client_request_id: CLIENT_REQUEST_ID,
         response,
         forwarded: Rc::new(forwarded),
         deadline,
@@ -55,12 +55,12 @@
     let id = requests.next_id();
     let (request, mut receiver) = request_with_deadline(9.0);
     requests.insert(id, request);
-    assert!(requests.is_client_id_in_use(CLIENT_ID));
+    assert!(requests.is_client_request_id_in_use(CLIENT_REQUEST_ID));
 
     assert!(requests.abandon(id));
 
     assert!(!requests.contains(id));
-    assert!(!requests.is_client_id_in_use(CLIENT_ID));
+    assert!(!requests.is_client_request_id_in_use(CLIENT_REQUEST_ID));
     assert_ne!(requests.next_id(), id);
     assert!(receiver.try_recv().is_err());
 }
--- a/crates/balancer-proxy/src/engine/submission.rs
+++ b/crates/balancer-proxy/src/engine/submission.rs
@@ -29,32 +29,32 @@
 /// The error of a request whose client gave it the id of another open request.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the client's request id is in use")]
-pub struct ClientIdInUse;
+pub struct ClientRequestIdInUse;
 
 impl Engine {
     /// Returns whether a request to which its client gave this id is open.
     #[must_use]
-    pub fn is_client_id_in_use(&self, client_id: u64) -> bool {
-        self.dispatcher.state().requests.is_client_id_in_use(client_id)
+    pub fn is_client_request_id_in_use(&self, client_request_id: u64) -> bool {
+        self.dispatcher.state().requests.is_client_request_id_in_use(client_request_id)
     }
 
-    /// Accepts a request to which its client gave `client_id`, and assigns its [`Request::id`]. The
+    /// Accepts a request to which its client gave `client_request_id`, and assigns its [`Request::id`]. The
     /// final response comes within `request.timeout` seconds, and at once if as many requests are open
     /// as the settings allow.
     ///
     /// # Errors
     ///
-    /// Returns [`ClientIdInUse`] if another open request has the same id of its client.
+    /// Returns [`ClientRequestIdInUse`] if another open request has the same id of its client.
     pub fn submit(
         &self,
-        client_id: u64,
+        client_request_id: u64,
         mut request: Request,
         forwarded: ForwardedRequest,
-    ) -> Result<SubmittedRequest, ClientIdInUse> {
+    ) -> Result<SubmittedRequest, ClientRequestIdInUse> {
         let (sender, receiver) = oneshot::channel();
         let mut state = self.dispatcher.state();
-        if state.requests.is_client_id_in_use(client_id) {
-            return Err(ClientIdInUse);
+        if state.requests.is_client_request_id_in_use(client_request_id) {
+            return Err(ClientRequestIdInUse);
         }
         let id = state.requests.next_id();
         request.id = id;
@@ -72,7 +72,7 @@
         let deadline = state.requests.insert(
             id,
             OpenRequest {
-                client_id,
+                client_request_id,
                 response: sender,
                 forwarded: Rc::new(forwarded),
                 deadline: if request.streaming_body { Time::INFINITY } else { now + timeout },
