--- a/crates/balancer-proxy/src/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts that are running.
 //!
-//! Owns the task of each running attempt. An attempt is removed once, by whichever event ends it
-//! first; the removal aborts its task, and later events find no attempt with its id.
+//! [`RunningAttempts`] owns the task of each running attempt. The first event that ends an attempt removes
+//! the attempt and aborts its task; later events find no attempt with this id.
 
 use crate::upstream::completion_flag::CompletionFlag;
 use balancer::{AttemptId, BackendId, Time};
@@ -11,13 +11,13 @@
 /// The progress of writing the request of a running attempt to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// Less than the complete request: once the task is aborted, the backend never executes the request.
+    /// A part of the request is not written: after an abort of the task, the backend never executes it.
     Incomplete,
-    /// The complete request: the backend may be executing it.
+    /// The complete request is written: the backend may be executing it.
     Complete,
 }
 
-/// The backend to which an attempt was sent, with the time of the send.
+/// The backend of an attempt, with the time of the send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct SentAttempt {
     pub(super) backend: BackendId,
@@ -34,7 +34,7 @@
 }
 
 impl RunningAttempt {
-    /// Combines an attempt with its task, which sets `written` once the request is written completely.
+    /// Creates a running attempt. `task` sets `written` once the request has been written completely.
     pub(super) fn new(sent: SentAttempt, written: CompletionFlag, task: AbortHandle) -> Self {
         Self { sent, written, task }
     }
@@ -64,7 +64,7 @@
         if attempt.written.is_set() { Some(WriteProgress::Complete) } else { Some(WriteProgress::Incomplete) }
     }
 
-    /// Aborts and removes an attempt. Returns `None` if the attempt has ended before.
+    /// Aborts and removes an attempt. Returns `None` if the attempt has already ended.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<SentAttempt> {
         self.by_id.remove(&id).map(|attempt| attempt.sent)
     }
--- a/crates/balancer-proxy/src/engine/attempts/tests.rs
+++ b/crates/balancer-proxy/src/engine/attempts/tests.rs
@@ -7,7 +7,7 @@
 const ID: AttemptId = AttemptId { request: RequestId(7), number: AttemptNumber(1) };
 const SENT: SentAttempt = SentAttempt { backend: BackendId(3), sent_at: 2.5 };
 
-/// Runs a test on a [`tokio::task::LocalSet`], as attempts have tasks.
+/// Runs a test on a [`tokio::task::LocalSet`], which the tasks of attempts require.
 fn run_with_tasks(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, test);
--- a/crates/balancer-proxy/src/engine/background_tasks.rs
+++ b/crates/balancer-proxy/src/engine/background_tasks.rs
@@ -1,5 +1,5 @@
-//! The tasks of the engine that run as long as the process: one expires the timers, the other closes
-//! idle connections and forgets backends that are gone.
+//! The background tasks of the engine, which run until the process ends. One task expires the timers. The
+//! other closes idle connections and drops the connection pools of removed backends.
 
 use super::Engine;
 use super::supervisor::restart_on_panic;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Carries out all timers that are due, and records how late they were.
+/// Expires all timers that are due, and records the longest delay.
 fn expire_timers(engine: &Engine) {
     let now = engine.dispatcher.clock.now();
     let mut lateness: Time = 0.0;
--- a/crates/balancer-proxy/src/engine/decision_module.rs
+++ b/crates/balancer-proxy/src/engine/decision_module.rs
@@ -1,8 +1,7 @@
 //! The decision module and the events that it has not handled yet.
 //!
-//! Owns the module and the queue of events. Events are queued because an action of the module may cause
-//! the next event, while the module handles events one after another, in the order in which they
-//! happened.
+//! [`DecisionModule`] owns the module and the queue of events. An action of the module may cause another
+//! event; the queue lets the module handle events one after another, in the order in which they occurred.
 
 use crate::clock::Clock;
 use crate::settings::SettingsSnapshot;
@@ -34,7 +33,7 @@
 }
 
 impl DecisionModule {
-    /// Creates a decision module at time `now`, whose random draws depend on `seed`.
+    /// Creates a decision module at time `now`. The random draws of the module depend on `seed`.
     pub(super) fn new(now: Time, seed: u64, settings: Settings) -> Self {
         Self { balancer: Balancer::new(now, seed, settings), pending: VecDeque::new() }
     }
@@ -44,8 +43,8 @@
         self.pending.push_back(event.into());
     }
 
-    /// Has the module handle the first pending event, and appends its actions to `actions`. Returns the
-    /// time of the handling, or `None` if no event is pending.
+    /// Passes the first pending event to the module, and appends the resulting actions to `actions`. Returns
+    /// the time that the module was given, or `None` if no event is pending.
     pub(super) fn handle_next(&mut self, clock: &Clock, actions: &mut Vec<Action>) -> Option<Time> {
         let event = self.pending.pop_front()?;
         let now = clock.now();
@@ -81,7 +80,7 @@
     }
 }
 
-/// Returns the part of each listed endpoint that the module reads.
+/// Converts listed endpoints to the endpoints that the module reads, without their addresses.
 fn into_endpoints(listed: Vec<ListedEndpoint>) -> Vec<Endpoint> {
     listed.into_iter().map(|listed| listed.endpoint).collect()
 }
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -1,7 +1,7 @@
-//! Gives pending events to the decision module and carries out the actions that it returns.
+//! Passes pending events to the decision module and executes the actions that the module returns.
 //!
-//! Owns the state that events and actions change, the timers and the settings in force. The dispatcher
-//! spawns the tasks of attempts and health checks, and reports the end of each to the module.
+//! The dispatcher owns the state that events and actions change, the timers and the settings in force. It
+//! spawns the tasks of attempts and health checks, and reports the result of each task to the module.
 
 use super::attempts::{RunningAttempt, SentAttempt};
 use super::decision_module::PendingEvent;
@@ -19,21 +19,22 @@
 use std::cell::{RefCell, RefMut};
 use std::rc::{Rc, Weak};
 
-/// Path of a health check that finds out only whether the backend serves requests.
+/// Path of a health check that tests only whether the backend serves requests.
 const HEALTH_CHECK_PATH: &str = "/-/healthy";
 /// Path of a health check whose response is a load report.
 const LOAD_REPORT_PATH: &str = "/-/load";
-/// The timeout of [`Action::Send`] by which an attempt may take as long as its request.
+/// Timeout in [`Action::Send`], in seconds, that stands for an attempt without a timeout of its own. Such an
+/// attempt ends at the deadline of its request.
 const NO_ATTEMPT_TIMEOUT_SECS: Time = 0.0;
 
-/// The command of the decision module to send an attempt. Times are those of the proxy's clock, in
+/// A command of the decision module to send an attempt. Times are those of the proxy's clock, in
 /// seconds.
 struct SendCommand {
     request: RequestId,
     backend: BackendId,
-    /// The longest time until the response, in seconds; `None` for as long as the request has.
+    /// The longest time until the response, in seconds; `None` if only the deadline of the request applies.
     timeout: Option<Time>,
-    /// The time by which the last byte of the request must be written, if there is such a limit.
+    /// The time by which the last byte of the request must be written; `None` without such a limit.
     write_deadline: Option<Time>,
     /// The time of the decision.
     decided_at: Time,
@@ -41,21 +42,21 @@
 
 /// Connects the decision module with the state of the engine.
 pub(super) struct Dispatcher {
-    /// A reference to the dispatcher itself, by which the tasks of attempts and health checks report
-    /// their ends.
+    /// A reference to the dispatcher itself. The tasks of attempts and health checks report their results
+    /// through the reference.
     weak_self: Weak<Dispatcher>,
     pub(super) clock: Clock,
     state: RefCell<EngineState>,
     pub(super) timers: Timers,
     discovery: RefCell<Weak<Discovery>>,
     pub(super) metrics: Rc<Metrics>,
-    /// The settings in force. All other parts read the settings from here, so that a change applies to
-    /// all parts at once.
+    /// The settings in force. All other parts of the engine read the settings from this field, so that a
+    /// change applies to all parts at once.
     settings: RefCell<Rc<SettingsSnapshot>>,
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher whose decision module makes random draws that depend on `seed`. At most
+    /// Creates a dispatcher. The random draws of its decision module depend on `seed`. At most
     /// `max_backend_connections` connections to backends will be open at once.
     pub(super) fn new(
         settings: Rc<SettingsSnapshot>,
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Returns the state for changes. The borrow must end before the next one begins.
+    /// Borrows the state mutably. Panics if an earlier borrow has not ended.
     pub(super) fn state(&self) -> RefMut<'_, EngineState> {
         self.state.borrow_mut()
     }
@@ -91,7 +92,8 @@
         self.settings.replace(settings);
     }
 
-    /// Sets the discovery that provides the endpoint list, without keeping it alive.
+    /// Sets the discovery that provides the endpoint list. The dispatcher holds only a weak reference to
+    /// it.
     pub(super) fn set_discovery(&self, discovery: &Rc<Discovery>) {
         *self.discovery.borrow_mut() = Rc::downgrade(discovery);
     }
@@ -100,13 +102,13 @@
         self.discovery.borrow().upgrade()
     }
 
-    /// Queues an event, and has the module decide on all pending events.
+    /// Queues an event, and lets the module handle all pending events.
     pub(super) fn handle(&self, mut state: RefMut<'_, EngineState>, event: impl Into<PendingEvent>) {
         state.decision_module.push(event);
         self.decide(state);
     }
 
-    /// Has the module decide on all pending events, and carries out its actions.
+    /// Passes all pending events to the module, and executes the resulting actions.
     fn decide(&self, mut state: RefMut<'_, EngineState>) {
         let mut actions = Vec::new();
         while let Some(now) = state.decision_module.handle_next(&self.clock, &mut actions) {
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Carries out an action on which the module decided at time `now`.
+    /// Executes an action that the module returned at time `now`.
     fn execute(&self, state: &mut EngineState, action: Action, now: Time) {
         match action {
             Action::Send { id, backend, timeout, write_within } => {
@@ -148,8 +150,8 @@
         }
     }
 
-    /// Sends the next attempt of a request. If the request is closed or has no attempt left, or the
-    /// backend is unknown, the module is notified that nothing was sent.
+    /// Sends the next attempt of a request. Notifies the module that nothing was sent if the request is
+    /// closed or has no attempt left, or if the backend is unknown.
     fn send(&self, state: &mut EngineState, command: &SendCommand) {
         let pool = state.endpoints.pool(command.backend);
         let request = state.requests.get_mut(command.request).filter(|request| request.has_attempt_left());
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Records that the task of an attempt has ended, and has the module decide on that.
+    /// Records the result of an attempt whose task has ended, and lets the module handle it.
     fn end_attempt(&self, id: AttemptId, result: AttemptResult) {
         let mut state = self.state();
         state.end_attempt(id, result);
@@ -209,7 +211,7 @@
         self.decide(state);
     }
 
-    /// Starts a health check of a backend that has a pool.
+    /// Starts a health check of a backend. Does nothing if the backend has no connection pool.
     fn check_health(&self, state: &EngineState, backend: BackendId) {
         let (Some(pool), Some(this)) = (state.endpoints.pool(backend), self.weak_self.upgrade()) else {
             return;
@@ -223,8 +225,8 @@
         });
     }
 
-    /// Reports the result of a health check to the module, with the load report of its headers, or else
-    /// that of its body.
+    /// Reports the result of a health check to the module. The load report is taken from the response
+    /// headers, or from the body if the headers have none.
     fn end_health_check(&self, backend: BackendId, result: &AttemptResult) {
         let report_in_body =
             result.response.as_ref().and_then(|response| load_report::parse(response.buffered()?));
--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -1,8 +1,8 @@
 //! The backends and their connection pools.
 //!
-//! Owns one connection pool for each listed backend, and the time by which sends to a backend in
-//! maintenance must end. A backend that is gone is forgotten once its grace period is over and no
-//! attempt or health check uses its pool.
+//! [`Endpoints`] owns one connection pool for each listed backend, and the send deadlines of the backends in
+//! maintenance. The pool of a removed backend is dropped once its grace period is over and no attempt or
+//! health check uses the pool.
 
 use crate::clock::Clock;
 use crate::limits::Budget;
@@ -23,8 +23,8 @@
 }
 
 impl Endpoints {
-    /// Creates an empty set of backends, to which at most `max_connections` connections will be open at
-    /// once.
+    /// Creates an empty set of backends. At most `max_connections` connections to all backends together
+    /// will be open at once.
     pub(super) fn new(max_connections: usize) -> Self {
         Self {
             pools: HashMap::new(),
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Puts a backend in maintenance, so that sends to the backend end by `send_deadline`. A backend that
-    /// already is in maintenance keeps its deadline.
+    /// Puts a backend in maintenance: sends to the backend must end by `send_deadline`. A backend that is
+    /// already in maintenance keeps its deadline.
     pub(super) fn start_maintenance(&mut self, backend: BackendId, send_deadline: Time) {
         let deadline = *self.maintenance_deadlines.entry(backend).or_insert(send_deadline);
         if let Some(pool) = self.pools.get(&backend) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Updates the pools to the endpoint list. Sends to backends that are draining or gone end by
+    /// Updates the pools from the endpoint list. Sends to backends that are draining or removed must end by
     /// `send_deadline`, in seconds of the proxy's clock.
     pub(super) fn apply_watch_event(
         &mut self,
@@ -133,9 +133,9 @@
         }
     }
 
-    /// Forgets the backends that are gone and past their grace period, so that memory stays bounded
-    /// where backends are replaced all the time. A pool with a single reference is in use by no attempt
-    /// and no health check, and may be dropped.
+    /// Drops the pools of removed backends whose grace periods are over, so that memory stays bounded where
+    /// backends are replaced all the time. A pool with a single reference is not used by any attempt or
+    /// health check, and may be dropped.
     pub(super) fn drop_expired_pools(&mut self, clock: &Clock) {
         self.pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.is_removal_expired(clock));
     }
@@ -164,7 +164,7 @@
     }
 }
 
-/// Returns the timeouts of connections by these settings.
+/// Returns the timeouts of connections to backends from the settings.
 fn connection_timeouts(settings: &ProxySettings) -> ConnectionTimeouts {
     ConnectionTimeouts { connect: settings.connect_timeout, idle: settings.idle_timeout }
 }
--- a/crates/balancer-proxy/src/engine/event_loop_lag/tests.rs
+++ b/crates/balancer-proxy/src/engine/event_loop_lag/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the estimate of the scheduling lag.
+//! Tests of the estimate of the event loop lag.
 
 use super::{LAG_DECAY_FACTOR, MAX_LAG_SECS, EventLoopLag};
 
 #[test]
-fn rises_at_once_to_the_lateness_of_a_round_and_falls_by_the_decay() {
+fn rises_at_once_to_the_lateness_of_a_round_and_falls_by_the_decay_factor() {
     let lag = EventLoopLag::default();
 
     lag.record(0.05);
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -1,20 +1,21 @@
-//! The engine: the one place where the decision module meets the sockets.
+//! The engine, which connects the decision module with the sockets.
 //!
 //! The engine owns the clock and the timers of the decision module, the open requests with their
-//! attempts, and the connection pools of the backends. Each occurrence becomes an event of the module,
-//! and each action of the module becomes I/O. The engine guarantees every accepted request exactly one
-//! final response before its deadline, and reports the end of each attempt to the module. Its parts:
+//! attempts, and the connection pools of the backends. The engine passes each occurrence to the module as
+//! an event, and executes each action of the module as I/O. The engine guarantees every accepted request
+//! exactly one final response before its deadline, and reports the end of each attempt to the module. The
+//! parts of the engine:
 //!
 //! - `submission`: accepts requests, and ends them when their clients disconnect or the process ends;
 //! - `requests`: the open requests and their final responses;
 //! - `attempts`: the running attempts;
 //! - `endpoints`: the backends and their connection pools;
-//! - `timers`: the timers, in the order in which they are due;
+//! - `timers`: the timers, ordered by due time;
 //! - `decision_module`: the decision module and its pending events;
-//! - `state`: these parts together, and how requests and attempts end;
-//! - `dispatcher`: gives events to the module and carries out its actions;
+//! - `state`: combines these parts, and ends requests and attempts;
+//! - `dispatcher`: passes events to the module and executes its actions;
 //! - `background_tasks`: the tasks that expire timers and close idle connections;
-//! - `event_loop_lag`: how late the process runs its timers;
+//! - `event_loop_lag`: estimates how late the process expires its timers;
 //! - `supervisor`: restarts the background tasks after a panic.
 
 mod attempts;
@@ -45,20 +46,20 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Fraction of the grace period of a drain or maintenance after which an attempt that was decided on
-/// before is no longer sent. The rest of the period is left for attempts that are being written.
+/// Fraction of the grace period of a drain or maintenance during which an attempt that was decided on
+/// earlier may still be sent. The rest of the grace period is left for attempts that are being written.
 const SEND_GRACE_FRACTION: f64 = 0.5;
 
 /// Drives the decision module.
 pub struct Engine {
     dispatcher: Rc<Dispatcher>,
     event_loop_lag: EventLoopLag,
-    /// Set once a backend in service has been listed.
+    /// Whether the endpoint list has ever contained a backend in service.
     has_listed_backend: Cell<bool>,
 }
 
 impl Engine {
-    /// Starts an engine with a decision module of its own, whose random draws depend on `seed`. At
+    /// Starts an engine with its own decision module. The random draws of the module depend on `seed`. At
     /// most `max_backend_connections` connections to backends are open at once.
     ///
     /// # Panics
@@ -96,26 +97,27 @@
         self.dispatcher.handle(state, PendingEvent::Settings(settings));
     }
 
-    /// Returns the longest time in seconds that an open request, or one that arrives from now on, may
-    /// have until its deadline.
+    /// Returns the longest time in seconds from the arrival of a request to its deadline, over the open
+    /// requests and those that arrive under the settings in force.
     #[must_use]
     pub fn longest_deadline(&self) -> Time {
         let of_open_requests = self.dispatcher.state().requests.longest_class_deadline();
         self.settings().longest_deadline().max(of_open_requests)
     }
 
-    /// Returns the time by which sends must end to a backend whose drain or maintenance begins now.
+    /// Returns the time, in seconds of the proxy's clock, from which on no attempt may be sent to a backend
+    /// whose drain or maintenance begins now.
     fn send_deadline_from_now(&self) -> Time {
         let grace_period = self.settings().proxy.drain_grace_period.as_secs_f64();
         self.dispatcher.clock.now() + SEND_GRACE_FRACTION * grace_period
     }
 
-    /// Sets the discovery that provides the endpoint list. The engine does not keep it alive.
+    /// Sets the discovery that provides the endpoint list. The engine holds only a weak reference to it.
     pub fn set_discovery(&self, discovery: &Rc<Discovery>) {
         self.dispatcher.set_discovery(discovery);
     }
 
-    /// Puts a backend in maintenance, or ends its maintenance.
+    /// Starts or ends the maintenance of a backend.
     pub fn change_maintenance(&self, backend: BackendId, change: MaintenanceChange) {
         let mut state = self.dispatcher.state();
         match change {
@@ -141,7 +143,7 @@
         self.dispatcher.handle(self.dispatcher.state(), Event::ServingProcesses(processes));
     }
 
-    /// Returns whether a backend in service has ever been listed.
+    /// Returns whether the endpoint list has ever contained a backend in service.
     #[must_use]
     pub fn has_listed_backend(&self) -> bool {
         self.has_listed_backend.get()
@@ -169,7 +171,7 @@
 }
 
 impl WatchListener for Engine {
-    /// Updates the pools to the endpoint list, and notifies the decision module.
+    /// Updates the connection pools from the endpoint list, and notifies the decision module.
     fn on_watch_event(&self, event: WatchEvent) {
         let mut state = self.dispatcher.state();
         let send_deadline = self.send_deadline_from_now();
@@ -188,7 +190,7 @@
         &self.dispatcher.clock
     }
 
-    /// Returns whether the backend is in maintenance, is listed, or is gone and may still be in use by
+    /// Returns whether the backend is listed or in maintenance, or was removed and may still be used by
     /// attempts.
     fn is_backend_known(&self, backend: BackendId) -> bool {
         self.dispatcher.state().endpoints.is_known(backend)
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -15,8 +15,8 @@
 pub enum FinalResponse {
     /// The response of a backend.
     Success(BackendResponse),
-    /// The request was not executed, so that a retry is harmless. Contains the `Retry-After` in seconds,
-    /// if the client is given one.
+    /// The request was not executed, so that a retry is safe. Contains the value of `Retry-After` in
+    /// seconds, if the response has this header.
     Rejected(Option<Time>),
     /// The request may have been executed.
     Failed,
@@ -72,8 +72,8 @@
     }
 
     /// Returns the time by which the backend must have responded to an attempt that is sent `now` with
-    /// this deadline. An attempt without a deadline, as the body is still being received, leaves the
-    /// backend the time that starts once the body is complete.
+    /// this deadline. An infinite deadline means that the body is still being received. The backend is
+    /// then given the full timeout of the request, which starts once the body is complete.
     pub(super) fn response_deadline(&self, attempt_deadline: Time, now: Time) -> Time {
         if attempt_deadline.is_finite() { attempt_deadline } else { now + self.timeout }
     }
@@ -81,9 +81,8 @@
 
 /// All requests without a final response.
 pub(super) struct OpenRequests {
-    /// The requests by the ids that the engine assigned, each of which is used once. The ids of clients
-    /// do not identify requests: a client may use its id again while an attempt of the earlier request,
-    /// which has its final response, is still running.
+    /// The requests by the unique ids that the engine assigned. Client request ids are not unique: a client
+    /// may reuse an id after the final response, while an attempt of the earlier request is still running.
     by_id: HashMap<RequestId, OpenRequest>,
     /// The ids that clients gave the open requests.
     client_request_ids: HashSet<u64>,
@@ -105,7 +104,7 @@
         }
     }
 
-    /// Returns an id that no request has had.
+    /// Returns a new id, which no earlier request has had.
     pub(super) fn next_id(&mut self) -> RequestId {
         self.last_id += 1;
         RequestId(self.last_id)
@@ -121,22 +120,22 @@
         self.by_id.contains_key(&id)
     }
 
-    /// Returns whether a request to which its client gave this id is open.
+    /// Returns whether a request with this client request id is open.
     pub(super) fn is_client_request_id_in_use(&self, client_request_id: u64) -> bool {
         self.client_request_ids.contains(&client_request_id)
     }
 
-    /// Returns a request, or `None` if it is not open.
+    /// Returns a request, or `None` if the request is not open.
     pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
         self.by_id.get(&id)
     }
 
-    /// Returns a request for changes, or `None` if it is not open.
+    /// Returns a mutable reference to a request, or `None` if the request is not open.
     pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
         self.by_id.get_mut(&id)
     }
 
-    /// Adds a request whose deadline is, at the latest, that of the shutdown. Returns the deadline.
+    /// Adds a request, and limits its deadline to that of the shutdown. Returns the resulting deadline.
     pub(super) fn insert(&mut self, id: RequestId, mut request: OpenRequest) -> Time {
         request.deadline = request.deadline.min(self.shutdown_deadline);
         let deadline = request.deadline;
@@ -153,17 +152,17 @@
         Some(request)
     }
 
-    /// Sets the deadline of the shutdown, and returns the requests whose deadlines it brings forward.
+    /// Sets the deadline of the shutdown, and returns the ids of the requests that had later deadlines.
     pub(super) fn set_shutdown_deadline(&mut self, deadline: Time) -> Vec<RequestId> {
         self.shutdown_deadline = deadline;
-        let mut moved_earlier = Vec::new();
+        let mut limited_requests = Vec::new();
         for (id, request) in &mut self.by_id {
             if request.deadline > deadline {
                 request.deadline = deadline;
-                moved_earlier.push(*id);
+                limited_requests.push(*id);
             }
         }
-        moved_earlier
+        limited_requests
     }
 
     /// Returns the longest deadline of any class, in seconds, in all settings under which open requests
@@ -172,7 +171,7 @@
         self.by_id.values().map(|request| request.settings.longest_deadline()).fold(0.0, Time::max)
     }
 
-    /// Closes a request without a final response, as its client has disconnected. Returns whether the
+    /// Closes a request without a final response because its client has disconnected. Returns whether the
     /// request was open.
     pub(super) fn abandon(&mut self, id: RequestId) -> bool {
         self.close(id).is_some()
@@ -184,7 +183,7 @@
         let Some(request) = self.close(id) else {
             return false;
         };
-        // If the client has disconnected, the guard of the connection reports it.
+        // A send fails if the client has disconnected, which the client's connection reports by itself.
         let _ = request.response.send(response);
         true
     }
--- a/crates/balancer-proxy/src/engine/requests/tests.rs
+++ b/crates/balancer-proxy/src/engine/requests/tests.rs
@@ -9,7 +9,7 @@
 
 const CLIENT_REQUEST_ID: u64 = 11;
 
-/// Creates a request with this deadline, and the receiver of its final response.
+/// Creates a request with this deadline, and returns it with the receiver of its final response.
 fn request_with_deadline(deadline: Time) -> (OpenRequest, oneshot::Receiver<FinalResponse>) {
     let (response, receiver) = oneshot::channel();
     let forwarded = ForwardedRequest {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn frees_the_client_id_of_an_abandoned_request_and_never_assigns_its_own_id_again() {
+fn frees_the_client_request_id_of_an_abandoned_request_and_never_reuses_its_assigned_id() {
     let mut requests = OpenRequests::new();
     let id = requests.next_id();
     let (request, mut receiver) = request_with_deadline(9.0);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_shutdown_brings_later_deadlines_forward_and_bounds_those_of_later_requests() {
+fn a_shutdown_limits_the_deadlines_of_open_and_of_later_requests() {
     let mut requests = OpenRequests::new();
     let ids = [requests.next_id(), requests.next_id(), requests.next_id(), requests.next_id()];
     let _receivers: Vec<_> = [2.0, 9.0, Time::INFINITY]
@@ -79,11 +79,11 @@
         })
         .collect();
 
-    let mut moved_earlier = requests.set_shutdown_deadline(4.0);
+    let mut limited_requests = requests.set_shutdown_deadline(4.0);
     let later_deadline = requests.insert(ids[3], request_with_deadline(9.0).0);
 
-    moved_earlier.sort_unstable();
-    assert_eq!(moved_earlier, [ids[1], ids[2]]);
+    limited_requests.sort_unstable();
+    assert_eq!(limited_requests, [ids[1], ids[2]]);
     assert_eq!(later_deadline, 4.0);
     assert_eq!(requests.get(ids[0]).unwrap().deadline, 2.0);
 }
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn bounds_the_deadline_of_an_attempt_by_that_of_its_request() {
+fn limits_the_deadline_of_an_attempt_to_that_of_its_request() {
     let (request, _receiver) = request_with_deadline(9.0);
     let (streamed_request, _streamed_receiver) = request_with_deadline(Time::INFINITY);
 
--- a/crates/balancer-proxy/src/engine/state.rs
+++ b/crates/balancer-proxy/src/engine/state.rs
@@ -1,8 +1,8 @@
-//! The state of the engine, and how requests and attempts end.
+//! The state of the engine, with the operations that end requests and attempts.
 //!
-//! Owns the decision module with its pending events, the open requests, the running attempts and the
-//! backends. Each end of an attempt passes through [`EngineState`], so that the module is notified of the end
-//! once, and the client of a request gets the first response.
+//! [`EngineState`] owns the decision module with its pending events, the open requests, the running attempts
+//! and the backends. Every attempt ends through [`EngineState`], which notifies the module of the end once,
+//! and sends the client the first response to its request.
 
 use super::attempts::{RunningAttempts, WriteProgress};
 use super::decision_module::DecisionModule;
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Ends an attempt, unless the attempt has ended before: notifies the module, and gives the client
-    /// the response if this is the first one of the request.
+    /// Ends an attempt: notifies the module, and sends the client the response if it is the first one to
+    /// the request. Does nothing if the attempt has already ended.
     pub(super) fn end_attempt(&mut self, id: AttemptId, result: AttemptResult) {
         let Some(sent) = self.attempts.remove(id) else {
             return;
@@ -57,7 +57,7 @@
         }));
     }
 
-    /// Notifies the module that an attempt for which it asked was not sent.
+    /// Notifies the module that an attempt that it requested was not sent.
     pub(super) fn report_not_sent(&mut self, id: RequestId, backend: BackendId) {
         self.decision_module.push(Event::AttemptEnded(EndedAttempt {
             id,
@@ -70,7 +70,7 @@
         }));
     }
 
-    /// Aborts an attempt, unless the attempt has ended before.
+    /// Aborts an attempt. Does nothing if the attempt has already ended.
     pub(super) fn cancel(&mut self, id: AttemptId) {
         match self.attempts.write_progress(id) {
             Some(WriteProgress::Incomplete) => self.abort(id, Outcome::NotSent),
@@ -79,22 +79,22 @@
         }
     }
 
-    /// Aborts an attempt that has not been written completely; any other attempt goes on.
+    /// Aborts an attempt if its request has not been written completely. Otherwise the attempt continues.
     pub(super) fn withdraw(&mut self, id: AttemptId) {
         if self.attempts.write_progress(id) == Some(WriteProgress::Incomplete) {
             self.abort(id, Outcome::NotSent);
         }
     }
 
-    /// Aborts an attempt that has not been written completely by its write deadline, which passes now;
-    /// any other attempt goes on.
+    /// Aborts an attempt at its write deadline if its request has not been written completely. Otherwise
+    /// the attempt continues.
     pub(super) fn expire_write_deadline(&mut self, id: AttemptId) {
         if self.attempts.write_progress(id) == Some(WriteProgress::Incomplete) {
             self.abort(id, Outcome::NoConnection);
         }
     }
 
-    /// Aborts an attempt that is still running at its deadline, which passes now.
+    /// Aborts an attempt that is still running at its deadline.
     pub(super) fn expire_attempt_deadline(&mut self, id: AttemptId) {
         match self.attempts.write_progress(id) {
             Some(WriteProgress::Incomplete) => self.abort(id, Outcome::NoConnection),
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Fails a request that is still open at its deadline, which passes now. The module has not decided
-    /// in time, and learns of the end as if the client had disconnected.
+    /// Fails a request that is still open at its deadline because the module has not decided in time. The
+    /// module is notified of the end as a disconnect of the client.
     pub(super) fn expire_request_deadline(&mut self, id: RequestId) {
         if self.requests.respond(id, FinalResponse::Failed) {
             self.decision_module.push(Event::ClientDisconnected(id));
--- a/crates/balancer-proxy/src/engine/submission.rs
+++ b/crates/balancer-proxy/src/engine/submission.rs
@@ -1,4 +1,4 @@
-//! The way of requests into the engine: accepts them, starts the timeout of streamed requests, and ends
+//! The methods of the engine that accept requests, start the timeouts of streamed requests, and end
 //! requests early when their clients disconnect or the process ends.
 
 use super::Engine;
@@ -11,11 +11,11 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// Time in seconds by which the timeout given to the decision module is shorter than that of the
-/// client: the final response needs this time on its way to the client.
+/// Time in seconds by which the timeout given to the decision module is shorter than the timeout of the
+/// client. The final response needs this time to reach the client.
 const DECISION_MARGIN_SECS: Time = 0.006;
-/// Time in seconds before the client's timeout at which the engine fails a request on which the
-/// decision module has not decided.
+/// Time in seconds before the client's timeout at which the engine fails a request that the decision
+/// module has not decided on.
 const RESPONSE_MARGIN_SECS: Time = 0.5 * DECISION_MARGIN_SECS;
 
 /// A request that the engine has accepted.
@@ -26,25 +26,25 @@
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
-/// The error of a request whose client gave it the id of another open request.
+/// The error for a request with the same client request id as another open request.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the client's request id is in use")]
 pub struct ClientRequestIdInUse;
 
 impl Engine {
-    /// Returns whether a request to which its client gave this id is open.
+    /// Returns whether a request with this client request id is open.
     #[must_use]
     pub fn is_client_request_id_in_use(&self, client_request_id: u64) -> bool {
         self.dispatcher.state().requests.is_client_request_id_in_use(client_request_id)
     }
 
-    /// Accepts a request to which its client gave `client_request_id`, and assigns its [`Request::id`]. The
-    /// final response comes within `request.timeout` seconds, and at once if as many requests are open
-    /// as the settings allow.
+    /// Accepts a request, and assigns its [`Request::id`]. `client_request_id` is the id that the client
+    /// gave the request. The final response comes within `request.timeout` seconds. The request is rejected
+    /// at once if the maximum number of open requests is reached.
     ///
     /// # Errors
     ///
-    /// Returns [`ClientRequestIdInUse`] if another open request has the same id of its client.
+    /// Returns [`ClientRequestIdInUse`] if another open request has the same client request id.
     pub fn submit(
         &self,
         client_request_id: u64,
@@ -65,7 +65,7 @@
             return Ok(submitted);
         }
         let now = self.dispatcher.clock.now();
-        // The client's timeout started when it sent the request, which may then have waited to be read.
+        // The client's timeout started when the client sent the request, which may have waited to be read.
         request.timeout -= self.event_loop_lag.get();
         let timeout = request.timeout - RESPONSE_MARGIN_SECS;
         request.timeout -= DECISION_MARGIN_SECS;
@@ -104,13 +104,13 @@
         self.dispatcher.handle(state, Event::BodyReceived(id));
     }
 
-    /// Gives all requests, including those that arrive later, their final responses by
-    /// `shutdown_deadline`, at which the process ends.
+    /// Limits the deadlines of all requests, including later ones, to `shutdown_deadline`, when the process
+    /// ends.
     pub fn set_shutdown_deadline(&self, shutdown_deadline: Instant) {
         let start = self.dispatcher.clock.start_instant();
         let deadline = shutdown_deadline.saturating_duration_since(start).as_secs_f64();
-        let moved_earlier = self.dispatcher.state().requests.set_shutdown_deadline(deadline);
-        for id in moved_earlier {
+        let limited_requests = self.dispatcher.state().requests.set_shutdown_deadline(deadline);
+        for id in limited_requests {
             self.dispatcher.timers.set(deadline, Timer::RequestDeadline(id));
         }
     }
--- a/crates/balancer-proxy/src/engine/supervisor.rs
+++ b/crates/balancer-proxy/src/engine/supervisor.rs
@@ -1,20 +1,20 @@
-//! Restarts tasks that all requests depend on.
+//! Restarts background tasks after a panic. All requests depend on these tasks.
 
 use crate::log;
 use std::time::Duration;
 
-/// Pause before a task that panicked is restarted. Without the pause, a task that always panics would use
-/// up the core.
+/// Delay before a task that panicked is restarted. Without the delay, a task that always panics would
+/// occupy the CPU core.
 const PANIC_RESTART_DELAY: Duration = Duration::from_millis(10);
 
-/// Runs a task to its end, and restarts the task whenever it panics: a panic then loses the work for
-/// one event only, not for all events that follow.
+/// Runs a task to completion, and restarts the task after each panic. A panic then loses the work on one
+/// event, and later events are still handled.
 pub(super) async fn restart_on_panic<F>(task: impl Fn() -> F)
 where
     F: Future<Output = ()> + 'static,
 {
     while let Err(error) = tokio::task::spawn_local(task()).await {
-        log!("balancer-proxy: {error}");
+        log!("balancer-proxy: a background task of the engine failed and is restarted: {error}");
         tokio::time::sleep(PANIC_RESTART_DELAY).await;
     }
 }
--- a/crates/balancer-proxy/src/engine/supervisor/tests.rs
+++ b/crates/balancer-proxy/src/engine/supervisor/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the restart after a panic.
+//! Tests of the restart of tasks after a panic.
 
 use super::restart_on_panic;
 use std::cell::Cell;
@@ -12,7 +12,7 @@
     let task = move || {
         counter.set(counter.get() + 1);
         let start = counter.get();
-        async move { assert!(start > 2, "the first two fail") }
+        async move { assert!(start > 2, "the first two starts panic") }
     };
 
     tokio::task::LocalSet::new().block_on(&runtime, restart_on_panic(task));
--- a/crates/balancer-proxy/src/engine/timers.rs
+++ b/crates/balancer-proxy/src/engine/timers.rs
@@ -1,7 +1,7 @@
-//! The timers of the engine, in the order in which they are due.
+//! The timers of the engine, ordered by due time.
 //!
-//! Owns the queue of timers and the wait for the first one. Timers are never cancelled: when a timer
-//! expires, its request or attempt may have ended before.
+//! [`Timers`] owns the queue of timers and waits for the first one. Timers are never cancelled: when a timer
+//! expires, its request or attempt may already have ended.
 
 use crate::clock::Clock;
 use balancer::{AttemptId, RequestId, Time, TimerToken};
@@ -10,13 +10,13 @@
 use std::collections::BinaryHeap;
 use tokio::sync::Notify;
 
-/// The event that a timer stands for.
+/// The kind of a timer, with the token, attempt or request that the timer belongs to.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Timer {
     /// A timer of the decision module, with its token.
     Decision(TimerToken),
-    /// The time by which an attempt's request must be written completely; its last byte is never
-    /// written later.
+    /// The time by which the request of an attempt must be written completely. The last byte of the
+    /// request is never written later.
     WriteDeadline(AttemptId),
     /// The time by which an attempt must have its response.
     AttemptDeadline(AttemptId),
@@ -24,13 +24,12 @@
     RequestDeadline(RequestId),
 }
 
-/// A timer with the time at which it is due. Timers due at the same time are in the order in which they
-/// were set.
+/// A timer with its due time. Timers with the same due time expire in the order in which they were set.
 #[derive(Debug)]
 pub(super) struct ScheduledTimer {
     /// The time at which the timer is due, in seconds of the proxy's clock.
     pub(super) due: Time,
-    /// The number of the timer in the order in which timers were set, from 1.
+    /// The sequence number of the timer, counted from 1 in the order in which timers were set.
     sequence: u64,
     pub(super) timer: Timer,
 }
@@ -62,7 +61,7 @@
 }
 
 impl TimerQueue {
-    /// Returns the time at which the first timer is due.
+    /// Returns the due time of the first timer, or `None` if no timer is set.
     fn first_due(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse(first)| first.due)
     }
@@ -77,7 +76,7 @@
 }
 
 impl Timers {
-    /// Sets a timer that is due at this time of the proxy's clock, in seconds.
+    /// Sets a timer that expires at `due`, in seconds of the proxy's clock.
     pub(super) fn set(&self, due: Time, timer: Timer) {
         let mut queue = self.queue.borrow_mut();
         let is_first = queue.first_due().is_none_or(|first| due < first);
--- a/crates/balancer-proxy/src/engine/timers/tests.rs
+++ b/crates/balancer-proxy/src/engine/timers/tests.rs
@@ -5,23 +5,23 @@
 use balancer::{RequestId, TimerToken};
 use std::time::Duration;
 
-/// Far beyond what any step takes, on a busy machine too.
+/// Time limit of a step, which is long enough on a busy machine too.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Removes the timers that are due at this time, and returns their tokens.
+/// Removes the timers that are due at time `now`, and returns their tokens.
 fn due_tokens(timers: &Timers, now: f64) -> Vec<u64> {
     let mut tokens = Vec::new();
     while let Some(scheduled) = timers.pop_due(now) {
         match scheduled.timer {
             Timer::Decision(TimerToken(token)) => tokens.push(token),
-            other => panic!("a timer that was not set: {other:?}"),
+            other => panic!("unexpected timer: {other:?}"),
         }
     }
     tokens
 }
 
 #[test]
-fn expire_in_the_order_of_their_times_and_at_the_same_time_in_the_order_of_their_setting() {
+fn expires_timers_by_due_time_and_at_the_same_time_in_the_order_of_setting() {
     let timers = Timers::default();
     for (due, token) in [(3.0, 1), (1.0, 2), (2.0, 3), (1.0, 4), (4.0, 5)] {
         timers.set(due, Timer::Decision(TimerToken(token)));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_wait_ends_when_an_earlier_timer_is_set_meanwhile() {
+fn a_wait_for_the_first_timer_ends_when_an_earlier_timer_is_set() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     let clock = Clock::start();
     let timers = Timers::default();
