--- a/crates/balancer-proxy/src/upstream/attempt.rs
+++ b/crates/balancer-proxy/src/upstream/attempt.rs
@@ -17,19 +17,18 @@
 use hyper::{Request, StatusCode, Uri};
 use std::rc::Rc;
 
-/// Response header by which, with the value 1, a backend states that it rejected the request before
-/// running it.
+/// Response header whose value 1 states that the backend rejected the request without executing it.
 const REJECTED_HEADER: &str = "x-turned-away";
 /// Response header with the load report of the backend.
 pub(crate) const LOAD_REPORT_HEADER: &str = "x-pressure";
-/// The `Host` of health checks.
+/// The value of the `Host` header of health checks.
 const HEALTH_CHECK_HOST: &str = "backend";
 /// The timeout of a health check, as a multiple of the connect timeout.
 const HEALTH_CHECK_TIMEOUT_MULTIPLE: u32 = 4;
 
 /// The result of an attempt or of a health check.
 pub struct AttemptResult {
-    /// The outcome that the decision module is given.
+    /// The outcome that is reported to the decision module.
     pub outcome: Outcome,
     /// The response, if the outcome is a success.
     pub response: Option<BackendResponse>,
@@ -38,7 +37,7 @@
 }
 
 impl AttemptResult {
-    /// Creates the result of an attempt that got no response.
+    /// Creates the result of an attempt without a response.
     pub(crate) fn without_response(outcome: Outcome) -> Self {
         Self { outcome, response: None, report: None }
     }
@@ -50,18 +49,18 @@
     pub pool: Rc<ConnectionPool>,
     /// The request to forward.
     pub request: Rc<ForwardedRequest>,
-    /// The clock of the deadlines.
+    /// The clock that the deadlines refer to.
     pub clock: Clock,
     /// The time at which the engine stops waiting for the response. The backend is sent the time that
     /// remains; the attempt does not end at this time by itself.
     pub response_deadline: Time,
-    /// The time after which the last byte of the request is not written, if there is such a limit.
+    /// The time after which the last byte of the request is not written; `None` without such a limit.
     pub write_deadline: Option<Time>,
-    /// Set once the complete request has been written. From then on the request may run even if the
-    /// attempt fails, so that a failure is reported as a reset. If the attempt is dropped before, the
-    /// request never runs.
+    /// Set once the complete request has been written. From then on the backend may execute the request
+    /// even if the attempt fails, so that a failure is reported as a reset. If the attempt is dropped
+    /// before, the backend never executes the request.
     pub written: CompletionFlag,
-    /// The metrics in which a request that has been written is counted.
+    /// The metrics that count each request that has been written.
     pub metrics: Rc<Metrics>,
 }
 
@@ -78,7 +77,7 @@
     run_exchange(&pool, &clock, &build_request, &context).await
 }
 
-/// Makes one health check, which is a GET of `path`.
+/// Makes one health check: a GET request for `path`.
 pub(crate) async fn health_check(
     pool: Rc<ConnectionPool>,
     path: &'static str,
@@ -117,7 +116,7 @@
 }
 
 /// Makes an exchange on a connection of the pool. If the connection ends before the request has been
-/// written, the exchange is made on the next connection.
+/// written, the exchange is retried on the next connection.
 async fn exchange_with_backend(
     pool: &Rc<ConnectionPool>,
     clock: &Clock,
@@ -129,7 +128,7 @@
     loop {
         let CheckedOutConnection { mut connection, lease, origin } =
             pool.check_out(generation).await.ok_or(Outcome::NoConnection)?;
-        // A drain may have been notified while the connection was established.
+        // A drain may have begun while the connection was being established.
         if !pool.may_send(clock) {
             return Err(Outcome::NoConnection);
         }
@@ -137,8 +136,8 @@
             Ok(response) => return Ok(CompletedExchange { response, connection, lease }),
             Err(ExchangeError::NoValidResponse) => return Err(Outcome::Reset),
             Err(ExchangeError::BodyConsumed) => return Err(Outcome::NoConnection),
-            // A reused connection may have been closed while it was idle. A new connection is replaced
-            // only once: after two failures a third connection would fail in the same way.
+            // A reused connection may have been closed while it was idle, and is always replaced. A new
+            // connection is replaced only once, because a third one would fail in the same way.
             Err(ExchangeError::NotSent) => {
                 let is_new = origin == ConnectionOrigin::New;
                 if is_new && has_new_connection_failed {
@@ -151,7 +150,7 @@
 }
 
 impl CompletedExchange {
-    /// Classifies the response, and releases its connection: now, or once the body has been streamed.
+    /// Classifies the response. Releases its connection now, or once the body has been streamed.
     fn into_result(self) -> AttemptResult {
         let Self { response: ReceivedResponse { head, body }, connection, lease } = self;
         let outcome = classify_response(head.status, &head.headers);
@@ -171,7 +170,7 @@
     }
 }
 
-/// Returns the outcome for which a response with this status and these headers stands.
+/// Returns the outcome that the status and the headers of a response indicate.
 fn classify_response(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let is_marked_rejected = headers.get(REJECTED_HEADER).is_some_and(|value| value == "1");
     match status {
--- a/crates/balancer-proxy/src/upstream/attempt_body.rs
+++ b/crates/balancer-proxy/src/upstream/attempt_body.rs
@@ -11,26 +11,26 @@
 
 /// The body that one attempt sends.
 pub enum AttemptBody {
-    /// A complete body; `None` if it is empty or has been handed out.
+    /// A complete body; `None` if the body is empty or has been yielded.
     Buffered(Option<Bytes>),
-    /// A body that is still being received, from its beginning.
+    /// A body that is still being received, sent from its first chunk.
     Streamed {
         /// The body that this attempt shares with the other attempts of its request.
         source: Rc<StreamedRequestBody>,
-        /// The number of chunks that this attempt has handed out.
+        /// The number of chunks that this attempt has yielded.
         sent_chunks: usize,
-        /// Set once the last chunk has been handed out.
+        /// Set once the last chunk has been yielded.
         end_of_body: CompletionFlag,
     },
 }
 
 impl AttemptBody {
-    /// Creates a body of no bytes.
+    /// Creates an empty body.
     pub(crate) fn empty() -> Self {
         Self::Buffered(None)
     }
 
-    /// Creates a body that hands out `source` from its beginning, and sets `end_of_body` with the last
+    /// Creates a body that yields `source` from its first chunk, and sets `end_of_body` with the last
     /// chunk.
     pub(super) fn streamed(source: Rc<StreamedRequestBody>, end_of_body: CompletionFlag) -> Self {
         Self::Streamed { source, sent_chunks: 0, end_of_body }
@@ -61,7 +61,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(content) => SizeHint::with_exact(content.as_ref().map_or(0, Bytes::len) as u64),
-            // A length that is known is sent as a header instead.
+            // A known length is sent in the `Content-Length` header instead.
             Self::Streamed { .. } => SizeHint::default(),
         }
     }
--- a/crates/balancer-proxy/src/upstream/body_chunks.rs
+++ b/crates/balancer-proxy/src/upstream/body_chunks.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use std::collections::VecDeque;
 
-/// The chunks of a body that have arrived and are buffered, in order.
+/// The buffered chunks of a body, in the order in which they arrived.
 #[derive(Debug, Default)]
 pub(super) struct BodyChunks {
     chunks: VecDeque<Bytes>,
@@ -46,7 +46,7 @@
         self.bytes = 0;
     }
 
-    /// Removes all chunks and returns them as one.
+    /// Removes all chunks and returns them as one chunk.
     pub(super) fn take_concatenated(&mut self) -> Bytes {
         let mut complete = BytesMut::with_capacity(self.bytes);
         for chunk in &self.chunks {
--- a/crates/balancer-proxy/src/upstream/connection.rs
+++ b/crates/balancer-proxy/src/upstream/connection.rs
@@ -18,8 +18,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The reason why a request got no response head. The error contains the request if no byte of it has
-/// been sent.
+/// The reason why a request got no response head. The error contains the request if no byte of the request
+/// has been sent.
 pub(crate) type SendError = TrySendError<Request<AttemptBody>>;
 
 /// Whether a connection has been used before.
@@ -27,7 +27,8 @@
 pub(super) enum ConnectionOrigin {
     /// The connection has just been established.
     New,
-    /// The connection has been used before: the peer may have closed it since, or may still write to it.
+    /// The connection has been used before. The backend may have closed the connection since, or may still
+    /// write data of an earlier exchange to it.
     Reused,
 }
 
@@ -89,14 +90,14 @@
         self.driver.ended
     }
 
-    /// Returns the connection if it can carry another request and the peer has not closed it. Does not
-    /// wait, as the connection must not delay a response that has arrived.
+    /// Returns the connection if it can carry another request and the backend has not closed it. Does not
+    /// wait, because a wait would delay a response that has arrived.
     pub(crate) fn into_reusable(mut self) -> Option<Self> {
         let ended = self.poll_ended(&mut Context::from_waker(Waker::noop()));
         (!ended && self.sender.is_ready()).then_some(self)
     }
 
-    /// Returns the record of the arrival of the current response.
+    /// Returns the record of the last arrival of data of the current response.
     pub(super) fn activity(&self) -> &ResponseActivity {
         &self.activity
     }
@@ -107,7 +108,7 @@
     }
 }
 
-/// Reads and writes the bytes of a connection.
+/// Drives the reads and writes of a connection.
 struct Driver {
     connection: Pin<Box<http1::Connection<TokioIo<BackendSocket>, AttemptBody>>>,
     /// Set once the connection has ended. The sender reports that it is ready even after the end; without
--- a/crates/balancer-proxy/src/upstream/exchange.rs
+++ b/crates/balancer-proxy/src/upstream/exchange.rs
@@ -1,5 +1,5 @@
-//! One exchange of a request and its response on a connection, up to the point where the response
-//! is complete or must be streamed.
+//! One exchange of a request and its response on a connection, until the response is complete or must be
+//! streamed.
 
 use super::attempt_body::AttemptBody;
 use super::body_chunks::BodyChunks;
@@ -17,13 +17,13 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest time for which a response of unknown length is buffered before it is streamed. A client of a
-/// slow long response then gets the first bytes after this time.
+/// Longest time for which a response of unknown length is buffered before it is streamed. The client of a
+/// long and slow response gets the first bytes after this time.
 const MAX_RESPONSE_BUFFERING_TIME: Duration = Duration::from_millis(250);
 
-/// Builds the request of an exchange, once for each connection to which the request is written. Returns
-/// `None` if the body cannot be sent any more. The request sets the flag once the end of its body has
-/// been handed out.
+/// A function that builds the request of an exchange, once for each connection that the request is written
+/// to. The function returns `None` if the body cannot be sent any more. The request sets the flag once its
+/// body has yielded its end.
 pub(super) type BuildRequest<'a> = &'a dyn Fn(&CompletionFlag) -> Option<Request<AttemptBody>>;
 
 /// A response with any status.
@@ -50,25 +50,26 @@
 /// The reason why an exchange has no response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum ExchangeError {
-    /// The last byte of the request was not written: the request never ran, and can be sent again.
-    #[error("the connection ended before the request had been written")]
+    /// The last byte of the request was not written: the backend never executes the request, which can be
+    /// sent again.
+    #[error("the connection ended before the request had been written completely")]
     NotSent,
-    /// The request never ran, but its body has been consumed and cannot be sent again.
-    #[error("the body of the request is consumed")]
+    /// The backend never executes the request, but its body is consumed and cannot be sent again.
+    #[error("the body of the request is consumed and cannot be sent again")]
     BodyConsumed,
-    /// The request may have run.
+    /// The backend may have executed the request.
     #[error("the response is missing, incomplete or invalid")]
     NoValidResponse,
 }
 
 /// Sends a request and waits for its response, which is received completely or up to the length that is
-/// buffered. A response that stalls half way, or that could be parsed in two ways, is invalid. On a reused
-/// connection, data that arrives before the request has been written belongs to an earlier exchange.
+/// buffered. A response that stalls before its end, or that has an ambiguous length, is invalid. On a reused
+/// connection, data that arrives before a buffered request has been written belongs to an earlier exchange.
 ///
 /// # Errors
 ///
-/// Returns an [`ExchangeError`] that says whether the request may have run. The connection is unusable
-/// after an error.
+/// Returns an [`ExchangeError`] that tells whether the backend may have executed the request. The connection
+/// is unusable after an error.
 pub(super) async fn exchange(
     connection: &mut Connection,
     origin: ConnectionOrigin,
@@ -84,7 +85,7 @@
     let is_early_input_stale = origin == ConnectionOrigin::Reused && is_buffered;
     let early_input = if is_early_input_stale { EarlyInput::Stale } else { EarlyInput::PartOfResponse };
     write_state.set_early_input(early_input);
-    // Informational (1xx) responses precede the final one, perhaps by a long time.
+    // The final response may follow an informational (1xx) response after any time.
     let informational_activity = activity.clone();
     hyper::ext::on_informational(&mut request, move |_| informational_activity.clear());
     let result = tokio::select! {
@@ -117,7 +118,7 @@
     Ok(ReceivedResponse { head, body })
 }
 
-/// Returns whether the response is a final one of an unambiguous and allowed length.
+/// Returns whether the response is final, and its length is unambiguous and within the limit.
 fn is_valid(response: &Response<Incoming>) -> bool {
     let headers = response.headers();
     let is_ambiguous = headers.contains_key(TRANSFER_ENCODING) && headers.contains_key(CONTENT_LENGTH);
@@ -125,8 +126,8 @@
     !is_ambiguous && !is_too_long && !response.status().is_informational()
 }
 
-/// Receives a body, completely or up to the length that is buffered. Returns `None` if the body breaks
-/// off.
+/// Receives a body, completely or up to the length that is buffered. Returns `None` if the body ends
+/// early.
 async fn receive_body(connection: &mut Connection, mut incoming: Incoming) -> Option<ReceivedBody> {
     let announced_bytes = incoming.size_hint().exact();
     let mut received = BodyChunks::default();
--- a/crates/balancer-proxy/src/upstream/exchange_state.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_state.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A response that has started, and of which nothing more arrives for this long, counts as invalid.
+/// Time without new data after which a response that has started is treated as invalid.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between two checks for a stalled response.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -25,7 +25,7 @@
         self.replace(Some(Instant::now()));
     }
 
-    /// Records that the response has not started yet.
+    /// Clears the time: the response has not started yet.
     pub(super) fn clear(&self) {
         self.replace(None);
     }
@@ -48,19 +48,19 @@
     }
 }
 
-/// The means by which the caller of an exchange observes and bounds the exchange.
+/// The limits of an exchange and the records of its progress, as set by the caller of the exchange.
 #[derive(Clone, Default)]
 pub(super) struct ExchangeContext {
     /// Set once the complete request has been written. The engine shares this flag: when the engine ends
-    /// the attempt, the flag decides whether the request may run.
+    /// the attempt, the flag tells whether the backend may execute the request.
     pub(super) request_written: CompletionFlag,
-    /// The time after which the last byte of the request is not written, if there is such a limit.
+    /// The time after which the last byte of the request is not written; `None` without such a limit.
     pub(super) write_deadline: Option<Instant>,
-    /// The metrics in which a request that has been written is counted, if it is to be counted.
+    /// The metrics that count a request that has been written; `None` if the request is not counted.
     pub(super) metrics: Option<Rc<Metrics>>,
 }
 
-/// The meaning of data that arrives before the request has been written completely.
+/// The kind of data that arrives before the request has been written completely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum EarlyInput {
     /// The data belongs to the response.
@@ -74,25 +74,25 @@
 #[derive(Default)]
 pub(super) struct RequestWriteState {
     context: RefCell<ExchangeContext>,
-    /// Set once the end of the body has been handed out: the next write contains the last byte.
+    /// Set once the body has yielded its end: the next write contains the last byte of the request.
     end_of_body: CompletionFlag,
     early_input: Cell<EarlyInput>,
 }
 
 impl RequestWriteState {
-    /// Resets the progress for a new request.
+    /// Resets the write progress for a new request.
     pub(super) fn start_request(&self, context: &ExchangeContext) {
         context.request_written.clear();
         self.end_of_body.clear();
         self.context.replace(context.clone());
     }
 
-    /// Sets the meaning of data that arrives before the request has been written completely.
+    /// Sets the kind of data that may arrive before the request has been written completely.
     pub(super) fn set_early_input(&self, early_input: EarlyInput) {
         self.early_input.set(early_input);
     }
 
-    /// Returns the flag that the body of the request sets once its end has been handed out.
+    /// Returns the flag that the body of the request sets once the body has yielded its end.
     pub(super) fn end_of_body(&self) -> &CompletionFlag {
         &self.end_of_body
     }
--- a/crates/balancer-proxy/src/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -16,13 +16,13 @@
 /// A request as it is forwarded to backends.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The method.
+    /// The request method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query of the request.
     pub uri: Uri,
-    /// The headers that are forwarded.
+    /// The headers to forward.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body of the request.
     pub body: ForwardedBody,
 }
 
@@ -42,7 +42,7 @@
 
 impl ForwardedRequest {
     /// Builds the request for an attempt that ends in `remaining_time` seconds. The body of the request
-    /// sets `end_of_body` once its end has been handed out. Returns `None` if the body cannot be sent any
+    /// sets `end_of_body` once the body has yielded its end. Returns `None` if the body cannot be sent any
     /// more.
     pub(super) fn build(
         &self,
@@ -83,8 +83,8 @@
     }
 }
 
-/// Rounds a time in seconds down to whole milliseconds, from 0 for a negative time. The conversion
-/// saturates, so that an infinite time is the longest that the type holds.
+/// Rounds a time in seconds down to whole milliseconds. A negative time becomes 0. The conversion saturates:
+/// an infinite time becomes [`u64::MAX`].
 fn whole_milliseconds(seconds: Time) -> u64 {
     (seconds.max(0.0) * MILLISECONDS_PER_SECOND) as u64
 }
--- a/crates/balancer-proxy/src/upstream/mod.rs
+++ b/crates/balancer-proxy/src/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! The side of the backends: connections and their pools, attempts and health checks, and the bodies
-//! that are streamed in both directions.
+//! The communication with backends: connections and their pools, attempts and health checks, and the
+//! bodies that are streamed in both directions.
 
 pub mod attempt;
 pub(crate) mod attempt_body;
--- a/crates/balancer-proxy/src/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one backend. The pool owns the idle connections, establishes new ones, and knows
+//! The connections to one backend. The pool owns the idle connections, establishes new ones, and stores
 //! the deadlines after which no request may be sent to the backend.
 
 use super::connection::{Connection, ConnectionOrigin, connect};
@@ -15,11 +15,11 @@
 use tokio::time::Instant;
 
 /// Fraction of the idle timeout of backends up to which an idle connection is reused. Near the timeout,
-/// the backend may close the connection while a request is on its way, and the request is then lost.
+/// the backend may close the connection while a request is in transit, and the request is then lost.
 const REUSE_IDLE_TIMEOUT_FRACTION: f64 = 0.7;
 
-/// A connection is reused only when it has been idle for this long. Data that a backend writes after the
-/// end of a response arrives in that time and makes the connection unusable, so that the data is not
+/// Minimum time that a connection must have been idle before it is reused. Data that a backend writes after
+/// the end of a response arrives in that time and makes the connection unusable, so that the data is not
 /// mistaken for the response to the next request.
 const MIN_IDLE_TIME_BEFORE_REUSE: Duration = Duration::from_millis(25);
 
@@ -40,7 +40,7 @@
 }
 
 impl IdleConnection {
-    /// Returns the idle connection if the backend has not closed it meanwhile.
+    /// Returns the idle connection if the backend has not closed it.
     fn into_reusable(self) -> Option<Self> {
         let connection = self.connection.into_reusable()?;
         Some(Self { connection, ..self })
@@ -53,8 +53,8 @@
     /// The idle connections, in the order in which they became idle.
     idle: RefCell<Vec<IdleConnection>>,
     send_deadlines: SendDeadlines,
-    /// The number of times that all connections were to be closed. A connection of an earlier generation
-    /// is closed when it becomes idle.
+    /// The number of times that all connections were retired. A connection of an earlier generation is
+    /// closed when it becomes idle.
     generation: Cell<u64>,
     /// The budget for the connections to all backends together.
     budget: Rc<Budget>,
@@ -93,21 +93,20 @@
         self.send_deadlines.set_in_service();
     }
 
-    /// Records that the endpoint list has the backend draining at `address`: sends must end by
-    /// `deadline`.
+    /// Records that the endpoint list has the backend draining at `address`. Sends must end by `deadline`.
     pub fn set_draining(&self, address: SocketAddr, deadline: Time) {
         self.address.set(address);
         self.retire_connections();
         self.send_deadlines.set_draining(deadline);
     }
 
-    /// Records that the backend is removed from the endpoint list: sends must end by `deadline`.
+    /// Records that the backend is removed from the endpoint list. Sends must end by `deadline`.
     pub(crate) fn set_removed(&self, deadline: Time) {
         self.retire_connections();
         self.send_deadlines.set_removed(deadline);
     }
 
-    /// Records that the backend is in maintenance: sends must end by `deadline`.
+    /// Records that the backend is in maintenance. Sends must end by `deadline`.
     pub(crate) fn start_maintenance(&self, deadline: Time) {
         self.send_deadlines.start_maintenance(deadline);
     }
@@ -122,7 +121,7 @@
         self.send_deadlines.is_expired(clock.now())
     }
 
-    /// Returns whether a request may be sent to the backend now, as no deadline for sends has passed.
+    /// Returns whether a request may be sent to the backend now, because no send deadline has passed.
     pub(super) fn may_send(&self, clock: &Clock) -> bool {
         self.send_deadlines.allow_send(clock.now())
     }
@@ -163,9 +162,9 @@
         self.generation.get()
     }
 
-    /// Checks out the idle connection that was used last, or else establishes a new one. After its use,
-    /// the connection becomes idle if the pool still has this `generation`. Returns `None` if the budget
-    /// is used up or no connection can be established.
+    /// Checks out the idle connection that was used last, or establishes a new one if none can be reused.
+    /// After its use, the connection becomes idle if the pool still has this `generation`. Returns `None`
+    /// if the budget is used up or no connection can be established.
     pub(super) async fn check_out(self: &Rc<Self>, generation: u64) -> Option<CheckedOutConnection> {
         if let Some(IdleConnection { connection, permit, .. }) = self.take_idle() {
             let lease = ConnectionLease { pool: self.clone(), permit, generation };
@@ -178,7 +177,7 @@
     }
 
     /// Removes and returns the idle connection that was used last and can be reused. Unusable connections
-    /// that are found on the way are closed.
+    /// that the search finds are closed.
     fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(index) = idle.iter().rposition(|idle| idle.since.elapsed() >= MIN_IDLE_TIME_BEFORE_REUSE) {
@@ -193,13 +192,14 @@
     }
 
     /// Establishes a connection. If the first connection attempt takes half of the timeout, a second one
-    /// is started, and the result of whichever ends first is used: where a single connection attempt is
-    /// slow, the next one usually is not. Without the second attempt, a request would get no connection
-    /// and wait for its next retransmission timer. The cost is that a backend that is slow to accept gets
-    /// up to twice as many connections.
+    /// is started, and the result of the one that ends first is used. A second connection attempt is
+    /// usually fast where the first is slow. Without the second one, a request would get no connection and
+    /// wait for its next retransmission timer. The cost is that a backend that is slow to accept gets up to
+    /// twice as many connections.
     ///
-    /// The second half of the timeout begins with the second attempt. If the process stood still while the first
-    /// half elapsed, an end counted from the start would have passed before a second attempt could begin.
+    /// The second half of the timeout begins with the second connection attempt. If the process was
+    /// suspended during the first half, a timeout counted from the start would have elapsed before the
+    /// second connection attempt could begin.
     async fn connect(&self) -> io::Result<Connection> {
         let address = self.address.get();
         let half_timeout = self.connect_timeout() / 2;
--- a/crates/balancer-proxy/src/upstream/pool/tests.rs
+++ b/crates/balancer-proxy/src/upstream/pool/tests.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Far beyond what any step takes, on a busy machine too.
+/// Time limit of a step, which is long enough on a busy machine too.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a test with a listener that establishes connections and never accepts them.
@@ -35,13 +35,13 @@
     checked_out.lease.release(checked_out.connection);
 }
 
-/// Waits until connections that were released just now can be reused.
+/// Waits until connections that have just been released can be reused.
 async fn wait_until_reusable() {
     tokio::time::sleep(2 * MIN_IDLE_TIME_BEFORE_REUSE).await;
 }
 
 #[test]
-fn reuses_an_idle_connection_once_it_has_been_idle_for_the_least_time() {
+fn reuses_a_connection_once_it_has_been_idle_for_the_minimum_time() {
     run_with_listener(|address| async move {
         let pool = pool_at(address, &Budget::new(4));
         let first = check_out(&pool).await;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn closes_a_connection_in_use_that_was_retired_meanwhile() {
+fn closes_a_connection_at_its_release_if_it_was_retired_while_in_use() {
     run_with_listener(|address| async move {
         let budget = Budget::new(1);
         let pool = pool_at(address, &budget);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn closes_idle_connections_when_the_address_changes_and_not_when_it_stays() {
+fn closes_idle_connections_only_when_the_address_changes() {
     run_with_listener(|address| async move {
         let pool = pool_at(address, &Budget::new(4));
         release(check_out(&pool).await);
@@ -134,7 +134,7 @@
     });
 }
 
-/// Returns a listener that has capacity for one connection until that is accepted.
+/// Returns a listener whose backlog holds one connection until that connection is accepted.
 fn listener_with_short_backlog() -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -142,11 +142,12 @@
     socket.into()
 }
 
-/// A process that stands still for the whole timeout right after the start of a connection attempt finds the
-/// timers of both halves elapsed when it goes on. The attempt got no connection then, although the backend had
-/// capacity again: the system repeats the first attempt only after a second.
+/// Guards against a request that gets no connection although the backend has capacity again. The process is
+/// suspended for the whole timeout right after the start of a connection attempt, so that the timers of both
+/// halves have elapsed when the process resumes. The kernel retries the first connection attempt only after a
+/// second.
 #[test]
-fn starts_a_second_connection_attempt_after_a_standstill_for_the_whole_timeout() {
+fn starts_a_second_connection_attempt_after_a_suspension_for_the_whole_timeout() {
     let listener = listener_with_short_backlog();
     let address = listener.local_addr().unwrap();
     let _first_in_backlog = TcpStream::connect(address).unwrap();
--- a/crates/balancer-proxy/src/upstream/request_body.rs
+++ b/crates/balancer-proxy/src/upstream/request_body.rs
@@ -1,6 +1,6 @@
-//! Request bodies on their way from a client to a backend. A body that is too long to be buffered is
-//! streamed, at the pace of the slower side. The beginning of a streamed body stays buffered, so that the
-//! request can be sent again, until more than the beginning has been forwarded.
+//! Request bodies that are received from a client and sent to a backend. A body that is too long to be
+//! buffered is streamed at the rate of the slower side. The beginning of a streamed body stays buffered, so
+//! that the request can be sent again, until data after this beginning has been forwarded.
 
 use super::body_chunks::BodyChunks;
 use super::completion_flag::CompletionFlag;
@@ -16,30 +16,30 @@
 use std::task::{Context, Poll, Waker, ready};
 use std::time::Duration;
 
-/// Interval between two checks of the pace of a body.
+/// Interval between two checks of the transfer rate of a body.
 const RATE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The body of a request, while it is received from its client.
+/// The body of a request that is being received from its client.
 pub struct StreamedRequestBody {
-    state: RefCell<State>,
+    state: RefCell<ReceiveState>,
 }
 
-struct State {
-    /// The beginning of the body, until more than the beginning has been forwarded.
+struct ReceiveState {
+    /// The beginning of the body. Empty once data after the beginning has been forwarded.
     buffered: BodyChunks,
     incoming: Incoming,
     /// The number of bytes still to be received, if the length is known.
     remaining_bytes: Option<u64>,
     transfer_rate: TransferRateMonitor,
-    /// Set once the body is complete, or cannot be completed any more.
+    /// How the body ended, once the body is complete or cannot be completed any more.
     end: Option<Result<(), StreamError>>,
-    /// Set once more has been forwarded than is buffered.
+    /// Set once data after the buffered beginning has been forwarded.
     is_consumed: bool,
     /// Wakes the task that waits for the end.
     end_waker: Option<Waker>,
 }
 
-impl State {
+impl ReceiveState {
     /// Receives the next chunk from the client, or `None` at the end.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamError>>> {
         loop {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Counts a chunk that was received, and returns it, or `None` if the body has become too long.
+    /// Counts a received chunk, and returns the chunk, or `None` if the body has become too long.
     fn accept(&mut self, chunk: Bytes) -> Option<Bytes> {
         self.transfer_rate.record_chunk(chunk.len());
         if self.transfer_rate.received_bytes() as u64 > MAX_BODY_BYTES {
@@ -78,7 +78,7 @@
         Some(chunk)
     }
 
-    /// Records how the body ends, unless it has ended before.
+    /// Records how the body ended. Does nothing if the body has already ended.
     fn finish(&mut self, end: Result<(), StreamError>) {
         self.end.get_or_insert(end);
         if let Some(waker) = self.end_waker.take() {
@@ -88,10 +88,10 @@
 }
 
 impl StreamedRequestBody {
-    /// Creates the body that is received as `incoming`. The body is allowed `base_timeout`, and more time
-    /// with each byte that arrives.
+    /// Creates the body that is received as `incoming`. The body may take `base_timeout` to arrive, and more
+    /// time for each byte received.
     pub fn new(incoming: Incoming, base_timeout: Duration) -> Rc<Self> {
-        let state = State {
+        let state = ReceiveState {
             buffered: BodyChunks::default(),
             remaining_bytes: incoming.size_hint().exact(),
             incoming,
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the body breaks off, is too slow, or is longer than [`MAX_BODY_BYTES`].
+    /// Returns an error if the body ends early, is too slow, or is longer than [`MAX_BODY_BYTES`].
     pub async fn read_buffered(&self, max_bytes: usize) -> Result<Option<Bytes>, StreamError> {
         let is_complete = tokio::select! {
             filled = std::future::poll_fn(|cx| self.poll_fill(cx, max_bytes)) => filled?,
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the body breaks off, is too slow, or is longer than [`MAX_BODY_BYTES`].
+    /// Returns an error if the body ends early, is too slow, or is longer than [`MAX_BODY_BYTES`].
     pub async fn wait_until_complete(&self) -> Result<(), StreamError> {
         let ended = std::future::poll_fn(|cx| {
             let mut state = self.state.borrow_mut();
@@ -156,13 +156,14 @@
         }
     }
 
-    /// Returns whether more has been forwarded than is buffered, so that the body cannot be sent again.
+    /// Returns whether data after the buffered beginning has been forwarded, so that the body cannot be sent
+    /// again.
     pub(super) fn is_consumed(&self) -> bool {
         self.state.borrow().is_consumed
     }
 
-    /// Returns the next chunk for an attempt that has sent `sent_chunks` chunks, and increases that number;
-    /// `None` at the end. Sets `end_of_body` if no data follows, and clears it otherwise.
+    /// Returns the next chunk for an attempt that has sent `sent_chunks` chunks, and increases that number.
+    /// Returns `None` at the end. Sets `end_of_body` if no data follows, and clears it otherwise.
     pub(super) fn poll_chunk(
         &self,
         cx: &mut Context<'_>,
--- a/crates/balancer-proxy/src/upstream/response_body.rs
+++ b/crates/balancer-proxy/src/upstream/response_body.rs
@@ -1,6 +1,6 @@
-//! Responses of backends. A response that is too long to be buffered is streamed at the pace of the
-//! client; the body of a streamed response owns its connection, and releases the connection to the pool
-//! at its end.
+//! Responses of backends. A response that is too long to be buffered is streamed at the rate at which the
+//! client reads it. The body of a streamed response owns its connection, and releases the connection to the
+//! pool at the end of the body.
 
 use super::body_chunks::BodyChunks;
 use super::connection::Connection;
@@ -15,12 +15,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep};
 
-/// Time without data from a backend after which the backend is not expected to complete its response.
+/// Time without data after which a streamed response body fails as stalled, because the backend is not
+/// expected to complete the body.
 const RESPONSE_BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The body of a response that is still being received from its backend.
 pub struct StreamedResponseBody {
-    /// The chunks that were received before the body was streamed, and are not returned yet.
+    /// The chunks that were received before the body was streamed, and have not been returned yet.
     buffered: BodyChunks,
     incoming: Incoming,
     /// The connection of the body, until the body has ended.
@@ -29,7 +30,7 @@
     length: Option<u64>,
     /// The length of the chunks returned so far, in bytes.
     returned_bytes: u64,
-    /// Ends [`RESPONSE_BODY_IDLE_TIMEOUT`] after the last arrival of data.
+    /// Expires [`RESPONSE_BODY_IDLE_TIMEOUT`] after the last arrival of data.
     idle_timer: Pin<Box<Sleep>>,
 }
 
@@ -39,8 +40,7 @@
 }
 
 impl StreamedResponseBody {
-    /// Creates the body that begins with `received`, and whose rest is received as `incoming` over
-    /// `connection`.
+    /// Creates a body that begins with `received`. The rest is received as `incoming` over `connection`.
     pub(super) fn new(
         received: BodyChunks,
         incoming: Incoming,
@@ -96,10 +96,10 @@
         }
     }
 
-    /// Counts a chunk that was received, and releases the connection after the last one.
+    /// Counts a received chunk, and releases the connection after the last one.
     fn accept(&mut self, chunk: Bytes) -> Result<Bytes, StreamError> {
         self.returned_bytes += chunk.len() as u64;
-        // A client does not poll beyond a known length: this is the last call.
+        // The body is not polled beyond a known length, so that this is the last call.
         if self.length == Some(self.returned_bytes) {
             self.release();
         }
@@ -109,7 +109,7 @@
         Ok(chunk)
     }
 
-    /// Releases the connection, which may carry another request, as the body is complete.
+    /// Releases the connection, which may carry another request because the body is complete.
     fn release(&mut self) {
         if let Some(LeasedConnection { connection, lease }) = self.leased.take() {
             lease.release(connection);
@@ -127,11 +127,11 @@
 
 /// A response of a backend.
 pub struct BackendResponse {
-    /// The content of the body.
+    /// The body.
     pub content: ResponseContent,
     /// The length of the complete body in bytes, if known.
     pub length: Option<u64>,
-    /// The headers.
+    /// The headers of the response.
     pub headers: HeaderMap,
 }
 
--- a/crates/balancer-proxy/src/upstream/send_deadlines.rs
+++ b/crates/balancer-proxy/src/upstream/send_deadlines.rs
@@ -21,8 +21,8 @@
         self.is_removed.set(false);
     }
 
-    /// Records that the endpoint list has the backend draining: sends must end by `deadline`. A drain
-    /// that was recorded before keeps its deadline, as a repeated notification must not extend the grace
+    /// Records that the endpoint list has the backend draining. Sends must end by `deadline`. A drain that
+    /// was recorded before keeps its deadline, because a repeated notification must not extend the grace
     /// period.
     pub(super) fn set_draining(&self, deadline: Time) {
         let earliest = self.drain.get().unwrap_or(deadline);
@@ -30,14 +30,14 @@
         self.is_removed.set(false);
     }
 
-    /// Records that the backend is removed: sends must end by `deadline`, or by the deadline of a drain
-    /// that was recorded before.
+    /// Records that the backend is removed. Sends must end by `deadline`, or by the deadline of a drain that
+    /// was recorded before.
     pub(super) fn set_removed(&self, deadline: Time) {
         self.set_draining(deadline);
         self.is_removed.set(true);
     }
 
-    /// Records that the backend is in maintenance: sends must end by `deadline`.
+    /// Records that the backend is in maintenance. Sends must end by `deadline`.
     pub(super) fn start_maintenance(&self, deadline: Time) {
         self.maintenance.set(Some(deadline));
     }
@@ -47,7 +47,7 @@
         self.maintenance.set(None);
     }
 
-    /// Returns whether a send at time `now` is allowed, as no deadline has passed.
+    /// Returns whether a send at time `now` is allowed, because no deadline has passed.
     pub(super) fn allow_send(&self, now: Time) -> bool {
         let deadlines = [self.drain.get(), self.maintenance.get()];
         deadlines.into_iter().flatten().all(|deadline| now < deadline)
--- a/crates/balancer-proxy/src/upstream/send_deadlines/tests.rs
+++ b/crates/balancer-proxy/src/upstream/send_deadlines/tests.rs
@@ -3,7 +3,7 @@
 use super::SendDeadlines;
 
 #[test]
-fn a_backend_in_service_may_be_sent_to_at_any_time() {
+fn allows_sends_to_a_backend_in_service_at_any_time() {
     let deadlines = SendDeadlines::default();
 
     deadlines.set_in_service();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_drain_that_follows_a_return_to_service_has_a_deadline_of_its_own() {
+fn a_drain_after_a_return_to_service_has_its_own_deadline() {
     let deadlines = SendDeadlines::default();
 
     deadlines.set_draining(2.0);
--- a/crates/balancer-proxy/src/upstream/socket.rs
+++ b/crates/balancer-proxy/src/upstream/socket.rs
@@ -1,6 +1,6 @@
-//! The socket of a backend connection. The socket records when data arrives, and writes the last byte of
-//! a request a little later than the rest: until then the request can still be stopped or moved to
-//! another connection.
+//! The socket of a backend connection. The socket records when data arrives, and delays the last byte of
+//! each request. Until the last byte is written, the request can still be aborted or sent on another
+//! connection.
 
 use super::exchange_state::{RequestWriteState, ResponseActivity};
 use socket2::SockRef;
@@ -15,23 +15,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep};
 
-/// Delay of the last byte of a request. A backend starts to process a request when the last byte arrives:
-/// if the connection breaks before, the request never ran and may be sent on another connection. The
-/// delay guards against connections that the peer has abandoned without notice, or resets as it accepts
-/// them.
+/// Delay of the last byte of a request. A backend starts to execute a request when the last byte arrives. If
+/// the connection breaks before, the backend never executes the request, which may be sent on another
+/// connection. The delay guards against connections that the backend has abandoned without notice, or resets
+/// when it accepts them.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(1);
 
-/// Lateness of the end of the delay beyond which the last byte is delayed once more. The process was then
-/// suspended or busy, and may not have processed the events of that time yet, such as a disconnect of the
-/// client.
+/// Maximum lateness of the timer of the delay. After a later expiry, the last byte is delayed once more: the
+/// process was suspended or busy, and may not have processed the events of that time yet, such as a
+/// disconnect of the client.
 const MAX_TIMER_LATENESS: Duration = Duration::from_millis(50);
 
-/// The reason why the socket stops in the middle of an exchange.
+/// The reason why the socket aborts an exchange.
 #[derive(Debug, Error)]
 enum AbortedExchange {
-    #[error("data arrived before the request had been written")]
+    #[error("the backend sent data before the request had been written completely")]
     StaleInput,
-    #[error("the deadline for writing the request has passed")]
+    #[error("the deadline for writing the request passed before its last byte was written")]
     WriteDeadlineExceeded,
 }
 
@@ -49,14 +49,14 @@
     /// The last byte of a request that the HTTP library has written and the stream has not.
     delayed_byte: Option<u8>,
     delay: Pin<Box<Sleep>>,
-    /// Set once the byte has been delayed a second time. A third delay is never made, so that a slow
-    /// process makes progress too.
+    /// Set once the byte has been delayed a second time. The byte is never delayed a third time, so that a
+    /// slow process makes progress too.
     is_delay_extended: bool,
 }
 
 impl BackendSocket {
-    /// Wraps a connected stream, whose arrivals are recorded in `activity` and whose write progress is
-    /// recorded in `write_state`.
+    /// Wraps a connected stream. The socket records arrivals of data in `activity`, and the write progress
+    /// in `write_state`.
     pub(super) fn new(
         stream: TcpStream,
         activity: ResponseActivity,
@@ -66,7 +66,7 @@
         Self { stream, activity, write_state, delayed_byte: None, delay, is_delay_extended: false }
     }
 
-    /// Takes over the last byte of a request, which is written after the delay.
+    /// Stores the last byte of a request, which is written after the delay.
     fn delay_byte(&mut self, byte: u8) {
         self.delayed_byte = Some(byte);
         self.is_delay_extended = false;
@@ -77,7 +77,7 @@
         self.delay.as_mut().reset(Instant::now() + LAST_BYTE_DELAY);
     }
 
-    /// Waits for the end of the delay, and for the end of a second one if the process was stalled.
+    /// Waits for the end of the delay, and for the end of a second delay if the first expired too late.
     fn poll_delay(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         ready!(self.delay.as_mut().poll(cx));
         if !self.is_delay_extended && self.delay.deadline().elapsed() > MAX_TIMER_LATENESS {
@@ -88,13 +88,13 @@
         Poll::Ready(())
     }
 
-    /// Checks that the last byte may be written.
+    /// Returns an error if the last byte must not be written.
     fn check_last_byte(&self) -> Result<(), AbortedExchange> {
         if self.write_state.is_input_unexpected() && self.has_pending_input() {
             return Err(AbortedExchange::StaleInput);
         }
-        // A timer does not suffice for this check: after the process was suspended, all of its timers are
-        // due at once and expire in any order.
+        // A timer cannot replace this check: after the process was suspended, all of its timers are due at
+        // once and expire in any order.
         if self.write_state.is_write_deadline_exceeded() {
             return Err(AbortedExchange::WriteDeadlineExceeded);
         }
@@ -128,8 +128,8 @@
         let filled_before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(cx, buffer);
         if buffer.filled().len() > filled_before {
-            // The order of the data and the last byte is decided here: after the error, the last byte is
-            // never written.
+            // The data counts as earlier than the last byte of the request: after this error, the last byte
+            // is never written.
             if self.write_state.is_input_unexpected() {
                 return Poll::Ready(Err(AbortedExchange::StaleInput.into()));
             }
--- a/crates/balancer-proxy/src/upstream/transfer_rate.rs
+++ b/crates/balancer-proxy/src/upstream/transfer_rate.rs
@@ -1,25 +1,26 @@
-//! The pace of a body that is being received, by which a stalled sender is recognised.
+//! Detection of bodies that arrive below the minimum transfer rate, because their senders have stalled.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Least average rate, in bytes per second, at which a body must arrive beyond its base timeout.
+/// Minimum average transfer rate of a body beyond its base timeout, in bytes per second.
 const MIN_TRANSFER_BYTES_PER_SECOND: f64 = 40e3;
 
-/// The time spent waiting for a body, and the bytes received of the body. Time in which no chunk is
-/// awaited, because the receiving side is slower, does not count.
+/// Compares the time spent waiting for a body with the time that the received bytes may take. Time in which
+/// no chunk is awaited, because the receiving side is slower, does not count.
 pub(super) struct TransferRateMonitor {
-    /// The time that the body is allowed in addition to that of its bytes.
+    /// The time that the body may take in addition to the time for its bytes.
     base_timeout: Duration,
-    /// The time since which the next chunk is awaited, if one is awaited.
+    /// The time since which the next chunk is awaited; `None` if no chunk is awaited.
     waiting_since: Option<Instant>,
     /// The sum of the waits for the chunks received so far.
     waited: Duration,
+    /// The number of bytes received so far.
     received_bytes: usize,
 }
 
 impl TransferRateMonitor {
-    /// Creates the pace of a body that is allowed `base_timeout` in addition to the time of its bytes.
+    /// Creates the monitor of a body that may take `base_timeout` in addition to the time for its bytes.
     pub(super) fn new(base_timeout: Duration) -> Self {
         Self { base_timeout, waiting_since: None, waited: Duration::ZERO, received_bytes: 0 }
     }
@@ -29,7 +30,7 @@
         self.received_bytes
     }
 
-    /// Records that a chunk is awaited from now on, unless one was awaited already.
+    /// Records that a chunk is awaited from now on. Does nothing if a chunk is already awaited.
     pub(super) fn start_waiting(&mut self) {
         self.waiting_since.get_or_insert_with(Instant::now);
     }
@@ -41,8 +42,8 @@
         self.received_bytes += bytes;
     }
 
-    /// Returns whether the body has been awaited for longer than its base timeout and the bytes received
-    /// allow together.
+    /// Returns whether the body has been awaited for longer than the sum of its base timeout and the time
+    /// for the received bytes.
     pub(super) fn is_too_slow(&self) -> bool {
         self.waited + self.current_wait() > self.base_timeout + time_allowed_for(self.received_bytes)
     }
--- a/crates/balancer-proxy/src/upstream/transfer_rate/tests.rs
+++ b/crates/balancer-proxy/src/upstream/transfer_rate/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the pace of a body.
+//! Tests of the monitor of the transfer rate of a body.
 
 use super::{MIN_TRANSFER_BYTES_PER_SECOND, TransferRateMonitor, time_allowed_for};
 use std::time::Duration;
 
-/// Far longer than a test takes.
+/// A timeout that no test reaches.
 const LONG: Duration = Duration::from_secs(3600);
 
 #[test]
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_body_is_too_slow_once_it_was_awaited_for_longer_than_it_is_allowed() {
+fn a_body_is_too_slow_once_it_has_been_awaited_for_longer_than_allowed() {
     let mut strict = TransferRateMonitor::new(Duration::ZERO);
     let mut tolerant = TransferRateMonitor::new(LONG);
 
