--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -19,7 +19,7 @@
     /// For each backend in maintenance, the time by which sends must end, in seconds of the proxy's clock.
     maintenance_deadlines: HashMap<BackendId, Time>,
     /// The budget for the connections to all backends together.
-    connections: Rc<Budget>,
+    connection_budget: Rc<Budget>,
 }
 
 impl Endpoints {
@@ -29,7 +29,7 @@
         Self {
             pools: HashMap::new(),
             maintenance_deadlines: HashMap::new(),
-            connections: Budget::new(max_connections),
+            connection_budget: Budget::new(max_connections),
         }
     }
 
@@ -106,7 +106,7 @@
         let maintenance_deadline = self.maintenance_deadlines.get(&endpoint.id).copied();
         let pool = self.pools.entry(endpoint.id).or_insert_with(|| {
             let timeouts = connection_timeouts(settings);
-            let pool = ConnectionPool::new(*address, self.connections.clone(), timeouts);
+            let pool = ConnectionPool::new(*address, self.connection_budget.clone(), timeouts);
             if let Some(deadline) = maintenance_deadline {
                 pool.start_maintenance(deadline);
             }
@@ -142,13 +142,13 @@
 
     /// Limits the connections that are open at once, and closes idle ones beyond the limit.
     pub(super) fn set_connection_limit(&self, max_connections: usize) {
-        self.connections.set_limit(max_connections);
-        while self.connections.is_exceeded() && self.evict_oldest_idle() {}
+        self.connection_budget.set_limit(max_connections);
+        while self.connection_budget.is_exceeded() && self.evict_oldest_idle() {}
     }
 
     /// Closes an idle connection if the limit is reached, so that the next attempt can open one.
     pub(super) fn evict_idle_if_full(&self) {
-        if self.connections.is_full() {
+        if self.connection_budget.is_full() {
             self.evict_oldest_idle();
         }
     }
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -101,8 +101,8 @@
     /// requests and those that arrive under the settings in force.
     #[must_use]
     pub fn longest_deadline(&self) -> Time {
-        let of_open_requests = self.dispatcher.state().requests.longest_class_deadline();
-        self.settings().longest_deadline().max(of_open_requests)
+        let longest_of_open_requests = self.dispatcher.state().requests.longest_class_deadline();
+        self.settings().longest_deadline().max(longest_of_open_requests)
     }
 
     /// Returns the time, in seconds of the proxy's clock, from which on no attempt may be sent to a backend
--- a/crates/balancer-proxy/src/upstream/attempt.rs
+++ b/crates/balancer-proxy/src/upstream/attempt.rs
@@ -137,7 +137,7 @@
             Err(ExchangeError::NoValidResponse) => return Err(Outcome::Reset),
             Err(ExchangeError::BodyConsumed) => return Err(Outcome::NoConnection),
             // A reused connection may have been closed while it was idle, and is always replaced. A new
-            // connection is replaced only once, because a third one would fail in the same way.
+            // connection is replaced only once: after two failures a third one would fail in the same way.
             Err(ExchangeError::NotSent) => {
                 let is_new = origin == ConnectionOrigin::New;
                 if is_new && has_new_connection_failed {
--- a/crates/balancer-proxy/src/upstream/connection.rs
+++ b/crates/balancer-proxy/src/upstream/connection.rs
@@ -90,7 +90,7 @@
         self.driver.ended
     }
 
-    /// Returns the connection if it can carry another request and the backend has not closed it. Does not
+    /// Returns the connection if it can carry another request and the peer has not closed it. Does not
     /// wait, because a wait would delay a response that has arrived.
     pub(crate) fn into_reusable(mut self) -> Option<Self> {
         let ended = self.poll_ended(&mut Context::from_waker(Waker::noop()));
--- a/crates/balancer-proxy/src/upstream/transfer_rate.rs
+++ b/crates/balancer-proxy/src/upstream/transfer_rate.rs
@@ -1,4 +1,4 @@
-//! Detection of bodies that arrive below the minimum transfer rate, because their senders have stalled.
+//! Detection of stalled senders, whose bodies arrive below a minimum transfer rate.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -53,8 +53,8 @@
     }
 }
 
-/// Returns the time that a body of this length may take at [`MIN_TRANSFER_BYTES_PER_SECOND`]. The conversion is
-/// exact, as bodies are far shorter than 2^53 bytes.
+/// Returns the time that a body of this length may take at [`MIN_TRANSFER_BYTES_PER_SECOND`]. The conversion
+/// is exact, because bodies are far shorter than 2^53 bytes.
 fn time_allowed_for(bytes: usize) -> Duration {
     Duration::from_secs_f64(bytes as f64 / MIN_TRANSFER_BYTES_PER_SECOND)
 }
