--- a/crates/balancer-proxy/src/engine/attempts.rs
+++ b/crates/balancer-proxy/src/engine/attempts.rs
@@ -11,7 +11,8 @@
 /// The progress of writing the request of a running attempt to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// A part of the request is not written: after an abort of the task, the backend never executes it.
+    /// A part of the request is not written. After an abort of the task, the backend never executes the
+    /// request.
     Incomplete,
     /// The complete request is written: the backend may be executing it.
     Complete,
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -50,7 +50,7 @@
     pub(super) timers: Timers,
     discovery: RefCell<Weak<Discovery>>,
     pub(super) metrics: Rc<Metrics>,
-    /// The settings in force. All other parts of the engine read the settings from this field, so that a
+    /// The settings in force. All other parts of the process read the settings from this field, so that a
     /// change applies to all parts at once.
     settings: RefCell<Rc<SettingsSnapshot>>,
 }
