--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -131,7 +131,9 @@
     /// [`DUPLICATE_ID_TIMEOUT`].
     async fn wait_for_request_id(&self, client_request_id: u64) {
         let started = Instant::now();
-        while self.engine.is_client_request_id_in_use(client_request_id) && started.elapsed() < DUPLICATE_ID_TIMEOUT {
+        while self.engine.is_client_request_id_in_use(client_request_id)
+            && started.elapsed() < DUPLICATE_ID_TIMEOUT
+        {
             tokio::time::sleep(DUPLICATE_ID_POLL_INTERVAL).await;
         }
     }
--- a/crates/balancer-proxy/src/engine/event_loop_lag/tests.rs
+++ b/crates/balancer-proxy/src/engine/event_loop_lag/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the estimate of the event loop lag.
 
-use super::{LAG_DECAY_FACTOR, MAX_LAG_SECS, EventLoopLag};
+use super::{EventLoopLag, LAG_DECAY_FACTOR, MAX_LAG_SECS};
 
 #[test]
 fn rises_at_once_to_the_lateness_of_a_round_and_falls_by_the_decay_factor() {
--- a/crates/balancer-proxy/src/upstream/attempt.rs
+++ b/crates/balancer-proxy/src/upstream/attempt.rs
@@ -2,6 +2,7 @@
 //! outcome for the decision module.
 
 use super::attempt_body::AttemptBody;
+use super::completion_flag::CompletionFlag;
 use super::connection::{Connection, ConnectionOrigin};
 use super::exchange::{BuildRequest, ExchangeError, ReceivedBody, ReceivedResponse, exchange};
 use super::exchange_state::ExchangeContext;
@@ -9,7 +10,6 @@
 use super::load_report;
 use super::pool::{CheckedOutConnection, ConnectionLease, ConnectionPool};
 use super::response_body::{BackendResponse, ResponseContent, StreamedResponseBody};
-use super::completion_flag::CompletionFlag;
 use crate::clock::Clock;
 use crate::metrics::Metrics;
 use balancer::{LoadReport, Outcome, Time};
@@ -68,7 +68,8 @@
 pub async fn attempt(parameters: AttemptParameters) -> AttemptResult {
     let AttemptParameters { pool, request, clock, response_deadline, write_deadline, written, metrics } =
         parameters;
-    let build_request = |end_of_body: &CompletionFlag| request.build(response_deadline - clock.now(), end_of_body);
+    let build_request =
+        |end_of_body: &CompletionFlag| request.build(response_deadline - clock.now(), end_of_body);
     let context = ExchangeContext {
         request_written: written,
         write_deadline: write_deadline.map(|deadline| clock.instant_at(deadline)),
--- a/crates/balancer-proxy/src/upstream/attempt_body.rs
+++ b/crates/balancer-proxy/src/upstream/attempt_body.rs
@@ -1,7 +1,7 @@
 //! The body that one attempt sends to its backend.
 
-use super::request_body::StreamedRequestBody;
 use super::completion_flag::CompletionFlag;
+use super::request_body::StreamedRequestBody;
 use crate::stream_error::StreamError;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
--- a/crates/balancer-proxy/src/upstream/exchange.rs
+++ b/crates/balancer-proxy/src/upstream/exchange.rs
@@ -3,9 +3,9 @@
 
 use super::attempt_body::AttemptBody;
 use super::body_chunks::BodyChunks;
+use super::completion_flag::CompletionFlag;
 use super::connection::{Connection, ConnectionOrigin};
 use super::exchange_state::{EarlyInput, ExchangeContext};
-use super::completion_flag::CompletionFlag;
 use crate::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use bytes::Bytes;
 use http_body_util::BodyExt;
--- a/crates/balancer-proxy/src/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -1,8 +1,8 @@
 //! A request in the form in which attempts send it to backends.
 
 use super::attempt_body::AttemptBody;
-use super::request_body::StreamedRequestBody;
 use super::completion_flag::CompletionFlag;
+use super::request_body::StreamedRequestBody;
 use balancer::Time;
 use bytes::Bytes;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue};
--- a/crates/balancer-proxy/src/upstream/mod.rs
+++ b/crates/balancer-proxy/src/upstream/mod.rs
@@ -4,6 +4,7 @@
 pub mod attempt;
 pub(crate) mod attempt_body;
 mod body_chunks;
+pub mod completion_flag;
 pub(crate) mod connection;
 mod exchange;
 mod exchange_state;
@@ -13,6 +14,5 @@
 pub(crate) mod request_body;
 pub(crate) mod response_body;
 mod send_deadlines;
-pub mod completion_flag;
 mod socket;
 mod transfer_rate;
--- a/crates/balancer-proxy/src/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -180,7 +180,9 @@
     /// that the search finds are closed.
     fn take_idle(&self) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(index) = idle.iter().rposition(|idle| idle.since.elapsed() >= MIN_IDLE_TIME_BEFORE_REUSE) {
+        while let Some(index) =
+            idle.iter().rposition(|idle| idle.since.elapsed() >= MIN_IDLE_TIME_BEFORE_REUSE)
+        {
             let candidate = idle.remove(index);
             if self.is_fresh(&candidate)
                 && let Some(reusable) = candidate.into_reusable()
