--- a/crates/balancer-proxy/src/engine/background_tasks.rs
+++ b/crates/balancer-proxy/src/engine/background_tasks.rs
@@ -1,5 +1,5 @@
-//! The tasks of the engine that run as long as the process: one expires the timers, the other closes
-//! idle connections and forgets backends that are gone.
+//! The background tasks of the engine, which run until the process ends. One task expires the timers. The
+//! other closes idle connections and drops the connection pools of removed backends.
 
 use super::Engine;
 use super::supervisor::restart_on_panic;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Interval between two sweeps of the idle connections.
-const IDLE_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+const IDLE_CONNECTION_SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Spawns the tasks on the current [`tokio::task::LocalSet`].
 pub(super) fn spawn(engine: &Rc<Engine>) {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Carries out all timers that are due, and records how late they were.
+/// Expires all timers that are due, and records the longest delay.
 fn expire_timers(engine: &Engine) {
     let now = engine.dispatcher.clock.now();
     let mut lateness: Time = 0.0;
@@ -33,14 +33,14 @@
         lateness = lateness.max(now - scheduled.due);
         engine.dispatcher.expire_timer(scheduled.timer);
     }
-    engine.scheduling_lag.record(lateness);
+    engine.event_loop_lag.record(lateness);
 }
 
 async fn sweep_idle_connections(engine: Rc<Engine>) {
     loop {
-        tokio::time::sleep(IDLE_SWEEP_INTERVAL).await;
+        tokio::time::sleep(IDLE_CONNECTION_SWEEP_INTERVAL).await;
         let mut state = engine.dispatcher.state();
-        state.endpoints.forget_removed(&engine.dispatcher.clock);
+        state.endpoints.drop_expired_pools(&engine.dispatcher.clock);
         state.endpoints.sweep_idle();
     }
 }
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -1,39 +1,40 @@
-//! Gives pending events to the decision module and carries out the actions that it returns.
+//! Passes pending events to the decision module and executes the actions that the module returns.
 //!
-//! Owns the state that events and actions change, the timers and the settings in force. The dispatcher
-//! spawns the tasks of attempts and health checks, and reports the end of each to the module.
+//! The dispatcher owns the state that events and actions change, the timers and the settings in force. It
+//! spawns the tasks of attempts and health checks, and reports the result of each task to the module.
 
 use super::attempts::{RunningAttempt, SentAttempt};
-use super::decisions::PendingEvent;
+use super::decision_module::PendingEvent;
 use super::requests::FinalResponse;
-use super::state::State;
+use super::state::EngineState;
 use super::timers::{Timer, Timers};
 use crate::clock::Clock;
 use crate::control::discovery::Discovery;
 use crate::metrics::Metrics;
 use crate::settings::SettingsSnapshot;
 use crate::upstream::attempt::{self, AttemptParameters, AttemptResult};
+use crate::upstream::completion_flag::CompletionFlag;
 use crate::upstream::load_report;
-use crate::upstream::shared_flag::SharedFlag;
 use balancer::{Action, AttemptId, BackendId, Event, RequestId, Time};
 use std::cell::{RefCell, RefMut};
 use std::rc::{Rc, Weak};
 
-/// Path of a health check that finds out only whether the backend serves requests.
-const HEALTH_PATH: &str = "/-/healthy";
+/// Path of a health check that tests only whether the backend serves requests.
+const HEALTH_CHECK_PATH: &str = "/-/healthy";
 /// Path of a health check whose response is a load report.
 const LOAD_REPORT_PATH: &str = "/-/load";
-/// The timeout of [`Action::Send`] by which an attempt may take as long as its request.
-const REQUEST_TIMEOUT: Time = 0.0;
+/// Timeout in [`Action::Send`], in seconds, that stands for an attempt without a timeout of its own. Such an
+/// attempt ends at the deadline of its request.
+const NO_ATTEMPT_TIMEOUT_SECS: Time = 0.0;
 
-/// The command of the decision module to send an attempt. Times are those of the proxy's clock, in
+/// A command of the decision module to send an attempt. Times are those of the proxy's clock, in
 /// seconds.
 struct SendCommand {
     request: RequestId,
     backend: BackendId,
-    /// The longest time until the response, in seconds; `None` for as long as the request has.
+    /// The longest time until the response, in seconds; `None` if only the deadline of the request applies.
     timeout: Option<Time>,
-    /// The time by which the last byte of the request must be written, if there is such a limit.
+    /// The time by which the last byte of the request must be written; `None` without such a limit.
     write_deadline: Option<Time>,
     /// The time of the decision.
     decided_at: Time,
@@ -41,21 +42,21 @@
 
 /// Connects the decision module with the state of the engine.
 pub(super) struct Dispatcher {
-    /// A reference to the dispatcher itself, by which the tasks of attempts and health checks report
-    /// their ends.
-    this: Weak<Dispatcher>,
+    /// A reference to the dispatcher itself. The tasks of attempts and health checks report their results
+    /// through the reference.
+    weak_self: Weak<Dispatcher>,
     pub(super) clock: Clock,
-    state: RefCell<State>,
+    state: RefCell<EngineState>,
     pub(super) timers: Timers,
     discovery: RefCell<Weak<Discovery>>,
     pub(super) metrics: Rc<Metrics>,
-    /// The settings in force. All other parts read the settings from here, so that a change applies to
-    /// all parts at once.
+    /// The settings in force. All other parts of the process read the settings from this field, so that a
+    /// change applies to all parts at once.
     settings: RefCell<Rc<SettingsSnapshot>>,
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher whose decision module makes random draws that depend on `seed`. At most
+    /// Creates a dispatcher. The random draws of its decision module depend on `seed`. At most
     /// `max_backend_connections` connections to backends will be open at once.
     pub(super) fn new(
         settings: Rc<SettingsSnapshot>,
@@ -64,9 +65,9 @@
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         let clock = Clock::start();
-        let state = State::new(clock, seed, settings.balancer.clone(), max_backend_connections);
-        Rc::new_cyclic(|this| Self {
-            this: this.clone(),
+        let state = EngineState::new(clock, seed, settings.balancer.clone(), max_backend_connections);
+        Rc::new_cyclic(|weak_self| Self {
+            weak_self: weak_self.clone(),
             clock,
             state: RefCell::new(state),
             timers: Timers::default(),
@@ -76,8 +77,8 @@
         })
     }
 
-    /// Returns the state for changes. The borrow must end before the next one begins.
-    pub(super) fn state(&self) -> RefMut<'_, State> {
+    /// Borrows the state mutably. Panics if an earlier borrow has not ended.
+    pub(super) fn state(&self) -> RefMut<'_, EngineState> {
         self.state.borrow_mut()
     }
 
@@ -91,7 +92,8 @@
         self.settings.replace(settings);
     }
 
-    /// Sets the discovery that provides the endpoint list, without keeping it alive.
+    /// Sets the discovery that provides the endpoint list. The dispatcher holds only a weak reference to
+    /// it.
     pub(super) fn set_discovery(&self, discovery: &Rc<Discovery>) {
         *self.discovery.borrow_mut() = Rc::downgrade(discovery);
     }
@@ -100,30 +102,30 @@
         self.discovery.borrow().upgrade()
     }
 
-    /// Queues an event, and has the module decide on all pending events.
-    pub(super) fn handle(&self, mut state: RefMut<'_, State>, event: impl Into<PendingEvent>) {
-        state.decisions.push(event);
+    /// Queues an event, and lets the module handle all pending events.
+    pub(super) fn handle(&self, mut state: RefMut<'_, EngineState>, event: impl Into<PendingEvent>) {
+        state.decision_module.push(event);
         self.decide(state);
     }
 
-    /// Has the module decide on all pending events, and carries out its actions.
-    fn decide(&self, mut state: RefMut<'_, State>) {
+    /// Passes all pending events to the module, and executes the resulting actions.
+    fn decide(&self, mut state: RefMut<'_, EngineState>) {
         let mut actions = Vec::new();
-        while let Some(now) = state.decisions.handle_next(&self.clock, &mut actions) {
+        while let Some(now) = state.decision_module.handle_next(&self.clock, &mut actions) {
             for action in actions.drain(..) {
-                self.carry_out(&mut state, action, now);
+                self.execute(&mut state, action, now);
             }
         }
     }
 
-    /// Carries out an action on which the module decided at time `now`.
-    fn carry_out(&self, state: &mut State, action: Action, now: Time) {
+    /// Executes an action that the module returned at time `now`.
+    fn execute(&self, state: &mut EngineState, action: Action, now: Time) {
         match action {
             Action::Send { id, backend, timeout, write_within } => {
                 let command = SendCommand {
                     request: id,
                     backend,
-                    timeout: (timeout != REQUEST_TIMEOUT).then_some(timeout),
+                    timeout: (timeout != NO_ATTEMPT_TIMEOUT_SECS).then_some(timeout),
                     write_deadline: write_within.is_finite().then_some(now + write_within),
                     decided_at: now,
                 };
@@ -148,19 +150,19 @@
         }
     }
 
-    /// Sends the next attempt of a request. If the request is closed or has no attempt left, or the
-    /// backend is unknown, the module is notified that nothing was sent.
-    fn send(&self, state: &mut State, command: &SendCommand) {
+    /// Sends the next attempt of a request. Notifies the module that nothing was sent if the request is
+    /// closed or has no attempt left, or if the backend is unknown.
+    fn send(&self, state: &mut EngineState, command: &SendCommand) {
         let pool = state.endpoints.pool(command.backend);
         let request = state.requests.get_mut(command.request).filter(|request| request.has_attempt_left());
-        let (Some(request), Some(pool), Some(this)) = (request, pool, self.this.upgrade()) else {
+        let (Some(request), Some(pool), Some(this)) = (request, pool, self.weak_self.upgrade()) else {
             return state.report_not_sent(command.request, command.backend);
         };
         state.endpoints.evict_idle_if_full();
         let id = AttemptId { request: command.request, number: request.count_attempt() };
         let deadline = request.attempt_deadline(command.decided_at, command.timeout);
         let response_deadline = request.response_deadline(deadline, command.decided_at);
-        let written = SharedFlag::default();
+        let written = CompletionFlag::default();
         let attempt = attempt::attempt(AttemptParameters {
             pool,
             request: request.forwarded.clone(),
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Records that the task of an attempt has ended, and has the module decide on that.
+    /// Records the result of an attempt whose task has ended, and lets the module handle it.
     fn end_attempt(&self, id: AttemptId, result: AttemptResult) {
         let mut state = self.state();
         state.end_attempt(id, result);
@@ -201,7 +203,7 @@
     pub(super) fn expire_timer(&self, timer: Timer) {
         let mut state = self.state();
         match timer {
-            Timer::Decision(token) => state.decisions.push(Event::Timer(token)),
+            Timer::Decision(token) => state.decision_module.push(Event::Timer(token)),
             Timer::WriteDeadline(id) => state.expire_write_deadline(id),
             Timer::AttemptDeadline(id) => state.expire_attempt_deadline(id),
             Timer::RequestDeadline(id) => state.expire_request_deadline(id),
@@ -209,13 +211,13 @@
         self.decide(state);
     }
 
-    /// Starts a health check of a backend that has a pool.
-    fn check_health(&self, state: &State, backend: BackendId) {
-        let (Some(pool), Some(this)) = (state.endpoints.pool(backend), self.this.upgrade()) else {
+    /// Starts a health check of a backend. Does nothing if the backend has no connection pool.
+    fn check_health(&self, state: &EngineState, backend: BackendId) {
+        let (Some(pool), Some(this)) = (state.endpoints.pool(backend), self.weak_self.upgrade()) else {
             return;
         };
-        let wants_load_report = self.settings.borrow().balancer.health_checks_for_load_reports;
-        let path = if wants_load_report { LOAD_REPORT_PATH } else { HEALTH_PATH };
+        let requests_load_report = self.settings.borrow().balancer.health_checks_for_load_reports;
+        let path = if requests_load_report { LOAD_REPORT_PATH } else { HEALTH_CHECK_PATH };
         let check = attempt::health_check(pool, path, self.clock);
         tokio::task::spawn_local(async move {
             let result = check.await;
@@ -223,8 +225,8 @@
         });
     }
 
-    /// Reports the result of a health check to the module, with the load report of its headers, or else
-    /// that of its body.
+    /// Reports the result of a health check to the module. The load report is taken from the response
+    /// headers, or from the body if the headers have none.
     fn end_health_check(&self, backend: BackendId, result: &AttemptResult) {
         let report_in_body =
             result.response.as_ref().and_then(|response| load_report::parse(response.buffered()?));
--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -1,8 +1,8 @@
 //! The backends and their connection pools.
 //!
-//! Owns one connection pool for each listed backend, and the time by which sends to a backend in
-//! maintenance must end. A backend that is gone is forgotten once its grace period is over and no
-//! attempt or health check uses its pool.
+//! [`Endpoints`] owns one connection pool for each listed backend, and the send deadlines of the backends in
+//! maintenance. The pool of a removed backend is dropped once its grace period is over and no attempt or
+//! health check uses the pool.
 
 use crate::clock::Clock;
 use crate::limits::Budget;
@@ -19,17 +19,17 @@
     /// For each backend in maintenance, the time by which sends must end, in seconds of the proxy's clock.
     maintenance_deadlines: HashMap<BackendId, Time>,
     /// The budget for the connections to all backends together.
-    connections: Rc<Budget>,
+    connection_budget: Rc<Budget>,
 }
 
 impl Endpoints {
-    /// Creates an empty set of backends, to which at most `max_connections` connections will be open at
-    /// once.
+    /// Creates an empty set of backends. At most `max_connections` connections to all backends together
+    /// will be open at once.
     pub(super) fn new(max_connections: usize) -> Self {
         Self {
             pools: HashMap::new(),
             maintenance_deadlines: HashMap::new(),
-            connections: Budget::new(max_connections),
+            connection_budget: Budget::new(max_connections),
         }
     }
 
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Puts a backend in maintenance, so that sends to the backend end by `send_deadline`. A backend that
-    /// already is in maintenance keeps its deadline.
+    /// Puts a backend in maintenance: sends to the backend must end by `send_deadline`. A backend that is
+    /// already in maintenance keeps its deadline.
     pub(super) fn start_maintenance(&mut self, backend: BackendId, send_deadline: Time) {
         let deadline = *self.maintenance_deadlines.entry(backend).or_insert(send_deadline);
         if let Some(pool) = self.pools.get(&backend) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Updates the pools to the endpoint list. Sends to backends that are draining or gone end by
+    /// Updates the pools from the endpoint list. Sends to backends that are draining or removed must end by
     /// `send_deadline`, in seconds of the proxy's clock.
     pub(super) fn apply_watch_event(
         &mut self,
@@ -106,7 +106,7 @@
         let maintenance_deadline = self.maintenance_deadlines.get(&endpoint.id).copied();
         let pool = self.pools.entry(endpoint.id).or_insert_with(|| {
             let timeouts = connection_timeouts(settings);
-            let pool = ConnectionPool::new(*address, self.connections.clone(), timeouts);
+            let pool = ConnectionPool::new(*address, self.connection_budget.clone(), timeouts);
             if let Some(deadline) = maintenance_deadline {
                 pool.start_maintenance(deadline);
             }
@@ -133,22 +133,22 @@
         }
     }
 
-    /// Forgets the backends that are gone and past their grace period, so that memory stays bounded
-    /// where backends are replaced all the time. A pool with a single reference is in use by no attempt
-    /// and no health check, and may be dropped.
-    pub(super) fn forget_removed(&mut self, clock: &Clock) {
-        self.pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.can_be_forgotten(clock));
+    /// Drops the pools of removed backends whose grace periods are over, so that memory stays bounded where
+    /// backends are replaced all the time. A pool with a single reference is not used by any attempt or
+    /// health check, and may be dropped.
+    pub(super) fn drop_expired_pools(&mut self, clock: &Clock) {
+        self.pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.is_removal_expired(clock));
     }
 
     /// Limits the connections that are open at once, and closes idle ones beyond the limit.
     pub(super) fn set_connection_limit(&self, max_connections: usize) {
-        self.connections.set_limit(max_connections);
-        while self.connections.is_exceeded() && self.evict_oldest_idle() {}
+        self.connection_budget.set_limit(max_connections);
+        while self.connection_budget.is_exceeded() && self.evict_oldest_idle() {}
     }
 
     /// Closes an idle connection if the limit is reached, so that the next attempt can open one.
     pub(super) fn evict_idle_if_full(&self) {
-        if self.connections.is_full() {
+        if self.connection_budget.is_full() {
             self.evict_oldest_idle();
         }
     }
@@ -164,7 +164,7 @@
     }
 }
 
-/// Returns the timeouts of connections by these settings.
+/// Returns the timeouts of connections to backends from the settings.
 fn connection_timeouts(settings: &ProxySettings) -> ConnectionTimeouts {
     ConnectionTimeouts { connect: settings.connect_timeout, idle: settings.idle_timeout }
 }
--- a/crates/balancer-proxy/src/upstream/connection.rs
+++ b/crates/balancer-proxy/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 //! dropping the connection ends the exchange and closes the socket at once.
 
 use super::attempt_body::AttemptBody;
-use super::exchange_progress::{RequestWriteState, ResponseActivity};
+use super::exchange_state::{RequestWriteState, ResponseActivity};
 use super::socket::BackendSocket;
 use crate::limits::MAX_HEAD_BYTES;
 use hyper::body::Incoming;
@@ -18,8 +18,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// The reason why a request got no response head. The error contains the request if no byte of it has
-/// been sent.
+/// The reason why a request got no response head. The error contains the request if no byte of the request
+/// has been sent.
 pub(crate) type SendError = TrySendError<Request<AttemptBody>>;
 
 /// Whether a connection has been used before.
@@ -27,7 +27,8 @@
 pub(super) enum ConnectionOrigin {
     /// The connection has just been established.
     New,
-    /// The connection has been used before: the peer may have closed it since, or may still write to it.
+    /// The connection has been used before. The backend may have closed the connection since, or may still
+    /// write data of an earlier exchange to it.
     Reused,
 }
 
@@ -37,7 +38,7 @@
     sender: http1::SendRequest<AttemptBody>,
     driver: Driver,
     activity: ResponseActivity,
-    progress: Rc<RequestWriteState>,
+    write_state: Rc<RequestWriteState>,
 }
 
 /// Connects to `address` within `timeout`.
@@ -58,14 +59,14 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let activity = ResponseActivity::default();
-    let progress = Rc::<RequestWriteState>::default();
-    let socket = BackendSocket::new(stream, activity.clone(), progress.clone());
+    let write_state = Rc::<RequestWriteState>::default();
+    let socket = BackendSocket::new(stream, activity.clone(), write_state.clone());
     let mut builder = http1::Builder::new();
     // The head of a response must not grow without bound.
     builder.max_buf_size(MAX_HEAD_BYTES);
     let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
     let driver = Driver { connection: Box::pin(connection), ended: false };
-    Ok(Connection { sender, driver, activity, progress })
+    Ok(Connection { sender, driver, activity, write_state })
 }
 
 impl Connection {
@@ -90,24 +91,24 @@
     }
 
     /// Returns the connection if it can carry another request and the peer has not closed it. Does not
-    /// wait, as the connection must not delay a response that has arrived.
+    /// wait, because a wait would delay a response that has arrived.
     pub(crate) fn into_reusable(mut self) -> Option<Self> {
         let ended = self.poll_ended(&mut Context::from_waker(Waker::noop()));
         (!ended && self.sender.is_ready()).then_some(self)
     }
 
-    /// Returns the record of the arrival of the current response.
+    /// Returns the record of the last arrival of data of the current response.
     pub(super) fn activity(&self) -> &ResponseActivity {
         &self.activity
     }
 
     /// Returns the write progress of the current request.
-    pub(super) fn progress(&self) -> &Rc<RequestWriteState> {
-        &self.progress
+    pub(super) fn write_state(&self) -> &Rc<RequestWriteState> {
+        &self.write_state
     }
 }
 
-/// Reads and writes the bytes of a connection.
+/// Drives the reads and writes of a connection.
 struct Driver {
     connection: Pin<Box<http1::Connection<TokioIo<BackendSocket>, AttemptBody>>>,
     /// Set once the connection has ended. The sender reports that it is ready even after the end; without
--- a/crates/balancer-proxy/src/upstream/exchange_progress.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_state.rs
@@ -1,7 +1,7 @@
 //! The state that an exchange shares with the socket of its connection: the time at which data of the
 //! response last arrived, and the write progress of the request.
 
-use super::shared_flag::SharedFlag;
+use super::completion_flag::CompletionFlag;
 use crate::metrics::Metrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A response that has started, and of which nothing more arrives for this long, counts as invalid.
+/// Time without new data after which a response that has started is treated as invalid.
 const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between two checks for a stalled response.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -25,7 +25,7 @@
         self.replace(Some(Instant::now()));
     }
 
-    /// Records that the response has not started yet.
+    /// Clears the time: the response has not started yet.
     pub(super) fn clear(&self) {
         self.replace(None);
     }
@@ -48,58 +48,58 @@
     }
 }
 
-/// The means by which the caller of an exchange observes and bounds the exchange.
+/// The limits of an exchange and the records of its progress, as set by the caller of the exchange.
 #[derive(Clone, Default)]
 pub(super) struct ExchangeContext {
     /// Set once the complete request has been written. The engine shares this flag: when the engine ends
-    /// the attempt, the flag decides whether the request may run.
-    pub(super) request_written: SharedFlag,
-    /// The time after which the last byte of the request is not written, if there is such a limit.
+    /// the attempt, the flag tells whether the backend may execute the request.
+    pub(super) request_written: CompletionFlag,
+    /// The time after which the last byte of the request is not written; `None` without such a limit.
     pub(super) write_deadline: Option<Instant>,
-    /// The metrics in which a request that has been written is counted, if it is to be counted.
+    /// The metrics that count a request that has been written; `None` if the request is not counted.
     pub(super) metrics: Option<Rc<Metrics>>,
 }
 
-/// The meaning of data that arrives before the request has been written completely.
+/// The kind of data that arrives before the request has been written completely.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) enum EarlyData {
+pub(super) enum EarlyInput {
     /// The data belongs to the response.
     #[default]
     PartOfResponse,
     /// The data belongs to an earlier exchange, and makes the connection unusable.
-    Invalid,
+    Stale,
 }
 
 /// The write progress of the current request of a connection.
 #[derive(Default)]
 pub(super) struct RequestWriteState {
     context: RefCell<ExchangeContext>,
-    /// Set once the end of the body has been handed out: the next write contains the last byte.
-    final_data: SharedFlag,
-    early_data: Cell<EarlyData>,
+    /// Set once the body has yielded its end: the next write contains the last byte of the request.
+    end_of_body: CompletionFlag,
+    early_input: Cell<EarlyInput>,
 }
 
 impl RequestWriteState {
-    /// Resets the progress for a new request.
+    /// Resets the write progress for a new request.
     pub(super) fn start_request(&self, context: &ExchangeContext) {
         context.request_written.clear();
-        self.final_data.clear();
+        self.end_of_body.clear();
         self.context.replace(context.clone());
     }
 
-    /// Sets the meaning of data that arrives before the request has been written completely.
-    pub(super) fn set_early_data(&self, early_data: EarlyData) {
-        self.early_data.set(early_data);
+    /// Sets the kind of data that may arrive before the request has been written completely.
+    pub(super) fn set_early_input(&self, early_input: EarlyInput) {
+        self.early_input.set(early_input);
     }
 
-    /// Returns the flag that the body of the request sets once its end has been handed out.
-    pub(super) fn final_data(&self) -> &SharedFlag {
-        &self.final_data
+    /// Returns the flag that the body of the request sets once the body has yielded its end.
+    pub(super) fn end_of_body(&self) -> &CompletionFlag {
+        &self.end_of_body
     }
 
     /// Returns whether data that arrives now cannot belong to the response.
-    pub(super) fn is_too_early(&self) -> bool {
-        self.early_data.get() == EarlyData::Invalid && !self.context.borrow().request_written.is_set()
+    pub(super) fn is_input_unexpected(&self) -> bool {
+        self.early_input.get() == EarlyInput::Stale && !self.context.borrow().request_written.is_set()
     }
 
     /// Returns whether the deadline for writing the last byte has passed.
--- a/crates/balancer-proxy/src/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -1,8 +1,8 @@
 //! A request in the form in which attempts send it to backends.
 
 use super::attempt_body::AttemptBody;
+use super::completion_flag::CompletionFlag;
 use super::request_body::StreamedRequestBody;
-use super::shared_flag::SharedFlag;
 use balancer::Time;
 use bytes::Bytes;
 use hyper::header::{CONTENT_LENGTH, HeaderMap, HeaderValue};
@@ -16,13 +16,13 @@
 /// A request as it is forwarded to backends.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// The method.
+    /// The request method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query of the request.
     pub uri: Uri,
-    /// The headers that are forwarded.
+    /// The headers to forward.
     pub headers: HeaderMap,
-    /// The body.
+    /// The body of the request.
     pub body: ForwardedBody,
 }
 
@@ -42,14 +42,14 @@
 
 impl ForwardedRequest {
     /// Builds the request for an attempt that ends in `remaining_time` seconds. The body of the request
-    /// sets `final_data` once its end has been handed out. Returns `None` if the body cannot be sent any
+    /// sets `end_of_body` once the body has yielded its end. Returns `None` if the body cannot be sent any
     /// more.
     pub(super) fn build(
         &self,
         remaining_time: Time,
-        final_data: &SharedFlag,
+        end_of_body: &CompletionFlag,
     ) -> Option<Request<AttemptBody>> {
-        let mut request = Request::new(self.attempt_body(final_data)?);
+        let mut request = Request::new(self.attempt_body(end_of_body)?);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
@@ -68,23 +68,23 @@
     }
 
     /// Returns the body for one attempt, or `None` if the body cannot be sent any more.
-    fn attempt_body(&self, final_data: &SharedFlag) -> Option<AttemptBody> {
+    fn attempt_body(&self, end_of_body: &CompletionFlag) -> Option<AttemptBody> {
         match &self.body {
             ForwardedBody::Buffered(complete) => {
-                final_data.set();
+                end_of_body.set();
                 let content = (!complete.is_empty()).then(|| complete.clone());
                 Some(AttemptBody::Buffered(content))
             }
             ForwardedBody::Streamed { body, .. } if body.is_consumed() => None,
             ForwardedBody::Streamed { body, .. } => {
-                Some(AttemptBody::streamed(body.clone(), final_data.clone()))
+                Some(AttemptBody::streamed(body.clone(), end_of_body.clone()))
             }
         }
     }
 }
 
-/// Rounds a time in seconds down to whole milliseconds, from 0 for a negative time. The conversion
-/// saturates, so that an infinite time is the longest that the type holds.
+/// Rounds a time in seconds down to whole milliseconds. A negative time becomes 0. The conversion saturates:
+/// an infinite time becomes [`u64::MAX`].
 fn whole_milliseconds(seconds: Time) -> u64 {
     (seconds.max(0.0) * MILLISECONDS_PER_SECOND) as u64
 }
--- a/crates/balancer-proxy/src/upstream/request_body.rs
+++ b/crates/balancer-proxy/src/upstream/request_body.rs
@@ -1,10 +1,10 @@
-//! Request bodies on their way from a client to a backend. A body that is too long to be buffered is
-//! streamed, at the pace of the slower side. The beginning of a streamed body stays buffered, so that the
-//! request can be sent again, until more than the beginning has been forwarded.
+//! Request bodies that are received from a client and sent to a backend. A body that is too long to be
+//! buffered is streamed at the rate of the slower side. The beginning of a streamed body stays buffered, so
+//! that the request can be sent again, until data after this beginning has been forwarded.
 
 use super::body_chunks::BodyChunks;
-use super::shared_flag::SharedFlag;
-use super::transfer_pace::TransferPace;
+use super::completion_flag::CompletionFlag;
+use super::transfer_rate::TransferRateMonitor;
 use crate::limits::MAX_BODY_BYTES;
 use crate::stream_error::StreamError;
 use bytes::Bytes;
@@ -16,30 +16,30 @@
 use std::task::{Context, Poll, Waker, ready};
 use std::time::Duration;
 
-/// Interval between two checks of the pace of a body.
-const PACE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two checks of the transfer rate of a body.
+const RATE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The body of a request, while it is received from its client.
+/// The body of a request that is being received from its client.
 pub struct StreamedRequestBody {
-    state: RefCell<State>,
+    state: RefCell<ReceiveState>,
 }
 
-struct State {
-    /// The beginning of the body, until more than the beginning has been forwarded.
+struct ReceiveState {
+    /// The beginning of the body. Empty once data after the beginning has been forwarded.
     buffered: BodyChunks,
     incoming: Incoming,
     /// The number of bytes still to be received, if the length is known.
     remaining_bytes: Option<u64>,
-    pace: TransferPace,
-    /// Set once the body is complete, or cannot be completed any more.
+    transfer_rate: TransferRateMonitor,
+    /// How the body ended, once the body is complete or cannot be completed any more.
     end: Option<Result<(), StreamError>>,
-    /// Set once more has been forwarded than is buffered.
+    /// Set once data after the buffered beginning has been forwarded.
     is_consumed: bool,
     /// Wakes the task that waits for the end.
     end_waker: Option<Waker>,
 }
 
-impl State {
+impl ReceiveState {
     /// Receives the next chunk from the client, or `None` at the end.
     fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, StreamError>>> {
         loop {
@@ -48,7 +48,7 @@
             }
             match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Pending => {
-                    self.pace.start_waiting();
+                    self.transfer_rate.start_waiting();
                     return Poll::Pending;
                 }
                 Poll::Ready(Some(Ok(frame))) => {
@@ -64,10 +64,10 @@
         }
     }
 
-    /// Counts a chunk that was received, and returns it, or `None` if the body has become too long.
+    /// Counts a received chunk, and returns the chunk, or `None` if the body has become too long.
     fn accept(&mut self, chunk: Bytes) -> Option<Bytes> {
-        self.pace.record_chunk(chunk.len());
-        if self.pace.received_bytes() as u64 > MAX_BODY_BYTES {
+        self.transfer_rate.record_chunk(chunk.len());
+        if self.transfer_rate.received_bytes() as u64 > MAX_BODY_BYTES {
             self.finish(Err(StreamError::TooLong));
             return None;
         }
@@ -78,7 +78,7 @@
         Some(chunk)
     }
 
-    /// Records how the body ends, unless it has ended before.
+    /// Records how the body ended. Does nothing if the body has already ended.
     fn finish(&mut self, end: Result<(), StreamError>) {
         self.end.get_or_insert(end);
         if let Some(waker) = self.end_waker.take() {
@@ -88,14 +88,14 @@
 }
 
 impl StreamedRequestBody {
-    /// Creates the body that is received as `incoming`. The body is allowed `base_timeout`, and more time
-    /// with each byte that arrives.
+    /// Creates the body that is received as `incoming`. The body may take `base_timeout` to arrive, and more
+    /// time for each byte received.
     pub fn new(incoming: Incoming, base_timeout: Duration) -> Rc<Self> {
-        let state = State {
+        let state = ReceiveState {
             buffered: BodyChunks::default(),
             remaining_bytes: incoming.size_hint().exact(),
             incoming,
-            pace: TransferPace::new(base_timeout),
+            transfer_rate: TransferRateMonitor::new(base_timeout),
             end: None,
             is_consumed: false,
             end_waker: None,
@@ -108,7 +108,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the body breaks off, is too slow, or is longer than [`MAX_BODY_BYTES`].
+    /// Returns an error if the body ends early, is too slow, or is longer than [`MAX_BODY_BYTES`].
     pub async fn read_buffered(&self, max_bytes: usize) -> Result<Option<Bytes>, StreamError> {
         let is_complete = tokio::select! {
             filled = std::future::poll_fn(|cx| self.poll_fill(cx, max_bytes)) => filled?,
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the body breaks off, is too slow, or is longer than [`MAX_BODY_BYTES`].
+    /// Returns an error if the body ends early, is too slow, or is longer than [`MAX_BODY_BYTES`].
     pub async fn wait_until_complete(&self) -> Result<(), StreamError> {
         let ended = std::future::poll_fn(|cx| {
             let mut state = self.state.borrow_mut();
@@ -151,23 +151,24 @@
 
     /// Returns once the body arrives too slowly.
     async fn wait_until_too_slow(&self) {
-        while !self.state.borrow().pace.is_too_slow() {
-            tokio::time::sleep(PACE_CHECK_INTERVAL).await;
+        while !self.state.borrow().transfer_rate.is_too_slow() {
+            tokio::time::sleep(RATE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Returns whether more has been forwarded than is buffered, so that the body cannot be sent again.
+    /// Returns whether data after the buffered beginning has been forwarded, so that the body cannot be sent
+    /// again.
     pub(super) fn is_consumed(&self) -> bool {
         self.state.borrow().is_consumed
     }
 
-    /// Returns the next chunk for an attempt that has sent `sent_chunks` chunks, and increases that number;
-    /// `None` at the end. Sets `final_data` if no data follows, and clears it otherwise.
+    /// Returns the next chunk for an attempt that has sent `sent_chunks` chunks, and increases that number.
+    /// Returns `None` at the end. Sets `end_of_body` if no data follows, and clears it otherwise.
     pub(super) fn poll_chunk(
         &self,
         cx: &mut Context<'_>,
         sent_chunks: &mut usize,
-        final_data: &SharedFlag,
+        end_of_body: &CompletionFlag,
     ) -> Poll<Option<Result<Bytes, StreamError>>> {
         let mut state = self.state.borrow_mut();
         let next = match state.buffered.get(*sent_chunks) {
@@ -181,9 +182,9 @@
         *sent_chunks += 1;
         let is_buffer_sent = state.is_consumed || *sent_chunks >= state.buffered.count();
         if is_buffer_sent && state.end == Some(Ok(())) {
-            final_data.set();
+            end_of_body.set();
         } else {
-            final_data.clear();
+            end_of_body.clear();
         }
         if state.is_consumed {
             state.buffered.clear();
