--- a/crates/balancer-proxy/src/downstream/client_connection.rs
+++ b/crates/balancer-proxy/src/downstream/client_connection.rs
@@ -1,6 +1,6 @@
-//! The state of one client connection: the progress of its requests, the framing of the bytes that
-//! arrive, and the request to close the connection. [`super::client_socket`] records the bytes that are
-//! read and written, the server records requests and responses.
+//! The state of one client connection: the progress of its requests, the framing of the bytes that arrive,
+//! and the request to close the connection. [`super::client_socket`] records the bytes that are read and
+//! written. [`super::request_handler`] and [`super::response_body`] record requests and responses.
 
 use super::close_request::CloseRequest;
 use super::framing::RequestFraming;
@@ -14,15 +14,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Interval at which [`ClientConnection::wait_between_requests`] checks whether the head is complete.
+/// Interval at which [`ClientConnection::wait_until_between_requests`] checks whether the head is complete.
 const HEAD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The properties of a received head that the head itself does not contain.
+/// Properties of a received head that cannot be read from the parsed head.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReceivedHead {
-    /// The head states the length of the body in two ways.
+    /// Whether the head states the length of the body in two ways.
     pub(super) length_is_ambiguous: bool,
-    /// The time that the body may take at any rate of transfer.
+    /// The time that the body may take, in addition to the time that its bytes take at the minimum rate.
     pub(super) body_timeout: Duration,
 }
 
@@ -65,7 +65,7 @@
         ReceivedHead { length_is_ambiguous, body_timeout }
     }
 
-    /// Requests that the connection is closed.
+    /// Requests that the connection be closed.
     pub(super) fn request_close(&self) {
         self.close_request.request();
     }
@@ -75,8 +75,8 @@
         self.close_request.is_requested()
     }
 
-    /// Returns once the connection is to be closed. The close request is withdrawn if a request has
-    /// arrived, or its head is arriving, since the close was requested.
+    /// Returns once the connection is to be closed. Withdraws the request to close the connection if, since
+    /// then, a client request has arrived or its head has started to arrive.
     pub(super) async fn wait_for_close_request(&self, stream: &TcpStream) {
         loop {
             self.close_request.wait().await;
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Returns once no head is arriving, as a close would cut the head off.
-    pub(super) async fn wait_between_requests(&self, stream: &TcpStream) {
+    /// Returns once no head is arriving. A close while a head is arriving would lose that request.
+    pub(super) async fn wait_until_between_requests(&self, stream: &TcpStream) {
         loop {
             tokio::task::yield_now().await; // lets the connection read the bytes that have arrived
             if !self.progress.is_receiving_head() && !self.has_unread_request(stream) {
@@ -100,9 +100,10 @@
         }
     }
 
-    /// Returns whether a request has arrived of which nothing has been read. The runtime asks the system for new
-    /// bytes between two rounds of tasks, and the task of this connection reads them in the next round. Those
-    /// that arrived while other tasks of this round ran would be discarded by a close.
+    /// Returns whether bytes of a new request have arrived and none of them has been read. The runtime asks
+    /// the system for new bytes between two rounds of tasks, and the task of this connection reads these
+    /// bytes in the next round. A close would discard bytes that arrived while other tasks of the current
+    /// round ran.
     fn has_unread_request(&self, stream: &TcpStream) -> bool {
         !self.progress.has_request_in_flight() && has_unread_bytes(stream)
     }
@@ -115,18 +116,18 @@
     ) {
         tokio::select! {
             biased;
-            _ = connection => {} // the result does not matter: clients come and go
+            _ = connection => {} // errors are ignored, as clients may disconnect at any time
             () = self.wait_for_disconnect(stream) => {}
         }
     }
 
     /// Returns once the client has disconnected from a request without a finished response. A client that
-    /// shuts down its sending side counts as disconnected, as the proxy cannot know whether the client
+    /// shuts down its sending side counts as disconnected, as the proxy cannot detect whether the client
     /// still reads. The HTTP library detects a disconnect too, but only after it has read all bytes sent
-    /// before; while a request awaits its response, the library reads neither pipelined requests nor the
-    /// rest of the body.
+    /// before. While a request awaits its response, the library reads neither pipelined requests nor the rest
+    /// of the body.
     async fn wait_for_disconnect(&self, stream: &TcpStream) {
-        // Priority readiness signals only the end of the client's side, even behind unread bytes.
+        // Priority readiness signals only that the client has ended its side, even while bytes are unread.
         let _ = stream.ready(Interest::PRIORITY).await;
         while !self.progress.is_response_due() {
             self.head_complete.notified().await;
@@ -134,7 +135,7 @@
     }
 }
 
-/// Asks the system whether bytes have arrived that have not been read.
+/// Asks the system whether the socket has bytes that have not been read.
 fn has_unread_bytes(stream: &TcpStream) -> bool {
     let mut first_byte = [MaybeUninit::uninit()];
     SockRef::from(stream).peek(&mut first_byte).is_ok_and(|length| length > 0)
--- a/crates/balancer-proxy/src/downstream/client_listener.rs
+++ b/crates/balancer-proxy/src/downstream/client_listener.rs
@@ -1,4 +1,5 @@
-//! The listener for clients, which may be handed over from a predecessor and to a successor.
+//! The listener for clients. The proxy may receive the listener from a predecessor process, and may hand it
+//! over to a successor.
 
 use crate::control::instance_lock::InstanceLock;
 use crate::control::listener_handover::{ListenerOffer, receive_listener};
@@ -7,7 +8,7 @@
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Number of connections that the system holds until the proxy accepts them.
+/// Largest number of connections that the system queues until the proxy accepts them.
 const LISTEN_BACKLOG: u32 = 1024;
 
 /// Whether a second process may listen on the address for clients.
@@ -22,16 +23,17 @@
 /// The listener for clients.
 pub struct ClientListener {
     listener: TcpListener,
-    /// The offer to hand the listener over, which has a descriptor of the listener, too.
+    /// The offer to hand the listener over. The offer holds a second descriptor of the listener.
     offer: Option<ListenerOffer>,
 }
 
 impl ClientListener {
-    /// Takes the listener of the process that runs on the address, if that process hands it over, or binds one.
+    /// Receives the listener from the process that serves `address`, if that process hands its listener over,
+    /// and binds a new listener otherwise.
     ///
     /// # Errors
     ///
-    /// Returns an error if the address cannot be bound.
+    /// Returns an error if the address cannot be bound, or if the runtime cannot register the listener.
     pub async fn open(
         address: SocketAddr,
         sharing: AddressSharing,
@@ -53,34 +55,37 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the system cannot tell the address.
+    /// Returns an error if the system does not report the address.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Offers the listener to a successor, from now until the listener is closed. Without the offer a successor
-    /// binds a listener of its own, and connections that arrive as this one is closed may be reset.
+    /// Offers the listener to a successor until the listener is closed. Without the offer, a successor binds
+    /// its own listener, and connections that arrive while this listener is being closed may be reset.
     pub fn offer_to_successor(&mut self, instance_lock: &InstanceLock) {
         let Some(path) = instance_lock.own_listener_offer() else { return };
         match ListenerOffer::start(path.clone(), &self.listener) {
             Ok(offer) => self.offer = Some(offer),
-            Err(error) => log!("handover: {}: {error}", path.display()),
+            Err(error) => {
+                log!("handover: {}: cannot offer the listener to a successor: {error}", path.display());
+            }
         }
     }
 
-    /// Accepts a connection.
+    /// Waits for the next client connection, and accepts it.
     pub(super) async fn accept(&self) -> io::Result<TcpStream> {
         let (stream, _) = self.listener.accept().await?;
         Ok(stream)
     }
 
-    /// Closes the listener, and returns the connections that wait to be accepted.
+    /// Closes the listener, and returns the connections that were waiting to be accepted.
     ///
-    /// A listener that a successor has, too, goes on in that process. Any other one is closed right after the last
-    /// accept, as the system resets a connection that arrives in between.
+    /// If a successor has received the listener, the successor accepts the connections that arrive later.
+    /// Otherwise the listener is closed right after the last accept, because the system resets connections
+    /// that arrive between the last accept and the close.
     pub(super) fn close(self) -> io::Result<Vec<TcpStream>> {
         let Self { listener, offer } = self;
-        drop(offer); // closes its descriptor of the listener, which would stay open otherwise
+        drop(offer); // closes the second descriptor, which would keep the listener open
         let listener = listener.into_std()?;
         let mut streams = Vec::new();
         while let Ok((stream, _)) = listener.accept() {
@@ -94,10 +99,12 @@
 /// Registers an accepted connection with the runtime. A connection that cannot be registered is closed.
 fn register(stream: std::net::TcpStream) -> Option<TcpStream> {
     let registered = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-    registered.inspect_err(|error| log!("accept: {error}")).ok()
+    registered
+        .inspect_err(|error| log!("accept: cannot register a client connection, closing it: {error}"))
+        .ok()
 }
 
-/// Binds a listener.
+/// Binds a listener to `address`.
 fn bind(address: SocketAddr, sharing: AddressSharing) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
--- a/crates/balancer-proxy/src/downstream/client_socket.rs
+++ b/crates/balancer-proxy/src/downstream/client_socket.rs
@@ -1,6 +1,6 @@
-//! The socket of a client connection as the HTTP library uses it. The socket records in the state of the
-//! connection the bytes that arrive and the writes that are blocked, and closes in a way that lets the
-//! last response reach the client.
+//! The socket of a client connection, as the HTTP library uses it. The socket records the bytes that arrive
+//! and the writes that are blocked in the state of the connection. When the socket is closed, it first reads
+//! the bytes that the client still sends, so that the last response reaches the client.
 
 use super::client_connection::ClientConnection;
 use socket2::SockRef;
@@ -14,9 +14,9 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// Time for which bytes of the client are read and discarded after the sending side is shut down.
+/// Longest time in which bytes of the client are read and discarded after the sending side is shut down.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Number of bytes that are discarded in that time before the socket is closed early.
+/// Number of discarded bytes after which the socket is closed before [`LINGER_TIMEOUT`] has elapsed.
 const MAX_DISCARDED_BYTES: usize = 512 << 10;
 /// Size in bytes of the buffer for discarded bytes.
 const DISCARD_BUFFER_BYTES: usize = 4096;
@@ -25,7 +25,7 @@
 pub(super) struct ClientSocket {
     stream: Rc<TcpStream>,
     connection: Rc<ClientConnection>,
-    /// The end of the time for discarding bytes; set once the sending side is shut down.
+    /// The timer that ends the discarding of bytes; set once the sending side is shut down.
     linger: Option<Pin<Box<Sleep>>>,
     /// The number of bytes discarded so far.
     discarded_bytes: usize,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Shuts down the sending side, and starts the time for which the client is still read.
+    /// Shuts down the sending side, and starts the timer that ends the discarding of bytes.
     fn start_linger(&mut self) -> io::Result<()> {
         if self.linger.is_none() {
             SockRef::from(&*self.stream).shutdown(Shutdown::Write)?;
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    /// Returns ready once the client need not be read any longer.
+    /// Returns `Ready` once [`LINGER_TIMEOUT`] has elapsed, or if its timer has not been started.
     fn poll_linger(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         self.linger.as_mut().map_or(Poll::Ready(()), |linger| linger.as_mut().poll(cx))
     }
@@ -105,9 +105,9 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Shuts down the sending side, then discards the bytes that the client still sends. The close of a
-    /// socket with unread bytes would reset the connection, and the client's system could drop the
-    /// response unread.
+    /// Shuts down the sending side, then discards the bytes that the client still sends. Closing a socket
+    /// with unread bytes would reset the connection, and the client's system could then drop the response
+    /// before the client reads it.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.start_linger()?;
         while !self.connection.is_closing() && self.discarded_bytes < MAX_DISCARDED_BYTES {
--- a/crates/balancer-proxy/src/downstream/close_request.rs
+++ b/crates/balancer-proxy/src/downstream/close_request.rs
@@ -1,5 +1,5 @@
-//! The request to close a connection. The table makes the request when the connection is evicted or times
-//! out; the task that serves the connection carries the request out or withdraws it.
+//! The request to close a connection. The connection table makes the request when the connection is evicted
+//! or times out. The task that serves the connection closes the connection or withdraws the request.
 
 use std::cell::Cell;
 use tokio::sync::Notify;
@@ -12,7 +12,7 @@
 }
 
 impl CloseRequest {
-    /// Requests that the connection is closed.
+    /// Requests that the connection be closed.
     pub(super) fn request(&self) {
         self.is_requested.set(true);
         self.notify.notify_one();
@@ -28,7 +28,7 @@
         self.is_requested.get()
     }
 
-    /// Returns once [`Self::request`] has been called. Calls before the wait count as one.
+    /// Returns once [`Self::request`] has been called. Several calls before the wait count as one.
     pub(super) async fn wait(&self) {
         self.notify.notified().await;
     }
--- a/crates/balancer-proxy/src/downstream/connection_table.rs
+++ b/crates/balancer-proxy/src/downstream/connection_table.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Number of slots of which one is reserved for connections whose requests are rejected, because all
+/// Number of slots for each slot that is reserved for connections whose requests are rejected because all
 /// other connections are busy.
 const SLOTS_PER_REJECTION_SLOT: usize = 8;
 /// Longest duration of [`ConnectionTable::wait_for_close`].
@@ -54,8 +54,8 @@
         })
     }
 
-    /// Changes the limit. Connections beyond the limit are evicted as far as allowed; the server closes
-    /// the others after their responses.
+    /// Changes the limit. Connections beyond the limit are evicted if they may be evicted, and are closed
+    /// after their responses otherwise.
     pub(super) fn set_limit(&self, limit: usize) {
         let limits = TableLimits::new(limit);
         self.limits.set(limits);
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Returns once all connections have closed, or the remaining ones have had no request in flight for
-    /// some time. A request that has started to arrive gets a response if it is completed before its
-    /// timeout, and is waited for until then. A client that stays connected without a request is not
-    /// waited for, as it would keep the process from ending.
+    /// Returns once all connections have closed, or the remaining ones have had no request in flight for some
+    /// time. A request that has started to arrive gets a response if it is completed before its timeout, so
+    /// the wait continues until then. A client that stays connected without a request does not prolong the
+    /// wait, because such a client would keep the process from ending.
     pub(super) async fn wait_until_empty_or_idle(&self) {
         let mut idle_checks = 0;
         while !self.is_empty() && idle_checks < IDLE_CHECKS {
@@ -124,14 +124,15 @@
         self.connections.borrow().len() < self.limits.get().total()
     }
 
-    /// Evicts connections so that one more can be served, as far as connections may be evicted.
+    /// Evicts connections until one more can be served or no other connection may be evicted.
     pub(super) fn evict_for_new_connection(&self) {
         self.evict_down_to(self.limits.get().served.saturating_sub(1));
     }
 
-    /// Evicts the connections that have been without a request longest, until `target` connections are
-    /// left or no other one may be evicted. Guards against clients that stay connected and keep others
-    /// out.
+    /// Evicts connections until `target` connections are left or no other connection may be evicted: first
+    /// the connections that have been idle longest, then the connections that have been silent longest.
+    /// Guards against clients that stay connected without sending requests and leave no slot for other
+    /// clients.
     fn evict_down_to(&self, target: usize) {
         let connections = self.connections.borrow();
         let open = || connections.iter().filter(|connection| !connection.is_closing());
@@ -158,7 +159,7 @@
     }
 }
 
-/// The slot of one connection in the table. A slot that is dropped becomes free.
+/// The slot of one connection in the table. Dropping the value frees the slot.
 pub(super) struct ConnectionSlot {
     table: Rc<ConnectionTable>,
     connection: Rc<ClientConnection>,
--- a/crates/balancer-proxy/src/downstream/connection_table/tests.rs
+++ b/crates/balancer-proxy/src/downstream/connection_table/tests.rs
@@ -4,10 +4,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Far beyond what any step takes, on a busy machine too.
+/// Longer than any step takes, even on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 /// Longer than a connection must be silent before it may be evicted.
-const SILENCE: Duration = Duration::from_millis(510);
+const SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(510);
 
 /// Adds connections to a table.
 fn add(table: &Rc<ConnectionTable>, count: usize) -> Vec<ConnectionSlot> {
@@ -15,7 +15,7 @@
 }
 
 /// Returns, for each connection, whether its close has been requested.
-fn closing(slots: &[ConnectionSlot]) -> Vec<bool> {
+fn are_closing(slots: &[ConnectionSlot]) -> Vec<bool> {
     slots.iter().map(|slot| slot.connection().is_closing()).collect()
 }
 
@@ -64,13 +64,13 @@
     let table = ConnectionTable::new(4);
     let slots = add(&table, 4);
     table.set_limit(3);
-    assert_eq!(closing(&slots), [false; 4], "none is silent yet");
-    std::thread::sleep(SILENCE);
+    assert_eq!(are_closing(&slots), [false; 4], "none is silent yet");
+    std::thread::sleep(SILENCE_BEFORE_EVICTION);
     slots[0].connection().record_bytes(b"GET");
 
     table.set_limit(2);
 
-    assert_eq!(closing(&slots), [false, true, true, false]);
+    assert_eq!(are_closing(&slots), [false, true, true, false]);
 }
 
 #[test]
@@ -80,7 +80,7 @@
     slot.connection().record_bytes(b"GET / HTTP/1.1\r\n\r\n");
     slot.connection().complete_head();
     slot.connection().progress().complete_request();
-    std::thread::sleep(SILENCE);
+    std::thread::sleep(SILENCE_BEFORE_EVICTION);
 
     table.set_limit(0);
 
--- a/crates/balancer-proxy/src/downstream/connection_task.rs
+++ b/crates/balancer-proxy/src/downstream/connection_task.rs
@@ -1,5 +1,5 @@
-//! The task that serves one client connection, until it ends, is evicted, times out or is closed by a
-//! shutdown.
+//! The task that serves one client connection until the connection ends, is evicted, times out or is closed
+//! by a shutdown.
 
 use super::client_socket::ClientSocket;
 use super::connection_table::{ConnectionSlot, ConnectionTable};
@@ -20,8 +20,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Longest time that an evicted or timed out connection may take to close while no request awaits a
-/// response.
+/// Longest time that an evicted or timed-out connection may take to close while no request awaits a response.
 const EVICTED_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Serves one client connection.
@@ -63,7 +62,7 @@
         client.serve_until_disconnect(connection, &self.stream).await;
     }
 
-    /// Handles a request, and marks the response if the connection closes after it.
+    /// Handles a request, and adds `Connection: close` to the response if the connection closes after it.
     async fn respond(&self, request: Request<Incoming>) -> Result<ClientResponse, Infallible> {
         let mut response = self.handler.handle(request, self.slot.connection(), self.admission).await;
         if self.closes_after(&response) {
@@ -72,9 +71,9 @@
         Ok(response)
     }
 
-    /// Returns whether the connection is to close after this response. A client that sent a malformed
-    /// request is not served again on the same connection: the bytes that follow may be anything, and
-    /// each attempt to parse them has a cost.
+    /// Returns whether the connection is to close after this response. A client that sent a malformed request
+    /// is not served again on the same connection: the bytes that follow may be invalid, and each attempt to
+    /// parse them costs CPU time.
     fn closes_after(&self, response: &ClientResponse) -> bool {
         self.admission == Admission::Reject
             || response.status().is_client_error()
@@ -85,11 +84,11 @@
     /// Returns once a shutdown closes the connection, and no head is arriving.
     async fn wait_for_shutdown(&self) {
         self.lifecycle.wait_until_closing().await;
-        self.slot.connection().wait_between_requests(&self.stream).await;
+        self.slot.connection().wait_until_between_requests(&self.stream).await;
     }
 
-    /// Closes a connection that was evicted or timed out. A request that becomes complete at the last
-    /// moment is still served.
+    /// Closes a connection that was evicted or timed out. A request that becomes complete during the close is
+    /// still served.
     async fn close<S>(&self, mut connection: Pin<&mut http1::Connection<TokioIo<ClientSocket>, S>>)
     where
         S: HttpService<Incoming, ResBody = ResponseBody, Error = Infallible>,
--- a/crates/balancer-proxy/src/downstream/connection_task/tests.rs
+++ b/crates/balancer-proxy/src/downstream/connection_task/tests.rs
@@ -1,15 +1,12 @@
-//! Requests that arrive while the tasks of other connections run.
+//! Tests of requests that arrive while the tasks of other connections run.
 //!
-//! What happened: of 60 processes that ended without a successor two closed a connection on which a request had arrived,
-//! without a byte of a response.
-//!
-//! Why: a task reads its socket only once the system has told the runtime that bytes have arrived, and the runtime asks
-//! the system between two rounds of tasks. Bytes that arrive during a round were not seen by the tasks of that round:
-//! they ended the sending side, and then discarded what they found on the receiving side.
-//!
-//! What showed it: requests sent every 0.25 ms around the end of full service, on 80 connections. The connections are
-//! closed over several milliseconds; those that had got a request in that time ended without a reset, which the
-//! system sends for bytes that nobody has read.
+//! The tests guard against a close that discards a request: 2 of 60 processes that shut down without a
+//! successor closed a connection on which a request had arrived, without sending a byte of a response. The
+//! runtime asks the system for new bytes only between two rounds of tasks, so a task did not detect bytes
+//! that arrived during its round. The task shut down the sending side, and then read and discarded the
+//! request. The failure appeared with 80 connections and requests sent every 0.25 ms around the end of full
+//! service. Closing the connections takes several milliseconds, and a connection that received a request in
+//! this time ended without the reset that the system sends for unread bytes.
 
 use super::ConnectionTask;
 use crate::downstream::client_connection::ClientConnection;
@@ -28,14 +25,15 @@
 use tokio::sync::watch;
 use tokio::task::{LocalSet, spawn_local, yield_now};
 
-/// The number of connections. With their senders they are fewer than the tasks that the runtime runs in a round.
+/// Number of connections. The tasks of the connections and of their senders all fit in one round of the
+/// runtime.
 const CONNECTIONS: usize = 16;
-/// A request that the proxy responds to by itself.
+/// A request that the proxy responds to without a backend.
 const REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n";
-/// Far beyond what any step takes, on a busy machine too.
+/// Longer than any step takes, even on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What all connections of a test share.
+/// The state that all connections of a test share.
 struct Proxy {
     handler: Rc<RequestHandler>,
     lifecycle: Rc<Lifecycle>,
@@ -54,7 +52,7 @@
         Self { handler, lifecycle, connections: ConnectionTable::new(4 * CONNECTIONS), clients: Vec::new() }
     }
 
-    /// Starts the task of a connection, and returns the client's end.
+    /// Starts the task of a new connection, and returns the client's end of the connection.
     fn connect(&mut self, listener: &TcpListener) -> TcpStream {
         let client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         client.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -82,8 +80,8 @@
     ended
 }
 
-/// Sends a request in the round of tasks after the next signal, if the connection is open then. Returns the client's
-/// end of a connection that a request was sent on.
+/// Sends a request in the round of tasks after the next signal, and returns the client's end of the
+/// connection. Returns `None` without sending a request if the proxy has already closed the connection.
 async fn send_after(mut signal: watch::Receiver<()>, mut client: TcpStream) -> Option<TcpStream> {
     signal.changed().await.unwrap();
     yield_now().await;
@@ -94,7 +92,8 @@
     Some(client)
 }
 
-/// Reads the beginning of a response, without blocking the other tasks. Empty if the connection ends.
+/// Reads the beginning of a response without blocking the other tasks. Returns an empty text if the
+/// connection ends.
 async fn read_beginning(client: TcpStream) -> String {
     client.set_nonblocking(true).unwrap();
     let mut client = tokio::net::TcpStream::from_std(client).unwrap();
@@ -103,26 +102,26 @@
     String::from_utf8_lossy(&buffer[..length]).into_owned()
 }
 
-/// Closes idle connections in this way, and sends a request on each of them in the same round of tasks. Those that
-/// were open when the request was sent must get a response.
-fn check_crossing_requests(close: impl FnOnce(&Proxy)) {
+/// Closes idle connections with `close`, and sends a request on each of them in the same round of tasks. Each
+/// connection that was open when its request was sent must get a response.
+fn check_requests_that_arrive_during_close(close: impl FnOnce(&Proxy)) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut proxy = Proxy::start();
         let signal = watch::Sender::new(());
-        let crossing: Vec<_> = (0..CONNECTIONS)
+        let senders: Vec<_> = (0..CONNECTIONS)
             .map(|_| spawn_local(send_after(signal.subscribe(), proxy.connect(&listener))))
             .collect();
-        tokio::time::sleep(Duration::from_millis(50)).await; // all tasks wait
+        tokio::time::sleep(Duration::from_millis(50)).await; // until all tasks wait
 
         // The runtime resumes tasks that yield in reverse order, and so the senders first.
         close(&proxy);
         signal.send_replace(());
 
         let mut sent = 0;
-        for client in crossing {
-            let Some(client) = client.await.unwrap() else { continue };
+        for sender in senders {
+            let Some(client) = sender.await.unwrap() else { continue };
             sent += 1;
             let response = read_beginning(client).await;
             assert!(response.starts_with("HTTP/1.1 503 "), "request {sent} got '{response}'");
@@ -133,12 +132,12 @@
 
 #[test]
 fn responds_to_a_request_that_arrives_in_the_round_of_tasks_that_ends_full_service() {
-    check_crossing_requests(|proxy| proxy.lifecycle.close_connections());
+    check_requests_that_arrive_during_close(|proxy| proxy.lifecycle.close_connections());
 }
 
 #[test]
 fn responds_to_a_request_that_arrives_in_the_round_of_tasks_that_evicts_its_connection() {
-    check_crossing_requests(|proxy| {
+    check_requests_that_arrive_during_close(|proxy| {
         for client in &proxy.clients {
             client.request_close();
         }
--- a/crates/balancer-proxy/src/downstream/forwarded_headers.rs
+++ b/crates/balancer-proxy/src/downstream/forwarded_headers.rs
@@ -1,10 +1,10 @@
-//! The headers of a request or a response that are forwarded, which are the end-to-end ones.
+//! Selects the headers of a request or a response that are forwarded, which are the end-to-end headers.
 
 use hyper::header::{CONNECTION, CONTENT_LENGTH, EXPECT, HOST, HeaderMap, HeaderName};
 use hyper::header::{TE, TRAILER, TRANSFER_ENCODING, UPGRADE};
 
-/// Removes the headers that concern only the connection on which they arrived: the hop-by-hop headers,
-/// the headers that `Connection` names, and the length, which the HTTP library states itself.
+/// Removes the headers that concern only the connection on which they arrived: the hop-by-hop headers, the
+/// headers that `Connection` names, and the length, which the HTTP library adds itself.
 pub(super) fn remove_hop_by_hop_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in named_by_connection(&headers) {
         headers.remove(name);
@@ -18,8 +18,8 @@
     headers
 }
 
-/// Returns the headers that `Connection` names as hop-by-hop. `Host` is forwarded even so, as a request
-/// is not valid without this header.
+/// Returns the headers that `Connection` names as hop-by-hop, except `Host`. `Host` is always forwarded, as a
+/// request is not valid without this header.
 fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
     let values = headers.get_all(CONNECTION).into_iter().filter_map(|value| value.to_str().ok());
     let names = values.flat_map(|value| value.split(','));
--- a/crates/balancer-proxy/src/downstream/framing.rs
+++ b/crates/balancer-proxy/src/downstream/framing.rs
@@ -1,6 +1,7 @@
-//! Follows the framing of the requests on a connection, to detect a request that states its length in
-//! two ways: bytes that one side reads as a body may be a request to the other (request smuggling). The
-//! HTTP library chooses one of the two lengths itself, and does not report the choice.
+//! Tracks the framing of the requests on a connection, to detect a request that states its length in two
+//! ways. Bytes of such a request that one side reads as a body may be read as another request by the other
+//! side (request smuggling). The HTTP library chooses one of the two lengths itself, and does not report the
+//! choice.
 
 use std::collections::VecDeque;
 
@@ -24,7 +25,7 @@
     ChunkEnd,
     /// The line with the size of the next chunk.
     ChunkSize,
-    /// The trailers behind the last chunk.
+    /// The trailers after the last chunk.
     Trailers,
     /// The framing is malformed. The HTTP library rejects it too.
     Malformed,
@@ -67,27 +68,28 @@
     }
 }
 
-/// The framing of the requests on one connection, as far as they have arrived.
+/// The framing of the requests that have arrived on one connection.
 #[derive(Debug, Default)]
 pub(super) struct RequestFraming {
     part: Part,
     /// The beginning of the current line, up to [`MAX_LINE_BYTES`].
     line: Vec<u8>,
-    /// A line of the current head has arrived; empty lines before it are skipped.
+    /// Whether a line of the current head has arrived. Empty lines before the first line are skipped.
     head_has_started: bool,
     length_headers: LengthHeaders,
-    /// For each head that has not been asked for, in order of arrival, whether its length is ambiguous.
+    /// Whether the length is ambiguous, for each head that [`Self::next_is_ambiguous`] has not returned yet,
+    /// in order of arrival.
     ambiguous: VecDeque<bool>,
 }
 
 impl RequestFraming {
-    /// Returns whether the next request, in order of arrival, states its length in two ways. A request
-    /// whose head was not seen counts as ambiguous.
+    /// Returns whether the next request, in order of arrival, states its length in two ways. A request whose
+    /// head was not recorded counts as ambiguous.
     pub(super) fn next_is_ambiguous(&mut self) -> bool {
         self.ambiguous.pop_front().unwrap_or(true)
     }
 
-    /// Follows the framing through `data`, the next bytes that have arrived.
+    /// Tracks the framing through `data`, the next bytes that have arrived.
     pub(super) fn feed(&mut self, mut data: &[u8]) {
         while !data.is_empty() {
             match self.part {
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Takes the rest of the current line, as far as the rest has arrived, from the front of `data`.
+    /// Consumes the rest of the current line from the front of `data`, or all of `data` if the line does not
+    /// end there.
     fn feed_line(&mut self, data: &mut &[u8]) {
         let line_end = data.iter().position(|byte| *byte == b'\n');
         let text = &data[..line_end.unwrap_or(data.len())];
--- a/crates/balancer-proxy/src/downstream/framing/tests.rs
+++ b/crates/balancer-proxy/src/downstream/framing/tests.rs
@@ -3,7 +3,7 @@
 use super::RequestFraming;
 
 /// Returns, for each head in `text`, whether its length is ambiguous. The text arrives in pieces of
-/// `piece_bytes`.
+/// `piece_bytes` bytes.
 fn ambiguous_heads(text: &str, piece_bytes: usize) -> Vec<bool> {
     let mut framing = RequestFraming::default();
     for piece in text.as_bytes().chunks(piece_bytes) {
@@ -34,6 +34,6 @@
 }
 
 #[test]
-fn a_head_that_was_not_seen_counts_as_ambiguous() {
+fn a_head_that_was_not_recorded_counts_as_ambiguous() {
     assert!(RequestFraming::default().next_is_ambiguous());
 }
--- a/crates/balancer-proxy/src/downstream/lifecycle.rs
+++ b/crates/balancer-proxy/src/downstream/lifecycle.rs
@@ -1,19 +1,19 @@
-//! The stage of the server's life: starting, serving or shutting down. The server records the steps;
-//! requests and connections read them.
+//! The lifecycle of the server: starting, serving, shutting down. The server records each transition; the
+//! handler of requests and the tasks of connections read the current state.
 
 use super::shutdown_schedule::ShutdownSchedule;
 use std::cell::Cell;
 use tokio::sync::watch;
 
-/// The stage of the server's life.
+/// The current state in the lifecycle of the server.
 pub(super) struct Lifecycle {
     /// Set once the server accepts connections.
     has_started: Cell<bool>,
     /// The schedule of the shutdown, from SIGTERM on.
     shutdown: Cell<Option<ShutdownSchedule>>,
-    /// Set once another process accepts the new connections, after SIGTERM.
+    /// Set if another process accepts the new connections after SIGTERM.
     has_successor: Cell<bool>,
-    /// Becomes true once connections are to close as soon as they have no request.
+    /// Becomes true once each connection is to close as soon as it has no request.
     closing: watch::Sender<bool>,
 }
 
@@ -58,7 +58,7 @@
         self.has_successor.get()
     }
 
-    /// Asks connections to close as soon as they have no request.
+    /// Notifies connections that each is to close as soon as it has no request.
     pub(super) fn close_connections(&self) {
         self.closing.send_replace(true);
     }
@@ -66,7 +66,7 @@
     /// Returns once connections are to close.
     pub(super) async fn wait_until_closing(&self) {
         let mut closing = self.closing.subscribe();
-        // The wait fails only without a sender, and the sender lives as long as `self`.
+        // The wait fails only if the sender is dropped, and `self` owns the sender.
         let _ = closing.wait_for(|closing| *closing).await;
     }
 
--- a/crates/balancer-proxy/src/downstream/lifecycle/tests.rs
+++ b/crates/balancer-proxy/src/downstream/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the stages of the server's life.
+//! Tests of the lifecycle of the server.
 
 use super::Lifecycle;
 use crate::downstream::shutdown_schedule::ShutdownSchedule;
--- a/crates/balancer-proxy/src/downstream/mod.rs
+++ b/crates/balancer-proxy/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The client side of the proxy: connections of clients, their requests and the responses to them.
+//! The client side of the proxy: client connections, their requests and the responses to these requests.
 
 mod client_connection;
 pub mod client_listener;
--- a/crates/balancer-proxy/src/downstream/request.rs
+++ b/crates/balancer-proxy/src/downstream/request.rs
@@ -1,5 +1,5 @@
-//! Reads and checks a client's request: its head, then its body, which is buffered if it is short
-//! enough and streamed otherwise.
+//! Reads and checks a client's request: first the head, then the body. A body that is short enough is
+//! buffered; any other body is streamed.
 
 use super::client_connection::ReceivedHead;
 use super::forwarded_headers::remove_hop_by_hop_headers;
@@ -22,9 +22,9 @@
     parts: Parts,
     head: ParsedHead,
     body: ForwardedBody,
-    /// The settings by which the request was checked.
+    /// The settings that the request was checked against.
     settings: Rc<SettingsSnapshot>,
-    /// The memory for the buffered part of the body.
+    /// The permit for the memory of the buffered part of the body.
     body_permit: Permit,
 }
 
@@ -34,9 +34,9 @@
     pub(super) client_request_id: u64,
     /// The request as the decision module sees it.
     pub(super) request: Request,
-    /// The request in the form in which attempts send it to backends.
+    /// The request that attempts send to backends.
     pub(super) forwarded: ForwardedRequest,
-    /// The memory for the buffered part of the body, which is needed until the final response.
+    /// The permit for the memory of the buffered part of the body, which is held until the final response.
     pub(super) body_permit: Permit,
 }
 
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Checks the request again if the settings in force have changed since the first check, as may happen
-    /// while the body arrives. The decision module knows classes and tenants only by their indices in the
-    /// settings in force.
+    /// Checks the request again if the settings in force have changed since the first check, which can happen
+    /// while the body arrives. The decision module identifies classes and tenants only by their indices in
+    /// the settings in force.
     ///
     /// # Errors
     ///
@@ -89,8 +89,8 @@
     }
 }
 
-/// Reads a complete request if the body can be buffered, else the head and the beginning of the body. A
-/// request that can be rejected by its head alone is rejected before the body is read.
+/// Reads the complete request if the body can be buffered, and otherwise the head and the beginning of the
+/// body. A request that can be rejected by its head alone is rejected before its body is read.
 ///
 /// # Errors
 ///
@@ -126,13 +126,13 @@
     if is_path { Ok(()) } else { Err(RequestError::InvalidTarget) }
 }
 
-/// Returns the number of bytes that are buffered of a body of this length.
+/// Returns how many bytes of a body of this length are buffered.
 fn buffered_bytes(length: Option<u64>) -> usize {
     let length = length.and_then(|length| usize::try_from(length).ok());
     length.unwrap_or(MAX_BUFFERED_BODY_BYTES).min(MAX_BUFFERED_BODY_BYTES)
 }
 
-/// Reads the complete body if it can be buffered, else its beginning.
+/// Reads the complete body if it can be buffered, and otherwise only its beginning.
 async fn read_body(
     body: Incoming,
     length: Option<u64>,
--- a/crates/balancer-proxy/src/downstream/request_error.rs
+++ b/crates/balancer-proxy/src/downstream/request_error.rs
@@ -1,5 +1,5 @@
-//! The reasons why a request of a client is rejected before the decision module sees the request, with
-//! the status that the client gets. The text of an error is the body of the response.
+//! The reasons why a client's request is rejected before it reaches the decision module, and the status of
+//! the response to the client. The text of an error is the body of the response.
 
 use crate::stream_error::StreamError;
 use hyper::StatusCode;
@@ -13,7 +13,7 @@
     InvalidHeader {
         /// The name of the header.
         name: &'static str,
-        /// The form that its value should have had.
+        /// The expected form of the value.
         expected: &'static str,
     },
     /// The class of the request does not allow its method.
@@ -34,7 +34,7 @@
     /// The body did not arrive in time.
     #[error("the body did not come")]
     BodyTimeout,
-    /// The bodies of other requests take all the memory for bodies.
+    /// The bodies of other requests use all the memory that is available for bodies.
     #[error("too much at once, try again")]
     BodyCapacityExhausted {
         /// The name of the request's class.
--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -1,6 +1,6 @@
-//! Handles one request of a client: reads and checks the request, submits it to the engine, and turns
-//! the final response into an HTTP response. The handler notifies the engine when a client disconnects,
-//! and counts each complete request in the metrics.
+//! The handler of client requests. For each request, the handler reads and checks the request, submits it to
+//! the engine, and converts the final response into an HTTP response. The handler notifies the engine when a
+//! client disconnects, and counts each complete request in the metrics.
 
 use super::client_connection::{ClientConnection, ReceivedHead};
 use super::lifecycle::Lifecycle;
@@ -20,11 +20,11 @@
 
 /// The path on which the proxy reports its readiness.
 const READINESS_PATH: &str = "/-/ready";
-/// Longest time for which a request waits for the end of another one with the same client request id. A
-/// client whose connection broke sends its request again on another connection, perhaps before the proxy
-/// has read the end of the first connection.
+/// Longest time that a request waits for the end of another request with the same client request id. A client
+/// whose connection broke may send its request again on another connection before the proxy has detected the
+/// end of the first connection.
 const DUPLICATE_ID_TIMEOUT: Duration = Duration::from_millis(50);
-/// Interval at which such a request checks whether the other one has ended.
+/// Interval at which a request checks whether the other request with its client request id has ended.
 const DUPLICATE_ID_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The treatment of the requests of a connection.
@@ -32,7 +32,7 @@
 pub(super) enum Admission {
     /// The requests are served.
     Serve,
-    /// The requests are read and rejected, as too many connections are busy.
+    /// The requests are read and rejected, because too many connections are busy.
     Reject,
 }
 
@@ -50,7 +50,7 @@
         Self { engine, lifecycle, body_budget }
     }
 
-    /// Returns whether the proxy accepts requests and has listed a backend for them.
+    /// Returns whether the proxy accepts requests and a backend has been listed.
     pub(super) fn is_ready(&self) -> bool {
         self.engine.has_listed_backend() && self.lifecycle.is_serving()
     }
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Reads a request, has the engine process it, and returns the response.
+    /// Reads a request, submits it to the engine, and returns the response.
     async fn forward(
         &self,
         request: Request<Incoming>,
@@ -97,8 +97,8 @@
         }
         let received = Instant::now();
         self.wait_for_request_id(request.client_request_id()).await;
-        // No await may stand between this line and the submission: the settings could change meanwhile,
-        // and the decision module would take the indices of class and tenant for those of other settings.
+        // The code from here to the submission must not await. The settings could change during an await, and
+        // the indices of class and tenant would then refer to other classes and tenants.
         request.revalidate(self.engine.settings())?;
         let mut submission = request.into_submission();
         submission.request.timeout = self.time_left(submission.request.timeout, received);
@@ -112,8 +112,8 @@
         Ok(response)
     }
 
-    /// Reads and checks a request. A request that is rejected for lack of memory counts in the metrics, as
-    /// it is well-formed.
+    /// Reads and checks a request. A request that is rejected for lack of memory is counted in the metrics,
+    /// because the request is well-formed.
     async fn read(
         &self,
         request: Request<Incoming>,
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Returns the rest of `timeout`, in seconds, of a request that was received at `received`. During a
-    /// shutdown the rest is bounded by the deadline of all responses, so that the decision module knows
+    /// Returns the remaining part of `timeout`, in seconds, for a request that was received at `received`.
+    /// During a shutdown, the deadline of all responses bounds the result, so that the decision module uses
     /// the limit that the engine enforces.
     fn time_left(&self, timeout: Time, received: Instant) -> Time {
         let timeout = timeout - received.elapsed().as_secs_f64();
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Submits a request to the engine, and waits for its final response. The response may come before
-    /// the end of a streamed body.
+    /// Submits a request to the engine, and waits for its final response. The response may arrive before the
+    /// end of a streamed body.
     async fn submit(
         &self,
         submission: Submission,
@@ -173,8 +173,8 @@
     }
 }
 
-/// Notifies the engine, when dropped, that the client has disconnected. The engine ignores the
-/// notification if the request has had its final response.
+/// Notifies the engine, when dropped, that the client has disconnected. The engine ignores the notification
+/// if it has already sent the final response.
 struct DisconnectGuard<'a> {
     engine: &'a Engine,
     id: RequestId,
@@ -186,11 +186,11 @@
     }
 }
 
-/// The account of one request in its connection and in the metrics.
+/// Records one request in the progress of its connection and in the metrics.
 struct RequestAccounting<'a> {
     client: &'a ClientConnection,
     class_metrics: ClassMetrics,
-    /// The request in the metrics, once the request is complete.
+    /// The outstanding request in the metrics; `None` until the request is complete.
     outstanding: Option<OutstandingRequest>,
 }
 
@@ -199,14 +199,14 @@
         Self { client, class_metrics, outstanding: None }
     }
 
-    /// Records that the request is complete, and counts it as outstanding from now on.
+    /// Records that the request is complete, and starts to count it as outstanding.
     fn complete_request(&mut self) {
         self.outstanding = Some(self.class_metrics.start_request());
         self.client.progress().complete_request();
     }
 
-    /// Returns the request in the metrics. A request whose response came before the request was complete
-    /// is counted too.
+    /// Returns the outstanding request in the metrics. A request whose response arrived before the request
+    /// was complete is counted too.
     fn into_outstanding(self) -> OutstandingRequest {
         self.outstanding.unwrap_or_else(|| self.class_metrics.start_request())
     }
--- a/crates/balancer-proxy/src/downstream/request_head.rs
+++ b/crates/balancer-proxy/src/downstream/request_head.rs
@@ -1,4 +1,4 @@
-//! Parses the method and headers of a client's request into the form that the decision module sees.
+//! Parses the method and headers of a client's request into the request that the decision module sees.
 
 use super::request_error::RequestError;
 use crate::settings::{ProxySettings, SettingsSnapshot};
@@ -19,13 +19,13 @@
 pub(super) struct ParsedHead {
     /// The id that the client gave the request, unique among its requests in flight.
     pub(super) client_request_id: u64,
-    /// The request as the decision module sees it. The id is not assigned yet, as the engine assigns the
-    /// id, and `streaming_body` is not set, as the flag depends on the body.
+    /// The request as the decision module sees it. Its id is a default value, as the engine assigns the id,
+    /// and `streaming_body` is not set, as this flag depends on the body.
     pub(super) request: Request,
 }
 
 impl ParsedHead {
-    /// Parses the method and headers of a request by these settings.
+    /// Parses the method and headers of a request according to `settings`.
     ///
     /// # Errors
     ///
@@ -61,8 +61,8 @@
     RequestError::InvalidHeader { name, expected }
 }
 
-/// Returns the value of a header, or `None` if the header is absent. A repeated header is rejected, as
-/// the proxy cannot know which of the values the client means.
+/// Returns the value of a header, or `None` if the header is absent. A repeated header is rejected, because
+/// nothing tells which of its values is valid.
 fn single_value<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let invalid = || invalid_header(name, "one value, of plain text");
     let mut values = headers.get_all(name).into_iter();
@@ -93,7 +93,7 @@
         .ok_or(invalid_header("X-Lane", "a known class"))
 }
 
-/// Returns the index of the request's tenant. The header is ignored where the settings name no tenants.
+/// Returns the index of the request's tenant. The header is ignored if the settings name no tenants.
 fn parse_tenant_index(
     headers: &HeaderMap,
     settings: &ProxySettings,
@@ -107,8 +107,8 @@
     }
 }
 
-/// Returns the time in seconds for which the client waits for its response, at most the deadline of the
-/// class: a longer time would keep timers for weeks.
+/// Returns how long the client waits for its response, in seconds, and at most the deadline of the class.
+/// Without this bound, a large header value could keep timers for weeks.
 fn parse_timeout(headers: &HeaderMap, class_deadline: Time) -> Result<Time, RequestError> {
     let Some(text) = single_value(headers, "x-remaining-ms")? else {
         return Ok(class_deadline);
@@ -119,7 +119,7 @@
     Ok((Time::from(milliseconds) / MILLISECONDS_PER_SECOND).min(class_deadline))
 }
 
-/// Checks that the method is one that requests of this effect use.
+/// Checks that requests of this effect may use the method.
 fn check_method(method: &Method, effect: Effect) -> Result<(), RequestError> {
     let is_allowed = match effect {
         Effect::Safe => method == Method::GET || method == Method::HEAD,
@@ -128,7 +128,7 @@
     if is_allowed { Ok(()) } else { Err(RequestError::MethodNotAllowed) }
 }
 
-/// Checks that an idempotency key is present exactly where the effect needs one.
+/// Checks that an idempotent request has an idempotency key and that an unsafe request has none.
 fn check_idempotency_key(key: Option<&str>, effect: Effect) -> Result<(), RequestError> {
     match effect {
         Effect::Idempotent { .. } if key.is_none_or(str::is_empty) => {
@@ -139,8 +139,8 @@
     }
 }
 
-/// Returns the ordering key of a request: the value of its cookie `sid` if the value is a hexadecimal
-/// number, else the hash of the value.
+/// Returns the ordering key of a request: the value of its cookie `sid` if that value is a hexadecimal
+/// number, and otherwise the hash of the value.
 fn parse_session_key(headers: &HeaderMap) -> Option<u64> {
     let values = headers.get_all("cookie").into_iter().filter_map(|value| value.to_str().ok());
     let cookies = values.flat_map(|value| value.split(';'));
--- a/crates/balancer-proxy/src/downstream/request_progress.rs
+++ b/crates/balancer-proxy/src/downstream/request_progress.rs
@@ -1,18 +1,17 @@
-//! The progress of the requests and responses of one client connection, with the timeouts that follow
-//! from the progress. The table of connections reads the progress to decide which connections time out or
-//! are evicted.
+//! The progress of the requests and responses of one client connection, and the timeouts that depend on the
+//! progress. The table of connections reads the progress to decide which connections time out or are evicted.
 
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time from the first byte of a request head to its end, and from the accept of a connection to the end
-/// of its first head. Guards against clients that send nothing, stop half way, or never end the head.
+/// Longest time from the first byte of a request head to its end, and from the accept of a connection to the
+/// end of its first head. Guards against clients that send nothing, stop half way, or never end the head.
 const HEADER_TIMEOUT: Duration = Duration::from_millis(2400);
-/// Least time allowed for a body. Otherwise a body may take the part of [`HEADER_TIMEOUT`] that its head
-/// left over.
+/// Least time that is allowed for a body. A body is allowed the rest of [`HEADER_TIMEOUT`] that its head did
+/// not use if that rest is longer.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time without reading after which a client is not expected to read the rest of its response.
+/// Time for which a write may be blocked before the client is assumed not to read the rest of its response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time after which an idle connection is closed.
 const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(75);
@@ -25,7 +24,7 @@
 /// The phase of the current request of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestPhase {
-    /// No byte of a request has arrived.
+    /// No byte of the next request has arrived.
     Idle,
     /// The head is arriving, or is expected because the connection has just been accepted.
     Head {
@@ -41,42 +40,43 @@
 /// The record of the bytes that have arrived on a connection.
 struct ReceivedBytes {
     /// Set once a byte has arrived.
-    any: Cell<bool>,
+    has_any: Cell<bool>,
     /// The time at which bytes last arrived; at first, the time at which the connection was accepted.
-    last: Cell<Instant>,
+    last_received: Cell<Instant>,
     /// Set once bytes of the next request have arrived while the current one awaits its response.
     pipelined: Cell<bool>,
 }
 
 impl ReceivedBytes {
     fn new(now: Instant) -> Self {
-        Self { any: Cell::new(false), last: Cell::new(now), pipelined: Cell::new(false) }
+        Self { has_any: Cell::new(false), last_received: Cell::new(now), pipelined: Cell::new(false) }
     }
 
     fn record(&self) {
-        self.any.set(true);
-        self.last.set(Instant::now());
+        self.has_any.set(true);
+        self.last_received.set(Instant::now());
     }
 
     fn silence(&self) -> Duration {
-        self.last.get().elapsed()
+        self.last_received.get().elapsed()
     }
 }
 
 /// The progress of the requests and responses of one client connection.
 pub(super) struct RequestProgress {
     phase: Cell<RequestPhase>,
-    /// Set once a request has been complete, or has got a response without being read to its end.
+    /// Set once a request has been received completely, or has got a response before its end was read.
     has_had_request: Cell<bool>,
     /// The time at which the last response finished; at first, the time at which the connection was
     /// accepted.
     idle_since: Cell<Instant>,
     received: ReceivedBytes,
-    /// The time since which the client has read no byte of a response that is being written.
+    /// The time at which the current write became blocked, because the client does not read; `None` if no
+    /// write is blocked.
     write_blocked_since: Cell<Option<Instant>>,
 }
 
-/// The events of requests and responses.
+/// Methods that record the events of requests and responses.
 impl RequestProgress {
     /// Creates the progress of a connection that has just been accepted.
     pub(super) fn new() -> Self {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Records that the head of a request is complete. Returns the time that the body may take, however
-    /// short the body is.
+    /// Records that the head of a request is complete. Returns the time that the body may take, in addition
+    /// to the time that its bytes take at the minimum rate.
     pub(super) fn complete_head(&self) -> Duration {
         let head_duration = match self.phase.replace(RequestPhase::Body) {
             RequestPhase::Head { started } => started.elapsed(),
@@ -126,22 +126,22 @@
         self.phase.set(phase);
     }
 
-    /// Records that a write has to wait, as the client does not read.
+    /// Records that a write is blocked, because the client does not read.
     pub(super) fn record_blocked_write(&self) {
         let since = self.write_blocked_since.get().unwrap_or_else(Instant::now);
         self.write_blocked_since.set(Some(since));
     }
 
-    /// Records that a write did not have to wait.
+    /// Records that a write was not blocked.
     pub(super) fn record_write(&self) {
         self.write_blocked_since.set(None);
     }
 }
 
-/// The conditions under which connections are closed and evicted.
+/// Methods that return the conditions for closing or evicting a connection.
 impl RequestProgress {
-    /// Returns whether a complete request has no finished response, and the client reads the response as
-    /// far as it is written.
+    /// Returns whether a request is complete, its response is not finished, and the write of the response has
+    /// not timed out.
     pub(super) fn is_busy(&self) -> bool {
         self.phase.get() == RequestPhase::AwaitingResponse && !self.is_write_timed_out()
     }
@@ -151,17 +151,17 @@
         matches!(self.phase.get(), RequestPhase::Body | RequestPhase::AwaitingResponse)
     }
 
-    /// Returns whether a part of a request has arrived whose response is not finished.
+    /// Returns whether a request has arrived, at least in part, and its response is not finished.
     pub(super) fn has_request_in_flight(&self) -> bool {
         self.is_receiving_head() || self.is_response_due()
     }
 
-    /// Returns whether a part of a head has arrived.
+    /// Returns whether the head of a request has arrived in part.
     pub(super) fn is_receiving_head(&self) -> bool {
-        matches!(self.phase.get(), RequestPhase::Head { .. }) && self.received.any.get()
+        matches!(self.phase.get(), RequestPhase::Head { .. }) && self.received.has_any.get()
     }
 
-    /// Returns whether a head is arriving, with its latest bytes recently, and has not timed out.
+    /// Returns whether a head is arriving, has received bytes recently, and has not timed out.
     pub(super) fn is_head_progressing(&self) -> bool {
         let has_received_recently = self.received.silence() < MIN_SILENCE_BEFORE_EVICTION;
         self.is_receiving_head() && has_received_recently && !self.is_timed_out()
@@ -176,13 +176,13 @@
         }
     }
 
-    /// Returns whether the connection has been idle for long enough to be evicted.
+    /// Returns whether the connection has been idle for so long that it may be evicted.
     pub(super) fn is_evictable_as_idle(&self) -> bool {
         self.phase.get() == RequestPhase::Idle && self.idle_since.get().elapsed() >= MIN_IDLE_BEFORE_EVICTION
     }
 
-    /// Returns whether the connection has never had a request, and has received no byte for long
-    /// enough to be evicted.
+    /// Returns whether the connection has never had a request, and has received no byte for so long that it
+    /// may be evicted.
     pub(super) fn is_evictable_as_silent(&self) -> bool {
         !self.has_had_request.get() && self.received.silence() >= MIN_SILENCE_BEFORE_EVICTION
     }
@@ -196,7 +196,7 @@
     /// Returns the time at which bytes last arrived; at first, the time at which the connection was
     /// accepted.
     pub(super) fn last_received(&self) -> Instant {
-        self.received.last.get()
+        self.received.last_received.get()
     }
 
     fn is_write_timed_out(&self) -> bool {
--- a/crates/balancer-proxy/src/downstream/request_progress/tests.rs
+++ b/crates/balancer-proxy/src/downstream/request_progress/tests.rs
@@ -63,8 +63,9 @@
     assert!(!served.is_evictable_as_silent());
 }
 
-/// The proxy responds to a readiness request, and to an invalid one, without reading it to its end. A connection that had
-/// asked for nothing else was taken for one that has never sent a request, and closed after 0.5 s in place of 2 s.
+/// Guards against early eviction. The proxy responds to a readiness request or an invalid request without
+/// reading it to its end. A connection with only such requests counted as one without a request, and was
+/// closed after 0.5 s instead of 2 s.
 #[test]
 fn a_connection_that_has_got_a_response_is_not_evictable_as_silent() {
     let progress = RequestProgress::new();
--- a/crates/balancer-proxy/src/downstream/response.rs
+++ b/crates/balancer-proxy/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get, from backends and from the proxy itself.
+//! Creates the responses to clients, from responses of backends and from results of the proxy itself.
 
 use super::client_connection::ClientConnection;
 use super::forwarded_headers::remove_hop_by_hop_headers;
@@ -15,7 +15,7 @@
 /// A response to a client.
 pub(super) type ClientResponse = Response<ResponseBody>;
 
-/// Creates a response with a plain text as its body.
+/// Creates a response with `text` as its body.
 pub(super) fn from_text(
     status: StatusCode,
     text: impl Into<String>,
@@ -32,7 +32,7 @@
     from_text(error.status(), format!("{error}\n"), client)
 }
 
-/// Converts the final response of the engine to a request with this method.
+/// Creates the HTTP response to a request with this method from the final response of the engine.
 pub(super) fn from_final_response(
     final_response: FinalResponse,
     method: &Method,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Converts the response of a backend to a request with this method.
+/// Creates the HTTP response to a request with this method from the response of a backend.
 fn from_backend(
     backend_response: BackendResponse,
     method: &Method,
@@ -56,7 +56,7 @@
     // For HEAD, the header states the length of the body that GET would return.
     let content_length = headers.get(CONTENT_LENGTH).filter(|_| method == Method::HEAD).cloned();
     *response.headers_mut() = remove_hop_by_hop_headers(headers);
-    // Load reports are for the proxy alone.
+    // Load reports are intended only for the proxy.
     response.headers_mut().remove(LOAD_REPORT_HEADER);
     if let Some(content_length) = content_length {
         response.headers_mut().insert(CONTENT_LENGTH, content_length);
--- a/crates/balancer-proxy/src/downstream/response_body.rs
+++ b/crates/balancer-proxy/src/downstream/response_body.rs
@@ -1,5 +1,5 @@
-//! The body of a response on its way to a client. The body owns the outstanding request in the metrics
-//! until the body ends or is dropped, and then notifies the connection that the response is finished.
+//! The body of a response that is sent to a client. The body owns the outstanding request in the metrics
+//! until the body ends or is dropped. When dropped, it notifies the connection that the response is finished.
 
 use super::client_connection::ClientConnection;
 use crate::metrics::OutstandingRequest;
@@ -35,7 +35,7 @@
             ResponseContent::Buffered(data) => Some(data.len() as u64),
             ResponseContent::Streamed(_) => length,
         };
-        // With no content at all, a Content-Length header stands as it is, as it must for HEAD.
+        // Without content, the HTTP library leaves a Content-Length header as it is, which HEAD requires.
         let is_empty = matches!(&content, ResponseContent::Buffered(data) if data.is_empty());
         let content = if is_empty { None } else { Some(content) };
         Self { content, remaining_bytes, pending_result: None, client }
@@ -70,8 +70,9 @@
         }
     }
 
-    /// Counts the request as complete when the last byte of the response is handed to the HTTP library,
-    /// before the end of the body that follows, or as failed if the response breaks off.
+    /// Counts the request with its status when the last byte of the response is passed to the HTTP library,
+    /// without waiting until the library asks for the end of the body. Counts the request as failed if the
+    /// response breaks off.
     fn record_progress(&mut self, next: Option<&Result<Bytes, StreamError>>) {
         match next {
             Some(Ok(data)) => {
--- a/crates/balancer-proxy/src/downstream/server.rs
+++ b/crates/balancer-proxy/src/downstream/server.rs
@@ -1,5 +1,5 @@
-//! The server for clients, which owns the listener and the table of connections, starts a task for each
-//! connection, and shuts down gracefully after SIGTERM.
+//! The server for clients. The server accepts connections, starts a task for each of them, keeps the table of
+//! connections, and shuts down gracefully after SIGTERM.
 
 use super::client_listener::ClientListener;
 use super::connection_table::ConnectionTable;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Pause after a connection could not be accepted.
+/// Delay before the next accept after a connection could not be accepted.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 /// Interval at which connections that have timed out are closed.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -31,12 +31,13 @@
     body_budget: Rc<Budget>,
     /// The lock that shows whether a second process serves the same address, if the address is shared.
     instance_lock: Option<Rc<InstanceLock>>,
-    /// A connection that is accepted and waits for a slot. A shutdown must not lose this connection.
+    /// An accepted connection that waits for a slot. The connection is stored here, because a shutdown
+    /// cancels the task that accepts connections, and must still serve this one.
     pending: Cell<Option<TcpStream>>,
 }
 
 impl Server {
-    /// Creates a server within these capacities, which submits requests to `engine`.
+    /// Creates a server that has these capacities and submits requests to `engine`.
     #[must_use]
     pub fn new(
         engine: Rc<Engine>,
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Returns whether the proxy accepts requests and has listed a backend for them.
+    /// Returns whether the proxy accepts requests and a backend has been listed.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.handler.is_ready()
@@ -72,15 +73,15 @@
         self.engine.metrics_json()
     }
 
-    /// Changes the capacities.
+    /// Changes the limits on connections and on buffered request bodies.
     pub fn set_capacities(&self, capacities: Capacities) {
         self.connections.set_limit(capacities.client_connections);
         self.body_budget.set_limit(capacities.request_body_bytes);
         self.engine.set_connection_limit(capacities.backend_connections);
     }
 
-    /// Serves clients until `stop_signal` is ready, then shuts down gracefully: serves them for some time
-    /// as before, responds to each request that has arrived, and returns.
+    /// Serves clients until `stop_signal` is ready, then shuts down gracefully: continues to serve clients
+    /// for some time, responds to each request that has arrived, and returns.
     pub async fn run(self: Rc<Self>, listener: ClientListener, stop_signal: impl Future<Output = ()>) {
         self.lifecycle.start();
         tokio::select! {
@@ -89,7 +90,7 @@
             () = self.start_shutdown_on(stop_signal) => {}
         }
         self.serve_accepted(listener);
-        self.serve_beside_successor().await;
+        self.serve_while_successor_accepts().await;
         self.lifecycle.close_connections();
         tokio::select! {
             () = self.connections.wait_until_empty_or_idle() => {}
@@ -103,16 +104,16 @@
             match listener.accept().await {
                 Ok(stream) => self.serve_with_slot(stream).await,
                 Err(error) => {
-                    log!("accept: {error}");
+                    log!("accept: cannot accept a client connection, trying again: {error}");
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    /// Serves a connection once a slot is free. Other connections are evicted only now that a new one
-    /// needs a slot. An evicted connection keeps its descriptor until it has closed, and the descriptors
-    /// that are not for clients must stay free, for example for discovery.
+    /// Serves a connection once a slot is free. Other connections are evicted only when a new connection
+    /// needs a slot. An evicted connection holds its descriptor until it has closed, and the new connection
+    /// waits until then: the descriptors that are reserved for other uses, such as discovery, must stay free.
     async fn serve_with_slot(&self, stream: TcpStream) {
         self.pending.set(Some(stream));
         self.connections.evict_for_new_connection();
@@ -133,7 +134,7 @@
     /// Adds a connection to the table, and starts the task that serves it.
     fn serve(&self, stream: TcpStream) {
         let slot = self.connections.add();
-        let _ = stream.set_nodelay(true); // without this option, responses are only slower
+        let _ = stream.set_nodelay(true); // without this option, responses are slower but correct
         let admission = if self.connections.is_full() { Admission::Reject } else { Admission::Serve };
         let task = ConnectionTask {
             handler: self.handler.clone(),
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Waits for the signal, starts the shutdown, and returns once no more connections need be accepted.
+    /// Waits for the signal and starts the shutdown. Returns when the server is to stop accepting
+    /// connections.
     async fn start_shutdown_on(&self, stop_signal: impl Future<Output = ()>) {
         stop_signal.await;
         let schedule = ShutdownSchedule::new(self.engine.longest_deadline());
@@ -165,29 +167,31 @@
         if has_successor {
             self.lifecycle.record_successor();
         } else {
-            tokio::time::sleep(schedule.full_service()).await;
+            tokio::time::sleep(schedule.full_service_duration()).await;
         }
     }
 
-    /// Closes the listener, and serves the connections that the proxy, or the system on its behalf, has
-    /// accepted.
+    /// Closes the listener, and serves the connections that the proxy has accepted or that were waiting in
+    /// the queue of the listener.
     fn serve_accepted(&self, listener: ClientListener) {
         self.serve_pending();
         match listener.close() {
             Ok(streams) => streams.into_iter().for_each(|stream| self.serve(stream)),
-            Err(error) => log!("accept: {error}"),
+            Err(error) => {
+                log!("accept: cannot empty the listener's queue, connections in it may be reset: {error}");
+            }
         }
     }
 
-    /// Serves the open connections for some time if another process accepts the new ones.
-    async fn serve_beside_successor(&self) {
+    /// Serves the open connections for some time if another process accepts new connections.
+    async fn serve_while_successor_accepts(&self) {
         let Some(schedule) = self.lifecycle.shutdown().filter(|_| self.lifecycle.has_successor()) else {
             return;
         };
         tokio::select! {
             () = self.close_timed_out() => {}
             () = self.connections.wait_until_empty() => {}
-            () = tokio::time::sleep(schedule.service_beside_successor()) => {}
+            () = tokio::time::sleep(schedule.service_duration_with_successor()) => {}
         }
     }
 }
--- a/crates/balancer-proxy/src/downstream/shutdown_schedule/tests.rs
+++ b/crates/balancer-proxy/src/downstream/shutdown_schedule/tests.rs
@@ -1,17 +1,17 @@
-//! Tests of the times of a graceful shutdown.
+//! Tests of the schedule of a graceful shutdown.
 
 use super::{
-    FULL_SERVICE_FRACTION, MAX_DEADLINE_BEFORE_SIGKILL, MAX_SERVICE_BESIDE_SUCCESSOR, RESPONSE_MARGIN,
+    FULL_SERVICE_FRACTION, MAX_DEADLINE_BEFORE_SIGKILL, MAX_SERVICE_WITH_SUCCESSOR, RESPONSE_MARGIN,
     SIGKILL_MARGIN, ShutdownSchedule,
 };
 use std::time::Duration;
 
 #[test]
-fn derives_the_time_of_full_service_from_the_longest_deadline() {
+fn derives_the_duration_of_full_service_from_the_longest_deadline() {
     let schedule = ShutdownSchedule::new(1.0);
 
     let kill_delay = Duration::from_secs(1) + SIGKILL_MARGIN;
-    assert_eq!(schedule.full_service(), kill_delay.mul_f64(FULL_SERVICE_FRACTION));
+    assert_eq!(schedule.full_service_duration(), kill_delay.mul_f64(FULL_SERVICE_FRACTION));
 }
 
 #[test]
@@ -21,17 +21,17 @@
     for deadline in [60.0, f64::INFINITY, f64::NAN, -1.0] {
         let schedule = ShutdownSchedule::new(deadline);
 
-        assert_eq!(schedule.full_service(), longest.full_service(), "{deadline}");
+        assert_eq!(schedule.full_service_duration(), longest.full_service_duration(), "{deadline}");
     }
 }
 
 #[test]
-fn serves_beside_a_successor_no_longer_than_alone() {
+fn serves_no_longer_with_a_successor_than_without_one() {
     let short = ShutdownSchedule::new(0.1);
     let long = ShutdownSchedule::new(3.0);
 
-    assert_eq!(short.service_beside_successor(), short.full_service());
-    assert_eq!(long.service_beside_successor(), MAX_SERVICE_BESIDE_SUCCESSOR);
+    assert_eq!(short.service_duration_with_successor(), short.full_service_duration());
+    assert_eq!(long.service_duration_with_successor(), MAX_SERVICE_WITH_SUCCESSOR);
 }
 
 #[test]
