--- a/crates/balancer-proxy/examples/local_stand_ins.rs
+++ b/crates/balancer-proxy/examples/local_stand_ins.rs
@@ -1,5 +1,6 @@
-//! Plays discovery and one backend, for a proxy with the configuration in `deploy/example/`. Discovery lists
-//! the backend and never announces a change; the backend answers every request with status 200.
+//! Runs stand-ins for discovery and one backend, for a proxy with the configuration in `deploy/example/`.
+//! Discovery lists the backend and never announces a change. The backend responds to every request with
+//! status 200.
 //!
 //! ```sh
 //! cargo run --example local_stand_ins
@@ -16,17 +17,17 @@
 const BACKEND: &str = "127.0.0.1:7070";
 /// Generation of the endpoint list, which never changes.
 const GENERATION: u64 = 1;
-/// Longest wait of a watch.
+/// Longest time that discovery waits before it responds to a watch.
 const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 
-/// The head of a request, and nothing of its body.
+/// The parts of a request head that the stand-ins use.
 struct RequestHead {
     method: String,
     target: String,
     content_length: u64,
 }
 
-/// Reads the head of the next request; `None` at the end of the connection.
+/// Reads the head of the next request. Returns `None` at the end of the connection.
 fn read_head(stream: &mut BufReader<TcpStream>) -> io::Result<Option<RequestHead>> {
     let mut line = String::new();
     if stream.read_line(&mut line)? == 0 {
@@ -54,15 +55,15 @@
     stream.get_mut().write_all(response.as_bytes())
 }
 
-/// Returns the value of a whole number in the query of a target.
+/// Returns the value of the query parameter `name` of a target, if the value is a whole number.
 fn query_value(target: &str, name: &str) -> Option<u64> {
     let (_, query) = target.split_once('?')?;
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name)?.1.parse().ok()
 }
 
-/// Returns the answer to a call of discovery. A watch of the present generation waits for as long as the
-/// caller asks, as there never is a change, and then has no entries.
+/// Returns the response to a call of discovery. As the list never changes, a watch of the current generation
+/// waits for the time that the caller requests, and then returns no entries.
 fn endpoint_list(target: &str) -> String {
     if query_value(target, "since") == Some(GENERATION) {
         let wait = Duration::from_millis(query_value(target, "timeout_ms").unwrap_or(0));
@@ -84,7 +85,7 @@
 
 fn serve_backend(mut stream: BufReader<TcpStream>) -> io::Result<()> {
     while let Some(head) = read_head(&mut stream)? {
-        // The body has to be read before the next head.
+        // The body must be read before the next head.
         io::copy(&mut io::Read::take(&mut stream, head.content_length), &mut io::sink())?;
         write_response(&mut stream, &format!("the backend has served {} {}\n", head.method, head.target))?;
     }
--- a/crates/balancer-proxy/src/clock.rs
+++ b/crates/balancer-proxy/src/clock.rs
@@ -9,7 +9,7 @@
 /// A monotonic clock that counts seconds since the proxy started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// The instant at which the clock started, its time 0.
+    /// The instant at which the clock started, which is its time 0.
     start: Instant,
     /// The Unix time of `start`, in seconds; 0 if the system time is before 1970.
     unix_start: Time,
@@ -43,8 +43,8 @@
         unix_time - self.unix_start
     }
 
-    /// Converts a time of this clock to an instant of the runtime. A time that no duration can
-    /// represent, such as a negative one, becomes the instant of the start.
+    /// Converts a time of this clock to an instant of the runtime. A time that a [`Duration`] can't
+    /// represent, such as a negative time, is converted to the instant at which the clock started.
     #[must_use]
     pub fn instant_at(&self, time: Time) -> tokio::time::Instant {
         (self.start + Duration::try_from_secs_f64(time).unwrap_or_default()).into()
--- a/crates/balancer-proxy/src/limits/budget.rs
+++ b/crates/balancer-proxy/src/limits/budget.rs
@@ -1,14 +1,14 @@
 //! A budget of permits: an upper bound on the units of a resource in use, such as connections or bytes.
 //!
-//! A [`Permit`] returns its units when it is dropped, so that no path out of a task can leak them. A
-//! budget is used from one thread.
+//! A [`Permit`] returns its units when it is dropped, so that no path out of a task can leak them. A budget
+//! and its permits stay on one thread.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 /// An upper bound on the units of a resource that are in use at the same time.
 pub struct Budget {
-    /// Units that permits hold. More than `limit` only after the limit was lowered.
+    /// Number of units that permits hold. It can exceed `limit` only after the limit was lowered.
     used: Cell<usize>,
     /// Largest number of units that may be in use.
     limit: Cell<usize>,
@@ -26,7 +26,8 @@
         self.limit.set(limit);
     }
 
-    /// Returns whether more units are in use than the limit allows, as can be after it was lowered.
+    /// Returns whether more units are in use than the limit allows, which can happen after the limit was
+    /// lowered.
     #[must_use]
     pub fn is_exceeded(&self) -> bool {
         self.used.get() > self.limit.get()
@@ -38,7 +39,7 @@
         self.used.get() >= self.limit.get()
     }
 
-    /// Acquires `units` of the budget, or returns `None` if fewer are available.
+    /// Acquires `units` units of the budget, or returns `None` if fewer units are available.
     #[must_use]
     pub fn try_acquire(self: &Rc<Self>, units: usize) -> Option<Permit> {
         if units > self.available() {
--- a/crates/balancer-proxy/src/limits/capacities.rs
+++ b/crates/balancer-proxy/src/limits/capacities.rs
@@ -3,16 +3,16 @@
 
 use super::message_size::{MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES};
 
-/// Number of file descriptors that are reserved for other use than connections of clients and backends,
-/// such as the log, the runtime, the lock files and the connection to discovery.
+/// Number of file descriptors that are reserved for uses other than client and backend connections, such as
+/// the log, the runtime, the lock files and the connection to discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Largest number of file descriptors that capacities are derived from, however many the system grants.
+/// Largest number of file descriptors that capacities are derived from, even if the system grants more.
 const MAX_DESCRIPTORS: usize = 16 << 10;
-/// Divisor of the memory: request heads, request bodies and backend responses may each take one
-/// fourth, and one fourth is left for the rest of the process.
+/// Divisor of the memory. Request heads, request bodies and backend responses may each use one fourth of the
+/// memory, and one fourth is left for the rest of the process.
 const MEMORY_DIVISOR: usize = 4;
-/// Fraction of the descriptors that client connections may use. They get the larger fraction because
-/// idle client connections stay open too.
+/// Fraction of the descriptors that client connections may use. This fraction is the larger one because idle
+/// client connections stay open too.
 const CLIENT_DESCRIPTORS: Fraction = Fraction { numerator: 3, denominator: 5 };
 /// Fraction of the descriptors that backend connections may use.
 const BACKEND_DESCRIPTORS: Fraction = Fraction { numerator: 2, denominator: 5 };
@@ -33,7 +33,7 @@
 /// Whether another process serves the same listen address, as during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OtherProcess {
-    /// This process is the only one, or the other one can't be detected.
+    /// This process is the only one, or another process can't be detected.
     Absent,
     /// Another process runs.
     Running,
@@ -50,15 +50,15 @@
 /// The resources that the system grants to all processes of one listen address together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessLimits {
-    /// Number of open file descriptors, at most.
+    /// Largest number of open file descriptors.
     pub file_descriptors: usize,
-    /// Memory in bytes, at most.
+    /// Largest amount of memory, in bytes.
     pub memory_bytes: usize,
 }
 
 impl ProcessLimits {
-    /// Returns the limits of this process: half while another process runs, so that the two together
-    /// stay within the limits, and else all.
+    /// Returns the limits of this process. While another process runs, they are half of these limits, so
+    /// that the two processes together stay within these limits. Otherwise they are these limits.
     #[must_use]
     pub fn for_this_process(self, other: OtherProcess) -> Self {
         match other {
@@ -73,17 +73,18 @@
 /// Upper bounds on connections and on buffered request bodies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacities {
-    /// Number of client connections, at least 1.
+    /// Largest number of client connections, at least 1.
     pub client_connections: usize,
-    /// Number of backend connections, at least 1.
+    /// Largest number of backend connections, at least 1.
     pub backend_connections: usize,
-    /// Bytes of request bodies that may be buffered at the same time, at least the largest buffered body.
+    /// Largest number of bytes of request bodies that are buffered at the same time, at least
+    /// [`MAX_BUFFERED_BODY_BYTES`].
     pub request_body_bytes: usize,
 }
 
 impl Capacities {
-    /// Derives the capacities of a process with these limits, which uses `reserved_descriptors` for the
-    /// management address.
+    /// Derives the capacities of a process with these limits that uses `reserved_descriptors` file
+    /// descriptors for the management address.
     #[must_use]
     pub fn new(limits: ProcessLimits, reserved_descriptors: usize) -> Self {
         let usable = limits.file_descriptors.min(MAX_DESCRIPTORS);
--- a/crates/balancer-proxy/src/log_writer.rs
+++ b/crates/balancer-proxy/src/log_writer.rs
@@ -1,7 +1,8 @@
-//! The log: lines to the standard error, written by a thread of their own.
+//! The log. A separate thread writes log lines to the standard error.
 //!
-//! A pipe that nobody reads blocks its writer. The lines wait for the thread in a queue of bounded length, and a
-//! line that finds the queue full is dropped and counted, so that the thread of the proxy never waits.
+//! A write to a pipe blocks while the pipe is full and its reader does not read. The lines therefore wait for
+//! the log thread in a queue of bounded length. A line that is logged while the queue is full is dropped and
+//! counted, so that the thread of the proxy never waits.
 
 use std::fmt::Arguments;
 use std::io::Write;
@@ -10,32 +11,32 @@
 use std::sync::mpsc::{Receiver, SyncSender, sync_channel};
 use std::time::Duration;
 
-/// Lines that wait to be written.
+/// Largest number of lines that wait to be written.
 const MAX_WAITING_LINES: usize = 256;
-/// Longest line in bytes; the rest of a longer one is cut off.
+/// Length in bytes to which a longer line is truncated.
 const MAX_LINE_BYTES: usize = 4096;
-/// Longest wait for the lines that are left when the process ends.
+/// Longest time that the end of the process waits for lines that have not been written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the thread of the log has to do.
+/// A task of the log thread.
 enum Task {
     /// Write a line.
     Write(String),
-    /// Report that all lines before have been written.
-    Report(SyncSender<()>),
+    /// Send a notification that all lines before this task have been written.
+    Flush(SyncSender<()>),
 }
 
-/// The queue of the thread.
+/// The sending side of the queue of the log thread.
 struct LogWriter {
     tasks: SyncSender<Task>,
-    /// Lines dropped since the last report of them.
+    /// Number of lines that were dropped since the last report of dropped lines.
     dropped: AtomicU64,
 }
 
 static LOG_WRITER: OnceLock<LogWriter> = OnceLock::new();
 
 impl LogWriter {
-    /// Starts the thread. Without a thread all lines are dropped.
+    /// Starts the log thread. If the thread cannot be started, all lines are dropped.
     fn start() -> Self {
         let (writer, received) = Self::with_queue(MAX_WAITING_LINES);
         let thread = std::thread::Builder::new().name("log".to_string());
@@ -43,7 +44,7 @@
         writer
     }
 
-    /// Creates a queue for this many lines, without a thread.
+    /// Creates a queue that holds up to `lines` lines, without a thread.
     fn with_queue(lines: usize) -> (Self, Receiver<Task>) {
         let (tasks, received) = sync_channel(lines);
         (Self { tasks, dropped: AtomicU64::new(0) }, received)
@@ -61,7 +62,7 @@
         self.tasks.try_send(Task::Write(line)).is_ok()
     }
 
-    /// Logs how many lines have been dropped. The count stays for the next report if the queue is full again.
+    /// Logs the number of dropped lines. If the queue is full, the number is kept for the next report.
     fn report_dropped(&self) {
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped == 0 {
@@ -74,12 +75,12 @@
     }
 }
 
-/// Logs a line, without waiting for it to be written.
+/// Logs a line without waiting until the line is written.
 pub fn write_line(line: Arguments<'_>) {
     LOG_WRITER.get_or_init(LogWriter::start).write(log_line(line));
 }
 
-/// Returns the text of a line, cut off if it is too long.
+/// Returns the text of a line, truncated to [`MAX_LINE_BYTES`], with a line break at its end.
 fn log_line(line: Arguments<'_>) -> String {
     let mut line = line.to_string();
     line.truncate(line.floor_char_boundary(MAX_LINE_BYTES));
@@ -87,23 +88,23 @@
     line
 }
 
-/// Waits until all lines so far have been written, but not for long if nobody reads them.
+/// Waits until all lines logged so far have been written, or until [`FLUSH_TIMEOUT`] has elapsed.
 pub fn flush() {
     let Some(writer) = LOG_WRITER.get() else { return };
     let (done, is_done) = sync_channel(1);
-    if writer.tasks.try_send(Task::Report(done)).is_ok() {
-        let _ = is_done.recv_timeout(FLUSH_TIMEOUT); // the process ends in any case
+    if writer.tasks.try_send(Task::Flush(done)).is_ok() {
+        let _ = is_done.recv_timeout(FLUSH_TIMEOUT); // the process ends even after a timeout
     }
 }
 
-/// Writes lines until the process ends. A line that cannot be written, as the pipe is closed, is lost.
+/// Writes lines until the process ends. A line that cannot be written, for example to a closed pipe, is lost.
 fn write_lines(tasks: &Receiver<Task>) {
     for task in tasks {
         match task {
             Task::Write(line) => {
                 let _ = std::io::stderr().write_all(line.as_bytes());
             }
-            Task::Report(done) => {
+            Task::Flush(done) => {
                 let _ = done.send(());
             }
         }
--- a/crates/balancer-proxy/src/log_writer/tests.rs
+++ b/crates/balancer-proxy/src/log_writer/tests.rs
@@ -3,7 +3,7 @@
 use super::{LogWriter, Task};
 use std::sync::mpsc::Receiver;
 
-/// Takes the next line from the queue.
+/// Removes the next line from the queue and returns it.
 fn next_line(queue: &Receiver<Task>) -> String {
     match queue.try_recv() {
         Ok(Task::Write(line)) => line,
@@ -11,8 +11,8 @@
     }
 }
 
-/// A flood fills each place in the queue at once. The report of dropped lines found no room then and was dropped itself,
-/// and with it the count of all lines before.
+/// Guards against the loss of the number of dropped lines. While many lines are logged, the queue can be full
+/// when the number is reported. The report was then dropped, and its number was lost.
 #[test]
 fn a_report_that_finds_no_room_leaves_the_count_for_the_next_one() {
     let (writer, queue) = LogWriter::with_queue(1);
--- a/crates/balancer-proxy/src/metrics.rs
+++ b/crates/balancer-proxy/src/metrics.rs
@@ -1,9 +1,9 @@
 //! The metrics that operators read with the management call `stats`.
 //!
-//! Each request is counted once, where it ends, under the name that its class had when it arrived.
-//! The names of the JSON fields are part of the management protocol and stay as they are.
+//! Each request is counted once, when it ends, under the name that its class had when the request arrived.
+//! The names of the JSON fields are part of the management protocol and must not change.
 //!
-//! - `class_table`: the counts of each class, also of classes that the settings no longer have
+//! - `class_table`: the counts of each class, including classes that the settings no longer have
 
 mod class_table;
 
@@ -14,12 +14,12 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The numbers of settings changes since the process started.
+/// The version of the settings, and the numbers of settings changes since the process started.
 #[derive(Clone, Copy, Default, Serialize)]
 struct SettingsChanges {
-    /// Version of the settings in force, if they have a version.
+    /// Version of the settings in force, or `None` if the settings have no version.
     version: Option<u64>,
-    /// Number of changes that came into force.
+    /// Number of changes that have come into force.
     #[serde(rename = "changed")]
     applied: u64,
     /// Number of configuration files that were rejected.
@@ -27,7 +27,7 @@
     rejected: u64,
 }
 
-/// The metrics of this process, from 0 at its start.
+/// The metrics of this process, which start at 0.
 #[derive(Serialize)]
 pub struct Metrics {
     /// The counts of each class.
@@ -42,20 +42,20 @@
     settings_changes: Cell<SettingsChanges>,
 }
 
-/// The numbers of backends at one moment.
+/// The numbers of backends at one time.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct BackendCounts {
-    /// Number of backends that the endpoint list has.
+    /// Number of backends in the endpoint list.
     #[serde(rename = "discovered")]
     pub listed: usize,
-    /// Number of backends that receive few requests or none, as they are outliers or in maintenance.
+    /// Number of backends that receive few requests or none because they are outliers or in maintenance.
     #[serde(rename = "ejected")]
     pub avoided: usize,
 }
 
-/// The metrics at one moment, in the form of `stats`.
+/// The metrics at one time, in the JSON form that the management call `stats` returns.
 #[derive(Serialize)]
-struct Snapshot<'a> {
+struct MetricsSnapshot<'a> {
     #[serde(flatten)]
     metrics: &'a Metrics,
     #[serde(flatten)]
@@ -102,21 +102,21 @@
         self.forwards.set(self.forwards.get() + 1);
     }
 
-    /// Returns the counter of the requests of a class, which stays valid when the class is retired.
+    /// Returns the counter for the requests of a class. The counter stays valid when the class is retired.
     #[must_use]
     pub fn class_metrics(self: &Rc<Self>, name: &str) -> ClassMetrics {
         let outcomes = self.classes.borrow().outcomes_of(name);
         ClassMetrics { metrics: self.clone(), outcomes }
     }
 
-    /// Returns the metrics as one line of JSON, with the numbers of backends, which the engine knows.
+    /// Returns the metrics as one line of JSON, with the numbers of backends from the engine.
     ///
     /// # Errors
     ///
-    /// Fails if the metrics can't be serialized.
+    /// Returns an error if the metrics can't be serialized.
     pub fn to_json(&self, backends: BackendCounts) -> serde_json::Result<String> {
         let settings = self.settings_changes.get();
-        serde_json::to_string(&Snapshot { metrics: self, backends, settings })
+        serde_json::to_string(&MetricsSnapshot { metrics: self, backends, settings })
     }
 }
 
@@ -130,7 +130,7 @@
 }
 
 impl ClassMetrics {
-    /// Counts a request that was received completely, and that is outstanding from now on.
+    /// Counts a request that was received completely as outstanding, until the returned value is dropped.
     #[must_use]
     pub fn start_request(&self) -> OutstandingRequest {
         let outstanding = &self.metrics.outstanding;
@@ -146,8 +146,8 @@
 }
 
 impl OutstandingRequest {
-    /// Counts the outcome of the request, whose client has received its final response. If the client
-    /// disconnects before that, the value is dropped and no outcome is counted.
+    /// Counts the outcome of the request by the status of its final response. If the client disconnects
+    /// before the final response, the value is dropped and no outcome is counted.
     pub fn finish(self, status: StatusCode) {
         self.class.outcomes.count(status);
     }
--- a/crates/balancer-proxy/src/metrics/class_table.rs
+++ b/crates/balancer-proxy/src/metrics/class_table.rs
@@ -1,4 +1,4 @@
-//! The counts of each class: of the classes of the settings in force, and of retired classes.
+//! The request counts of the classes in the settings in force and of retired classes.
 
 use hyper::StatusCode;
 use serde::{Serialize, Serializer};
@@ -6,17 +6,16 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// Largest number of retired classes in the metrics. The counts of classes that were removed earlier
-/// are dropped, as the metrics would grow without a bound where each change of the settings has new
-/// names.
+/// Largest number of retired classes in the metrics. The counts of classes that were removed earlier are
+/// dropped, because the metrics would grow without bound if each change of the settings introduced new names.
 const MAX_RETIRED_CLASSES: usize = 64;
 
-/// The numbers of requests of a class, by the outcome.
+/// The numbers of requests of a class, by their outcome.
 #[derive(Default, Serialize)]
 pub(super) struct OutcomeCounts {
     /// Requests with the final status 200.
     succeeded: Cell<u64>,
-    /// Requests with the final status 429 or 503: not executed, and safe to send again.
+    /// Requests with the final status 429 or 503, which were not executed and are safe to send again.
     declined: Cell<u64>,
     /// Requests with any other final status.
     aborted: Cell<u64>,
@@ -64,7 +63,8 @@
 }
 
 impl ClassTable {
-    /// Returns the counts of the class with this name. The counts of an unknown class are not kept.
+    /// Returns the counts of the class with this name. For an unknown class, returns new counts that are not
+    /// part of the table.
     pub(super) fn outcomes_of(&self, name: &str) -> Rc<OutcomeCounts> {
         let class = self.iter().find(|class| class.name == name);
         class.map(|class| class.outcomes.clone()).unwrap_or_default()
@@ -74,7 +74,7 @@
         self.in_force.iter().chain(&self.retired)
     }
 
-    /// Replaces the classes in force. A class that had counts under the same name keeps them.
+    /// Replaces the classes in force. A new class keeps the counts that the table has under its name.
     pub(super) fn set_in_force(&mut self, names: &[String]) {
         let mut previous = std::mem::take(&mut self.retired);
         previous.append(&mut self.in_force);
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns classes with these names, with the counts that `previous` has for them.
+/// Returns classes with these names. Each class has the counts that `previous` has under its name.
 fn with_previous_counts(names: &[String], previous: &[ClassCounts]) -> Vec<ClassCounts> {
     let mut counts_by_name = HashMap::new();
     for class in previous {
--- a/crates/balancer-proxy/src/settings.rs
+++ b/crates/balancer-proxy/src/settings.rs
@@ -1,13 +1,13 @@
 //! The settings in force, as one immutable snapshot that is replaced as a whole.
 //!
-//! Each open request refers to the snapshot that it was accepted with, so that a reload never changes
-//! a request half way.
+//! Each open request refers to the snapshot that was in force when the request was accepted, so that a reload
+//! never changes the settings of a request that is being processed.
 
 use balancer::{ClassIndex, Settings, TenantIndex, Time};
 use std::time::Duration;
 use thiserror::Error;
 
-/// All settings at one moment. A reload replaces the snapshot as a whole or not at all.
+/// All settings at one time. A reload replaces the snapshot as a whole or not at all.
 #[derive(Debug, Default, PartialEq)]
 pub struct SettingsSnapshot {
     /// The settings of the decision module.
@@ -17,19 +17,19 @@
 }
 
 impl SettingsSnapshot {
-    /// The longest deadline of all request classes, in seconds; 0 without classes.
+    /// Returns the longest deadline of all request classes, in seconds, or 0 if there are no classes.
     #[must_use]
     pub fn longest_deadline(&self) -> Time {
         self.balancer.longest_timeout()
     }
 
-    /// Checks that this snapshot may replace the one `in_force`. Files can arrive late or twice, so
-    /// that their order is decided by their versions, if the one in force has a version.
+    /// Checks that this snapshot may replace the snapshot `in_force`. Configuration files can arrive late or
+    /// twice, so their versions decide which one is newer, if the snapshot in force has a version.
     ///
     /// # Errors
     ///
-    /// [`VersionError`] if this snapshot has no version, an older one, or the same version with
-    /// different settings.
+    /// Returns an error if the snapshot in force has a version and this snapshot has no version, an older
+    /// version, or the same version with different settings.
     pub fn check_supersedes(&self, in_force: &Self) -> Result<(), VersionError> {
         let Some(current) = in_force.proxy.version else {
             return Ok(());
@@ -45,7 +45,7 @@
     }
 }
 
-/// Why a snapshot may not replace the one in force.
+/// The reason why a snapshot may not replace the snapshot in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VersionError {
     /// The settings in force have a version, and the new ones have none.
@@ -54,7 +54,7 @@
         /// The version in force.
         in_force: u64,
     },
-    /// The new settings are older than those in force.
+    /// The new settings are older than the settings in force.
     #[error("settings.version: expected {in_force} or more, which is in force, got '{version}'")]
     Older {
         /// The version of the new settings.
@@ -62,38 +62,40 @@
         /// The version in force.
         in_force: u64,
     },
-    /// Different settings have the version that is in force.
+    /// The new settings have the version in force, but differ from the settings in force.
     #[error(
-        "settings.version: expected more than {version}, as other settings differ from it, got '{version}'"
+        "settings.version: expected more than {version}, which is in force with other values, got '{version}'"
     )]
     Conflicting {
-        /// The version of both.
+        /// The version of the new settings and of the settings in force.
         version: u64,
     },
 }
 
-/// The part of the settings that sockets need and decisions do not.
+/// The settings that the proxy uses and the decision module does not.
 #[derive(Debug, Default, PartialEq)]
 pub struct ProxySettings {
-    /// Increases with each change, if the writer of the configuration file numbers them.
+    /// Version of the settings, which increases with each change; `None` if the configuration file has no
+    /// version.
     pub version: Option<u64>,
     /// Names of the request classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones. At startup, the id of a zone is its position here; zones that appear
-    /// later are numbered by the endpoint list.
+    /// Names of the zones. At startup, the id of a zone is its position in this list. Zones that appear later
+    /// are numbered by the endpoint list.
     pub zones: Vec<String>,
     /// Name of the zone that this proxy is in.
     pub zone: String,
-    /// A connection attempt to a backend that takes longer has failed.
+    /// Time after which a connection attempt to a backend counts as failed.
     pub connect_timeout: Duration,
-    /// Time after which a backend closes an idle connection; the proxy reuses one only earlier.
+    /// Time after which a backend closes an idle connection. The proxy reuses an idle connection only before
+    /// this time.
     pub idle_timeout: Duration,
-    /// No new request is sent to a backend this long after the notification that it is draining,
-    /// gone or in maintenance.
+    /// Longest time after the notification that a backend is draining, gone or in maintenance in which new
+    /// requests may still be sent to this backend.
     pub drain_grace_period: Duration,
-    /// Maximum number of requests that may be open at once.
+    /// Largest number of requests that may be open at the same time.
     pub max_open_requests: usize,
 }
 
@@ -108,7 +110,7 @@
     ///
     /// # Panics
     ///
-    /// If the settings have no class with this index.
+    /// Panics if the settings have no class with this index.
     #[must_use]
     pub fn class_name(&self, index: ClassIndex) -> &str {
         &self.classes[index.0]
--- a/crates/balancer-proxy/src/watch_event.rs
+++ b/crates/balancer-proxy/src/watch_event.rs
@@ -3,20 +3,20 @@
 use balancer::Endpoint;
 use std::net::SocketAddr;
 
-/// A list that the watch has received, or a call that has failed.
+/// A list that the watch has received, or the failure of a call.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// Endpoints that have changed; all other endpoints are as before.
+    /// The endpoints that have changed. All other endpoints are unchanged.
     Changes(Vec<ListedEndpoint>),
-    /// The full list: endpoints that the list does not have are gone.
+    /// The full list. Endpoints that are not in the list are gone.
     Full(Vec<ListedEndpoint>),
-    /// The full list as the configuration file had it at startup.
+    /// The full list that the configuration file contained at startup.
     Cached(Vec<ListedEndpoint>),
-    /// A call for the list has failed. Sent only if the decision module schedules the next call.
+    /// The failure of a call for the list. Sent only if the decision module schedules the next call.
     Failed,
 }
 
-/// A backend in the list, and its address.
+/// A backend in the endpoint list, and its address.
 #[derive(Debug)]
 pub struct ListedEndpoint {
     /// The endpoint as the decision module sees it.
