--- a/crates/balancer-proxy/src/log_writer.rs
+++ b/crates/balancer-proxy/src/log_writer.rs
@@ -88,7 +88,7 @@
     line
 }
 
-/// Waits until all lines logged so far have been written, or until [`FLUSH_TIMEOUT`] has elapsed.
+/// Waits until all lines logged so far have been written, but only for a short time if they are not read.
 pub fn flush() {
     let Some(writer) = LOG_WRITER.get() else { return };
     let (done, is_done) = sync_channel(1);
