--- a/crates/balancer-proxy/src/control/config/environment.rs
+++ b/crates/balancer-proxy/src/control/config/environment.rs
@@ -7,13 +7,13 @@
 use std::net::SocketAddr;
 
 /// Names the path of the configuration file.
-const CONFIG_PATH: &str = "RELAY_CONFIG";
+const CONFIG_PATH_VARIABLE: &str = "RELAY_CONFIG";
 /// The address for clients.
-const LISTEN: AddressSource = AddressSource { variable: "RELAY_LISTEN", key: "listen" };
+const LISTEN_ADDRESS: AddressSource = AddressSource { variable: "RELAY_LISTEN", key: "listen" };
 /// The address of discovery, whose variable counts at startup only.
-const DISCOVERY: AddressSource = AddressSource { variable: "RELAY_DISCOVERY", key: "discovery" };
+const DISCOVERY_ADDRESS: AddressSource = AddressSource { variable: "RELAY_DISCOVERY", key: "discovery" };
 /// The address for management calls.
-const MANAGEMENT: AddressSource = AddressSource { variable: "RELAY_MANAGEMENT", key: "management" };
+const MANAGEMENT_ADDRESS: AddressSource = AddressSource { variable: "RELAY_MANAGEMENT", key: "management" };
 
 /// The environment variable of an address, and the key of the file that the variable overrides.
 #[derive(Clone, Copy)]
@@ -24,7 +24,7 @@
 
 /// Returns the path of the configuration file.
 pub(super) fn config_path() -> Result<String, ConfigError> {
-    read_variable(CONFIG_PATH)
+    read_variable(CONFIG_PATH_VARIABLE)
 }
 
 fn read_variable(name: &'static str) -> Result<String, ConfigError> {
@@ -50,7 +50,7 @@
     /// file, or a text is no address.
     pub(super) fn resolve(file: &RawConfig, mode: LoadMode) -> Result<Self, ConfigError> {
         Ok(Self {
-            listen: resolve_address(LISTEN, file.listen.as_deref())?,
+            listen: resolve_address(LISTEN_ADDRESS, file.listen.as_deref())?,
             discovery: discovery_address(file.discovery.as_deref(), mode)?,
             management: management_address(file.management.as_deref())?,
         })
@@ -70,18 +70,18 @@
 /// precedence: the file may have been replaced since startup, and the environment of a process cannot be.
 fn discovery_address(in_file: Option<&str>, mode: LoadMode) -> Result<SocketAddr, ConfigError> {
     match (mode, in_file) {
-        (LoadMode::Reload, Some(text)) => parse_address(DISCOVERY.key, text),
-        _ => resolve_address(DISCOVERY, in_file),
+        (LoadMode::Reload, Some(text)) => parse_address(DISCOVERY_ADDRESS.key, text),
+        _ => resolve_address(DISCOVERY_ADDRESS, in_file),
     }
 }
 
 /// Returns the address for management calls, if there is one. An empty text counts as absent.
 fn management_address(in_file: Option<&str>) -> Result<Option<SocketAddr>, ConfigError> {
-    let in_environment = read_variable(MANAGEMENT.variable).ok().filter(|text| !text.is_empty());
+    let in_environment = read_variable(MANAGEMENT_ADDRESS.variable).ok().filter(|text| !text.is_empty());
     let in_file = in_file.filter(|text| !text.is_empty());
     match (in_environment, in_file) {
-        (Some(text), _) => parse_address(MANAGEMENT.variable, &text).map(Some),
-        (None, Some(text)) => parse_address(MANAGEMENT.key, text).map(Some),
+        (Some(text), _) => parse_address(MANAGEMENT_ADDRESS.variable, &text).map(Some),
+        (None, Some(text)) => parse_address(MANAGEMENT_ADDRESS.key, text).map(Some),
         (None, None) => Ok(None),
     }
 }
--- a/crates/balancer-proxy/src/control/config/file.rs
+++ b/crates/balancer-proxy/src/control/config/file.rs
@@ -50,7 +50,7 @@
 /// [`ConfigError::InvalidValue`] if the path has no plain file, or the file is too large.
 pub(super) fn read_text(path: &str, mode: LoadMode) -> Result<String, ConfigError> {
     match mode {
-        LoadMode::Startup => fs::read_to_string(path).map_err(|error| unreadable(path, error)),
+        LoadMode::Startup => fs::read_to_string(path).map_err(|error| unreadable_file(path, error)),
         LoadMode::Reload => read_without_blocking(path),
     }
 }
@@ -58,17 +58,17 @@
 /// Reads a file while requests wait: a plain file only, as a pipe or a device may block its reader for any
 /// time, and no more than [`MAX_RELOADED_FILE_BYTES`].
 fn read_without_blocking(path: &str) -> Result<String, ConfigError> {
-    let metadata = fs::metadata(path).map_err(|error| unreadable(path, error))?;
+    let metadata = fs::metadata(path).map_err(|error| unreadable_file(path, error))?;
     if !metadata.is_file() {
         return Err(ConfigError::invalid_value(path, "a plain file", "something else"));
     }
 
-    let file = File::open(path).map_err(|error| unreadable(path, error))?;
+    let file = File::open(path).map_err(|error| unreadable_file(path, error))?;
     let mut text = String::new();
     let length = file
         .take(MAX_RELOADED_FILE_BYTES + 1)
         .read_to_string(&mut text)
-        .map_err(|error| unreadable(path, error))?;
+        .map_err(|error| unreadable_file(path, error))?;
     if length as u64 > MAX_RELOADED_FILE_BYTES {
         let expected = format!("at most {MAX_RELOADED_FILE_BYTES} bytes");
         return Err(ConfigError::invalid_value(path, expected, "more"));
@@ -76,7 +76,7 @@
     Ok(text)
 }
 
-fn unreadable(path: &str, source: io::Error) -> ConfigError {
+fn unreadable_file(path: &str, source: io::Error) -> ConfigError {
     ConfigError::UnreadableFile { path: path.to_string(), source }
 }
 
@@ -91,14 +91,14 @@
 }
 
 fn parse_json_tracking_keys<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, ConfigError> {
-    let invalid = |field: &str, source| ConfigError::InvalidJson {
+    let invalid_json = |field: &str, source| ConfigError::InvalidJson {
         path: path.to_string(),
         field: if field == SERDE_ROOT_PATH { WHOLE_DOCUMENT } else { field }.to_string(),
         source,
     };
     let mut deserializer = serde_json::Deserializer::from_str(text);
     let parsed = serde_path_to_error::deserialize(&mut deserializer)
-        .map_err(|error| invalid(&error.path().to_string(), error.into_inner()))?;
-    deserializer.end().map_err(|error| invalid(SERDE_ROOT_PATH, error))?;
+        .map_err(|error| invalid_json(&error.path().to_string(), error.into_inner()))?;
+    deserializer.end().map_err(|error| invalid_json(SERDE_ROOT_PATH, error))?;
     Ok(parsed)
 }
--- a/crates/balancer-proxy/src/control/config/tests/example.rs
+++ b/crates/balancer-proxy/src/control/config/tests/example.rs
@@ -37,9 +37,9 @@
 
 #[test]
 fn an_unknown_key_of_the_example_is_found() {
-    let planted = json!({"// listen": "", "listne": "", "settings": {"classes": [{"//": "", "nmae": ""}]}});
+    let misspelled = json!({"// listen": "", "listne": "", "settings": {"classes": [{"//": "", "nmae": ""}]}});
 
-    let paths = paths_without_comments("", &planted);
+    let paths = paths_without_comments("", &misspelled);
 
     assert_eq!(Vec::from_iter(paths), ["listne", "settings.classes[].nmae"]);
 }
--- a/crates/balancer-proxy/src/control/config/tests/mod.rs
+++ b/crates/balancer-proxy/src/control/config/tests/mod.rs
@@ -11,7 +11,7 @@
 use balancer::ZoneId;
 use balancer_settings::defaults;
 use balancer_settings::keys::{keys_of, settings_keys};
-use page::{OR_NULL, Row, TEXT_TYPES, page, rows};
+use page::{OR_NULL, Row, TEXT_TYPES, parse_rows, read_page};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::fs;
@@ -20,19 +20,19 @@
 
 /// The paths of all keys that deserialization accepts.
 fn accepted_keys() -> BTreeSet<String> {
-    let below = |path: &str, keys: &[&str]| -> Vec<String> {
+    let with_prefix = |path: &str, keys: &[&str]| -> Vec<String> {
         keys.iter().map(|key| format!("{path}{key}")).collect()
     };
     let groups = ["limits", "settings"];
-    let mut keys: BTreeSet<String> = below("", keys_of::<RawConfig>()).into_iter().collect();
+    let mut keys: BTreeSet<String> = with_prefix("", keys_of::<RawConfig>()).into_iter().collect();
     for group in groups {
         assert!(keys.remove(group), "{group}");
     }
     assert_eq!(keys_of::<RawCachedEndpoints>(), ["known"]);
     let lists = keys_of::<RawEndpointList>().iter().filter(|key| **key != "instances");
     keys.extend(lists.map(|key| format!("known.{key}")));
-    keys.extend(below("known.instances[].", keys_of::<RawEndpoint>()));
-    keys.extend(below("limits.", keys_of::<RawLimits>()));
+    keys.extend(with_prefix("known.instances[].", keys_of::<RawEndpoint>()));
+    keys.extend(with_prefix("limits.", keys_of::<RawLimits>()));
     keys.extend(settings_keys().iter().map(|key| format!("settings.{key}")));
     keys
 }
@@ -66,7 +66,7 @@
 fn differences(page: &str) -> Differences {
     let mut accepted = accepted_keys();
     accepted.append(&mut variables_in(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src")));
-    let rows = rows(page);
+    let rows = parse_rows(page);
     let documented: BTreeSet<String> = rows.iter().map(|row| row.name.clone()).collect();
     assert_eq!(documented.len(), rows.len(), "a name has two rows");
     Differences {
@@ -133,16 +133,16 @@
 fn the_page_has_each_variable_and_key_and_no_other() {
     let none = Differences { missing_on_the_page: Vec::new(), unknown_to_the_program: Vec::new() };
 
-    assert_eq!(differences(&page()), none);
+    assert_eq!(differences(&read_page()), none);
 }
 
 #[test]
 fn a_missing_and_an_unknown_key_of_the_page_are_found() {
-    let planted = page()
+    let altered = read_page()
         .replace("| `settings.rules.cold` |", "| `settings.rules.warm` |")
         .replace("| `RELAY_LISTEN` |", "| `RELAY_LISTENER` |");
 
-    let found = differences(&planted);
+    let found = differences(&altered);
 
     assert_eq!(found.missing_on_the_page, ["RELAY_LISTEN", "settings.rules.cold"]);
     assert_eq!(found.unknown_to_the_program, ["RELAY_LISTENER", "settings.rules.warm"]);
@@ -152,7 +152,7 @@
 fn each_key_has_the_type_that_the_page_states_and_is_required_where_the_page_states_so() {
     assert!(is_parsed(&required_keys()));
 
-    for row in rows(&page()).iter().filter(|row| !row.is_variable()) {
+    for row in parse_rows(&read_page()).iter().filter(|row| !row.is_variable()) {
         assert!(has_stated_type(row), "{row:?}");
         assert_eq!(accepts(&row.name, Value::Null), row.accepts_null(), "null: {row:?}");
         assert_eq!(!is_parsed_without(&row.name), row.is_required(), "{row:?}");
@@ -179,8 +179,8 @@
     let seconds = |duration: Duration| duration.as_secs_f64().to_string();
     let defaults = [
         ("seed", translation::DEFAULT_SEED.to_string()),
-        ("limits.sockets", translation::DEFAULT_DESCRIPTORS.to_string()),
-        ("limits.memory_mb", translation::DEFAULT_MEMORY_MB.to_string()),
+        ("limits.sockets", translation::DEFAULT_FILE_DESCRIPTORS.to_string()),
+        ("limits.memory_mb", translation::DEFAULT_MEMORY_MEBIBYTES.to_string()),
         ("settings.caps.connect-timeout", seconds(translation::DEFAULT_CONNECT_TIMEOUT)),
         ("settings.caps.idle-close", seconds(translation::DEFAULT_IDLE_TIMEOUT)),
         ("settings.rules.drain-grace", seconds(translation::DEFAULT_DRAIN_GRACE_PERIOD)),
@@ -198,7 +198,7 @@
         ("settings.classes[].worth", defaults::PRIORITY_WEIGHT.to_string()),
         ("settings.classes[].window", defaults::IDEMPOTENCY_WINDOW.to_string()),
     ];
-    let rows = rows(&page());
+    let rows = parse_rows(&read_page());
 
     for (name, default) in defaults {
         let row = rows.iter().find(|row| row.name == name).unwrap();
--- a/crates/balancer-proxy/src/control/config/tests/page.rs
+++ b/crates/balancer-proxy/src/control/config/tests/page.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 /// Number of cells in a row of the page: name, type, range, default, in force, effect.
-const CELLS: usize = 6;
+const CELLS_PER_ROW: usize = 6;
 /// The types of keys whose value is a string.
 pub(super) const TEXT_TYPES: [&str; 2] = ["text", "address"];
 /// Marks a type of which null is a value.
@@ -42,16 +42,16 @@
 }
 
 /// Returns the text of the page.
-pub(super) fn page() -> String {
+pub(super) fn read_page() -> String {
     fs::read_to_string(repository_path("docs/configuration.md")).unwrap()
 }
 
 /// Returns the rows of all tables whose first cell is a name in backquotes.
-pub(super) fn rows(page: &str) -> Vec<Row> {
+pub(super) fn parse_rows(page: &str) -> Vec<Row> {
     let rows = page.lines().filter(|line| line.starts_with("| `"));
     rows.map(|line| {
         let cells: Vec<_> = line.trim_matches('|').split('|').map(str::trim).collect();
-        assert_eq!(cells.len(), CELLS, "{line}");
+        assert_eq!(cells.len(), CELLS_PER_ROW, "{line}");
         assert!(cells.iter().all(|cell| !cell.is_empty()), "an empty cell: {line}");
         Row {
             name: cells[0].trim_matches('`').to_string(),
--- a/crates/balancer-proxy/src/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -10,9 +10,9 @@
 use std::time::Duration;
 
 /// Memory of the process in mebibytes, if the file states none.
-pub(super) const DEFAULT_MEMORY_MB: f64 = 192.0;
+pub(super) const DEFAULT_MEMORY_MEBIBYTES: f64 = 192.0;
 /// Number of file descriptors of the process, if the file states none.
-pub(super) const DEFAULT_DESCRIPTORS: usize = 1024;
+pub(super) const DEFAULT_FILE_DESCRIPTORS: usize = 1024;
 /// Longest time in which a connection to a backend is established. Backends are near: one that takes longer
 /// is down, and waiting for it would use up the deadline of the request.
 pub(super) const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -52,9 +52,9 @@
 impl RawLimits {
     /// Converts the limits to descriptors and bytes, with defaults for absent limits.
     pub(super) fn into_process_limits(self) -> ProcessLimits {
-        let memory_bytes = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * BYTES_PER_MEBIBYTE;
+        let memory_bytes = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MEBIBYTES) * BYTES_PER_MEBIBYTE;
         ProcessLimits {
-            file_descriptors: self.sockets.unwrap_or(DEFAULT_DESCRIPTORS),
+            file_descriptors: self.sockets.unwrap_or(DEFAULT_FILE_DESCRIPTORS),
             memory_bytes: memory_bytes as usize,
         }
     }
--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -112,13 +112,13 @@
 
     /// Returns the id of a zone that the settings in force name, which stays the same as long as the process
     /// runs.
-    pub fn settings_zone(&self, name: &str) -> ZoneId {
-        self.names.borrow_mut().settings_zone(name)
+    pub fn assign_settings_zone(&self, name: &str) -> ZoneId {
+        self.names.borrow_mut().assign_settings_zone(name)
     }
 
     /// Returns the id of the backend with this name.
     pub fn backend_id(&self, name: &str) -> BackendId {
-        self.names.borrow_mut().id(name)
+        self.names.borrow_mut().backend_id(name)
     }
 
     /// Waits until discovery has responded for the first time.
--- a/crates/balancer-proxy/src/control/discovery/timing/tests.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing/tests.rs
@@ -8,12 +8,12 @@
 const TOLERANCE: Duration = Duration::from_micros(1);
 
 /// The longest duration that jitter may make of this one.
-fn longest(duration: Duration) -> Duration {
+fn longest_with_jitter(duration: Duration) -> Duration {
     duration.mul_f64(1.0 + MAX_JITTER_FRACTION)
 }
 
 /// The shortest duration that jitter may make of this one.
-fn shortest(duration: Duration) -> Duration {
+fn shortest_with_jitter(duration: Duration) -> Duration {
     duration.mul_f64(1.0 - MAX_JITTER_FRACTION)
 }
 
@@ -25,8 +25,8 @@
     let durations: Vec<_> = (0..1000).map(|_| jitter.apply(second)).collect();
 
     let (least, most) = (*durations.iter().min().unwrap(), *durations.iter().max().unwrap());
-    assert!(least >= shortest(second) && least < shortest(second).mul_f64(1.02), "{least:?}");
-    assert!(most <= longest(second) && most > longest(second).mul_f64(0.98), "{most:?}");
+    assert!(least >= shortest_with_jitter(second) && least < shortest_with_jitter(second).mul_f64(1.02), "{least:?}");
+    assert!(most <= longest_with_jitter(second) && most > longest_with_jitter(second).mul_f64(0.98), "{most:?}");
 }
 
 #[test]
@@ -57,12 +57,12 @@
         let interval = next_interval();
 
         let expected = Duration::from_millis(expected_ms);
-        assert!(interval + TOLERANCE >= shortest(expected), "{expected_ms} ms: {interval:?}");
-        assert!(interval <= longest(expected) + TOLERANCE, "{expected_ms} ms: {interval:?}");
+        assert!(interval + TOLERANCE >= shortest_with_jitter(expected), "{expected_ms} ms: {interval:?}");
+        assert!(interval <= longest_with_jitter(expected) + TOLERANCE, "{expected_ms} ms: {interval:?}");
     }
     backoff.reset();
     let interval = backoff.next_call_at(call_start, &jitter) - call_start;
-    assert!(interval <= longest(MIN_BACKOFF) + TOLERANCE, "{interval:?}");
+    assert!(interval <= longest_with_jitter(MIN_BACKOFF) + TOLERANCE, "{interval:?}");
 }
 
 #[test]
@@ -74,17 +74,17 @@
 
     let next_call = backoff.next_call_at(call_start, &jitter);
 
-    assert!(next_call + TOLERANCE >= failed_at + shortest(MIN_BACKOFF));
+    assert!(next_call + TOLERANCE >= failed_at + shortest_with_jitter(MIN_BACKOFF));
 }
 
 #[test]
 fn two_failed_calls_in_a_row_end_within_the_bound_of_the_protocol() {
     let longest_call = |last_call: LastCall| {
         let timing = last_call.next_timing();
-        timing.max_change_wait + longest(timing.response_timeout)
+        timing.max_change_wait + longest_with_jitter(timing.response_timeout)
     };
-    let full_list_call = longest(LastCall::Succeeded.next_timing().response_timeout);
-    let pushed_backoffs = 2 * longest(MIN_BACKOFF);
+    let full_list_call = longest_with_jitter(LastCall::Succeeded.next_timing().response_timeout);
+    let pushed_backoffs = 2 * longest_with_jitter(MIN_BACKOFF);
 
     let after_a_success = longest_call(LastCall::Succeeded) + longest_call(LastCall::Failed);
     let after_failures = 2 * longest_call(LastCall::Failed) + full_list_call;
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -78,11 +78,11 @@
     /// The zones of the settings and of the known backends.
     zones: ZoneNames,
     /// The id of each backend, by its name.
-    ids: HashMap<String, BackendId>,
-    /// All values of `ids`, so that a free id is found without a search through the map.
-    assigned_ids: HashSet<BackendId>,
+    backend_ids: HashMap<String, BackendId>,
+    /// All values of `backend_ids`, so that a free id is found without a search through the map.
+    assigned_backend_ids: HashSet<BackendId>,
     /// The zone of each listed backend.
-    zone_of: HashMap<BackendId, ZoneId>,
+    backend_zones: HashMap<BackendId, ZoneId>,
 }
 
 impl EndpointNames {
@@ -90,9 +90,9 @@
     pub(super) fn new(zones: &[String]) -> Self {
         Self {
             zones: ZoneNames::from_settings(zones),
-            ids: HashMap::new(),
-            assigned_ids: HashSet::new(),
-            zone_of: HashMap::new(),
+            backend_ids: HashMap::new(),
+            assigned_backend_ids: HashSet::new(),
+            backend_zones: HashMap::new(),
         }
     }
 
@@ -102,32 +102,32 @@
     }
 
     /// Returns the id of a zone that the settings in force name. A new zone gets the next id, and keeps that id.
-    pub(super) fn settings_zone(&mut self, name: &str) -> ZoneId {
-        self.zones.id_for_settings(name)
+    pub(super) fn assign_settings_zone(&mut self, name: &str) -> ZoneId {
+        self.zones.assign_for_settings(name)
     }
 
     /// Returns the id of a backend: the hash of its name, or the next free number if another backend has
     /// that id. All proxies thus use the same ids, by which they divide the backends among themselves.
-    pub(super) fn id(&mut self, name: &str) -> BackendId {
-        if let Some(&id) = self.ids.get(name) {
+    pub(super) fn backend_id(&mut self, name: &str) -> BackendId {
+        if let Some(&id) = self.backend_ids.get(name) {
             return id;
         }
         let mut id = BackendId(fnv1a(name));
-        while self.assigned_ids.contains(&id) {
+        while self.assigned_backend_ids.contains(&id) {
             id = BackendId(id.0.wrapping_add(1));
         }
-        self.assigned_ids.insert(id);
-        self.ids.insert(name.to_string(), id);
+        self.assigned_backend_ids.insert(id);
+        self.backend_ids.insert(name.to_string(), id);
         id
     }
 
     /// Releases the ids of all backends that are not in use, and the names of zones that no other backend is
     /// in. A backend that returns gets the same id again, as the id depends on the name.
     pub(super) fn retain_backends(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
-        self.ids.retain(|_, id| is_in_use(*id));
-        self.assigned_ids.retain(|id| is_in_use(*id));
-        self.zone_of.retain(|id, _| is_in_use(*id));
-        let zones_in_use: HashSet<ZoneId> = self.zone_of.values().copied().collect();
+        self.backend_ids.retain(|_, id| is_in_use(*id));
+        self.assigned_backend_ids.retain(|id| is_in_use(*id));
+        self.backend_zones.retain(|id, _| is_in_use(*id));
+        let zones_in_use: HashSet<ZoneId> = self.backend_zones.values().copied().collect();
         self.zones.retain(|zone| zones_in_use.contains(&zone));
     }
 
@@ -139,9 +139,9 @@
     fn translate_endpoint(&mut self, raw: &RawEndpoint, clock: &Clock) -> ListedEndpoint {
         let is_valid_weight = |weight: &f64| weight.is_finite() && *weight >= 0.0;
         let started_at_seconds = raw.started_at_ms / MILLISECONDS_PER_SECOND;
-        let id = self.id(&raw.instance_id);
-        let zone = self.zones.id(&raw.zone);
-        self.zone_of.insert(id, zone);
+        let id = self.backend_id(&raw.instance_id);
+        let zone = self.zones.find_or_assign(&raw.zone);
+        self.backend_zones.insert(id, zone);
         let endpoint = Endpoint {
             id,
             cell: CellId(raw.cell),
--- a/crates/balancer-proxy/src/control/endpoint_list/tests.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list/tests.rs
@@ -16,48 +16,48 @@
 }
 
 #[test]
-fn an_id_is_the_hash_of_the_name() {
+fn the_id_of_a_backend_is_the_hash_of_its_name() {
     // The test vector of the authors of the hash.
-    assert_eq!(empty_names().id("foobar"), BackendId(0xbf9c_f968));
+    assert_eq!(empty_names().backend_id("foobar"), BackendId(0xbf9c_f968));
 }
 
 #[test]
 fn names_with_the_same_hash_get_consecutive_ids() {
     let mut names = empty_names();
 
-    let ids = COLLIDING_NAMES.map(|name| names.id(name));
+    let ids = COLLIDING_NAMES.map(|name| names.backend_id(name));
 
     assert_eq!(ids[1].0, ids[0].0 + 1);
-    assert_eq!(COLLIDING_NAMES.map(|name| names.id(name)), ids);
+    assert_eq!(COLLIDING_NAMES.map(|name| names.backend_id(name)), ids);
 }
 
 #[test]
 fn a_released_id_is_free_for_another_name() {
     let mut names = empty_names();
-    let id = names.id(COLLIDING_NAMES[0]);
+    let id = names.backend_id(COLLIDING_NAMES[0]);
 
     names.retain_backends(|_| false);
 
-    assert_eq!(names.id(COLLIDING_NAMES[1]), id);
+    assert_eq!(names.backend_id(COLLIDING_NAMES[1]), id);
 }
 
 #[test]
-fn an_id_in_use_is_retained() {
+fn the_id_of_a_backend_in_use_is_retained() {
     let mut names = empty_names();
-    let ids = COLLIDING_NAMES.map(|name| names.id(name));
+    let ids = COLLIDING_NAMES.map(|name| names.backend_id(name));
 
     names.retain_backends(|id| id == ids[1]);
 
-    assert_eq!(names.id(COLLIDING_NAMES[1]), ids[1]);
+    assert_eq!(names.backend_id(COLLIDING_NAMES[1]), ids[1]);
 }
 
 #[test]
 fn zones_keep_the_ids_of_the_settings_and_new_zones_follow() {
     let mut names = EndpointNames::new(&["east".to_string(), "west".to_string()]);
 
-    assert_eq!(names.settings_zone("north"), ZoneId(2));
-    assert_eq!(names.settings_zone("west"), ZoneId(1));
-    assert_eq!(names.settings_zone("north"), ZoneId(2));
+    assert_eq!(names.assign_settings_zone("north"), ZoneId(2));
+    assert_eq!(names.assign_settings_zone("west"), ZoneId(1));
+    assert_eq!(names.assign_settings_zone("north"), ZoneId(2));
 }
 
 /// Returns the zone of one backend as a list gives it.
@@ -71,7 +71,7 @@
 
 /// The names of zones were kept for as long as the process ran, however many discovery or rejected settings named.
 #[test]
-fn forgets_the_names_of_zones_that_no_backend_in_use_is_in() {
+fn removes_the_zones_without_backends_in_use() {
     let mut names = EndpointNames::new(&["east".to_string()]);
 
     let zones: Vec<String> = (0..100).map(|index| format!("zone-{index}")).collect();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_zone_that_was_forgotten_gets_an_id_that_no_zone_has_had() {
+fn a_removed_zone_that_is_listed_again_gets_an_unused_id() {
     let mut names = empty_names();
     let first = zone_of_listed_backend(&mut names, "east");
     let second = zone_of_listed_backend(&mut names, "west");
@@ -101,7 +101,7 @@
 #[test]
 fn a_zone_that_settings_name_keeps_its_id_without_backends() {
     let mut names = empty_names();
-    let zone = names.settings_zone("east");
+    let zone = names.assign_settings_zone("east");
 
     names.retain_backends(|_| false);
 
--- a/crates/balancer-proxy/src/control/endpoint_list/zone_names.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list/zone_names.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the id of a zone. A new zone gets the next id.
-    pub fn id(&mut self, name: &str) -> ZoneId {
+    pub fn find_or_assign(&mut self, name: &str) -> ZoneId {
         if let Some(id) = self.find(name) {
             return id;
         }
@@ -43,8 +43,8 @@
     }
 
     /// Returns the id of a zone that settings name. The zone is never forgotten.
-    pub fn id_for_settings(&mut self, name: &str) -> ZoneId {
-        let id = self.id(name);
+    pub fn assign_for_settings(&mut self, name: &str) -> ZoneId {
+        let id = self.find_or_assign(name);
         self.named_by_settings.insert(id);
         id
     }
--- a/crates/balancer-proxy/src/control/instance_lock.rs
+++ b/crates/balancer-proxy/src/control/instance_lock.rs
@@ -111,13 +111,13 @@
     /// Returns the path of the Unix socket on which this process may offer its listener. A process without a
     /// lock has none.
     #[must_use]
-    pub fn own_listener_offer(&self) -> Option<PathBuf> {
+    pub fn own_listener_offer_path(&self) -> Option<PathBuf> {
         self.held.as_ref().map(|held| held.listener_offer_path.clone())
     }
 
     /// Returns the paths of the Unix sockets on which other processes offer their listeners.
     #[must_use]
-    pub fn other_listener_offers(&self) -> Vec<PathBuf> {
+    pub fn other_listener_offer_paths(&self) -> Vec<PathBuf> {
         let running = self.other_paths.iter().filter(|path| is_locked(path));
         running.map(|path| state_files::listener_offer_path(path)).collect()
     }
--- a/crates/balancer-proxy/src/control/listener_handover.rs
+++ b/crates/balancer-proxy/src/control/listener_handover.rs
@@ -107,8 +107,8 @@
 fn hand_over(successor: &UnixStream, listener: BorrowedFd<'_>) -> io::Result<()> {
     check_same_user(successor)?;
     let descriptors = [listener];
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+    let mut ancillary_storage = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut ancillary = SendAncillaryBuffer::new(&mut ancillary_storage);
     ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
     let message = [IoSlice::new(&HANDOVER_MESSAGE)];
     sendmsg(successor, &message, &mut ancillary, SendFlags::NOSIGNAL)?;
@@ -119,9 +119,9 @@
 /// no such offer.
 pub async fn receive_listener(offers: &[PathBuf], address: SocketAddr) -> Option<TcpListener> {
     for offer in offers {
-        match tokio::time::timeout(RECEIVE_TIMEOUT, receive(offer, address)).await {
+        match tokio::time::timeout(RECEIVE_TIMEOUT, receive_from_offer(offer, address)).await {
             Ok(Ok(listener)) => return Some(listener),
-            Ok(Err(error)) if is_absent(&error) => {} // an older version, or a process that was killed
+            Ok(Err(error)) if means_no_offer(&error) => {} // an older version, or a process that was killed
             Ok(Err(error)) => log!("handover: {}: {error}", offer.display()),
             Err(_) => log!("handover: {}: no listener within the time limit", offer.display()),
         }
@@ -130,12 +130,12 @@
 }
 
 /// Returns whether an error means that no process offers a listener.
-fn is_absent(error: &io::Error) -> bool {
+fn means_no_offer(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
 }
 
 /// Receives the listener of an offer, and checks that it is one of `address`.
-async fn receive(offer: &Path, address: SocketAddr) -> io::Result<TcpListener> {
+async fn receive_from_offer(offer: &Path, address: SocketAddr) -> io::Result<TcpListener> {
     let predecessor = UnixStream::connect(offer).await?;
     check_same_user(&predecessor)?;
     let listener = loop {
@@ -155,8 +155,8 @@
 /// Receives one descriptor. It is closed when a new program is executed.
 fn receive_descriptor(predecessor: &UnixStream) -> io::Result<OwnedFd> {
     let mut message = HANDOVER_MESSAGE;
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    let mut ancillary_storage = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut ancillary = RecvAncillaryBuffer::new(&mut ancillary_storage);
     let mut buffers = [IoSliceMut::new(&mut message)];
     recvmsg(predecessor, &mut buffers, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?;
     let mut descriptors = ancillary.drain().filter_map(|message| match message {
--- a/crates/balancer-proxy/src/control/maintenance_store.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store.rs
@@ -32,7 +32,7 @@
     /// The record as this process knows it.
     record: RefCell<MaintenanceRecord>,
     /// The version of the file that was read or written last; `None` before that.
-    last_seen: Cell<Option<FileVersion>>,
+    last_file_version: Cell<Option<FileVersion>>,
     /// Whether the record has content that the file lacks.
     has_unsaved_changes: Cell<bool>,
     /// Whether the last write failed. Of several failures in a row only the first is logged, as a poll
@@ -66,7 +66,7 @@
         let store = Self {
             path: state_files::maintenance_record_path(base),
             record: RefCell::default(),
-            last_seen: Cell::new(None),
+            last_file_version: Cell::new(None),
             has_unsaved_changes: Cell::new(false),
             last_write_failed: Cell::new(false),
         };
@@ -93,11 +93,11 @@
     /// Reads the file, if another process has replaced it since it was last read or written.
     pub(super) fn refresh(&self) {
         let current = std::fs::metadata(&self.path).ok().as_ref().map(FileVersion::from);
-        if current.is_some() && current == self.last_seen.get() {
+        if current.is_some() && current == self.last_file_version.get() {
             return;
         }
         if let Ok(saved) = self.load() {
-            self.last_seen.set(current);
+            self.last_file_version.set(current);
             self.merge(saved);
         } else {
             // The record in memory is still valid, and replaces a file that was removed or damaged.
@@ -162,7 +162,7 @@
         std::fs::write(&staging_path, serde_json::to_vec(&*self.record.borrow())?)?;
         let written = FileVersion::from(&std::fs::metadata(&staging_path)?);
         std::fs::rename(&staging_path, &self.path)?;
-        self.last_seen.set(Some(written));
+        self.last_file_version.set(Some(written));
         Ok(())
     }
 
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -75,11 +75,11 @@
 
     /// Returns whether as many connections are open as the limit allows.
     fn is_full(&self) -> bool {
-        self.forget_finished();
+        self.remove_finished();
         self.connections.borrow().len() >= MAX_MANAGEMENT_CONNECTIONS
     }
 
-    fn forget_finished(&self) {
+    fn remove_finished(&self) {
         self.connections.borrow_mut().retain(|connection| !connection.is_finished());
     }
 
@@ -111,11 +111,11 @@
             Call::Status => Err(CallError::NotReady),
             Call::SetMaintenance { backend, state } => {
                 self.maintenance.set_state(&backend, state).await?;
-                let word = match state {
+                let state_word = match state {
                     MaintenanceState::InMaintenance => "out",
                     MaintenanceState::InService => "back",
                 };
-                Ok(format!("OK {backend} is {word}"))
+                Ok(format!("OK {backend} is {state_word}"))
             }
             Call::Stats => Ok(format!("{}\nEND", self.server.metrics_json()?)),
         }
--- a/crates/balancer-proxy/src/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -180,7 +180,7 @@
         if snapshot == *in_force {
             return Ok(false);
         }
-        snapshot.balancer.zone = discovery.settings_zone(&snapshot.proxy.zone);
+        snapshot.balancer.zone = discovery.assign_settings_zone(&snapshot.proxy.zone);
         engine.apply_settings(snapshot);
         discovery.handle_settings_change();
         log!("balancer-proxy: new settings in force{}", version_suffix(&engine.settings()));
--- a/crates/balancer-proxy/src/downstream/client_listener.rs
+++ b/crates/balancer-proxy/src/downstream/client_listener.rs
@@ -37,7 +37,7 @@
         sharing: AddressSharing,
         instance_lock: Option<&InstanceLock>,
     ) -> io::Result<Self> {
-        let offers = instance_lock.map(InstanceLock::other_listener_offers).unwrap_or_default();
+        let offers = instance_lock.map(InstanceLock::other_listener_offer_paths).unwrap_or_default();
         let listener = match receive_listener(&offers, address).await {
             Some(listener) => {
                 log!("balancer-proxy: the running process has handed its listener over");
@@ -61,7 +61,7 @@
     /// Offers the listener to a successor, from now until the listener is closed. Without the offer a successor
     /// binds a listener of its own, and connections that arrive as this one is closed may be reset.
     pub fn offer_to_successor(&mut self, instance_lock: &InstanceLock) {
-        let Some(path) = instance_lock.own_listener_offer() else { return };
+        let Some(path) = instance_lock.own_listener_offer_path() else { return };
         match ListenerOffer::start(path.clone(), &self.listener) {
             Ok(offer) => self.offer = Some(offer),
             Err(error) => log!("handover: {}: {error}", path.display()),
