--- a/crates/balancer-proxy/src/control/config/environment.rs
+++ b/crates/balancer-proxy/src/control/config/environment.rs
@@ -6,11 +6,11 @@
 use super::raw::RawConfig;
 use std::net::SocketAddr;
 
-/// Names the path of the configuration file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_PATH_VARIABLE: &str = "RELAY_CONFIG";
 /// The address for clients.
 const LISTEN_ADDRESS: AddressSource = AddressSource { variable: "RELAY_LISTEN", key: "listen" };
-/// The address of discovery, whose variable counts at startup only.
+/// The address of discovery. The variable has precedence over the file at startup only.
 const DISCOVERY_ADDRESS: AddressSource = AddressSource { variable: "RELAY_DISCOVERY", key: "discovery" };
 /// The address for management calls.
 const MANAGEMENT_ADDRESS: AddressSource = AddressSource { variable: "RELAY_MANAGEMENT", key: "management" };
@@ -42,12 +42,12 @@
 }
 
 impl Addresses {
-    /// Resolves the addresses by the precedence of this load.
+    /// Resolves the addresses with the precedence of `mode`.
     ///
     /// # Errors
     ///
     /// [`ConfigError`] if the address for clients or of discovery is neither in the environment nor in the
-    /// file, or a text is no address.
+    /// file, or if a value is not a valid address.
     pub(super) fn resolve(file: &RawConfig, mode: LoadMode) -> Result<Self, ConfigError> {
         Ok(Self {
             listen: resolve_address(LISTEN_ADDRESS, file.listen.as_deref())?,
@@ -67,7 +67,7 @@
 }
 
 /// Returns the address of discovery. At startup the environment has precedence. On a reload the file has
-/// precedence: the file may have been replaced since startup, and the environment of a process cannot be.
+/// precedence: the file may have been replaced since startup, whereas the environment is fixed at startup.
 fn discovery_address(in_file: Option<&str>, mode: LoadMode) -> Result<SocketAddr, ConfigError> {
     match (mode, in_file) {
         (LoadMode::Reload, Some(text)) => parse_address(DISCOVERY_ADDRESS.key, text),
--- a/crates/balancer-proxy/src/control/config/error.rs
+++ b/crates/balancer-proxy/src/control/config/error.rs
@@ -1,12 +1,12 @@
-//! The faults for which a configuration is rejected.
+//! The errors for which a configuration is rejected.
 
 use crate::settings::VersionError;
 use std::fmt::Display;
 use std::io;
 use thiserror::Error;
 
-/// The fault for which a configuration is rejected. Each message is one line, and names the environment
-/// variable, the file or the key that has the fault.
+/// An error for which a configuration is rejected. Each message is one line, and names the environment
+/// variable, the file or the key with the error.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// A required environment variable is absent or not valid Unicode.
--- a/crates/balancer-proxy/src/control/config/file.rs
+++ b/crates/balancer-proxy/src/control/config/file.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration file: its identity on disk, its text, and its JSON, with errors that name the key.
+//! Reads the configuration file: its identity on disk, its text and its JSON. Errors name the invalid key.
 
 use super::environment;
 use super::error::ConfigError;
@@ -8,17 +8,17 @@
 use std::io::{self, Read};
 use std::os::unix::fs::MetadataExt;
 
-/// Size in bytes of the largest configuration file that a reload reads. Requests wait during a reload, so that
-/// a file of any size would delay them for any time.
+/// Size in bytes of the largest configuration file that a reload reads. Requests wait during a reload, so a
+/// file of unbounded size would delay them without bound.
 const MAX_RELOADED_FILE_BYTES: u64 = 16 << 20;
 
 /// The path that serde reports for an error outside any key.
 const SERDE_ROOT_PATH: &str = ".";
 /// The name of the document in error texts, in place of [`SERDE_ROOT_PATH`].
-const WHOLE_DOCUMENT: &str = "the whole";
+const WHOLE_DOCUMENT: &str = "the whole document";
 
-/// Identity and state of the file at a path. Two stamps differ if another file was moved there in between, or
-/// the file was written to.
+/// Identity and state of the file at a path. Two stamps of a path differ if the file was replaced or written
+/// to in between.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileStamp {
     inode: u64,
@@ -28,7 +28,7 @@
 }
 
 impl FileStamp {
-    /// Returns the stamp of the configuration file at present; `None` if there is no file.
+    /// Returns the current stamp of the configuration file, or `None` if the file doesn't exist.
     #[must_use]
     pub fn of_config_file() -> Option<Self> {
         let path = environment::config_path().ok()?;
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// [`ConfigError::UnreadableFile`] if the file cannot be read or is not UTF-8; on a reload also
-/// [`ConfigError::InvalidValue`] if the path has no plain file, or the file is too large.
+/// [`ConfigError::InvalidValue`] if the path is not a regular file, or the file is too large.
 pub(super) fn read_text(path: &str, mode: LoadMode) -> Result<String, ConfigError> {
     match mode {
         LoadMode::Startup => fs::read_to_string(path).map_err(|error| unreadable_file(path, error)),
@@ -55,12 +55,12 @@
     }
 }
 
-/// Reads a file while requests wait: a plain file only, as a pipe or a device may block its reader for any
-/// time, and no more than [`MAX_RELOADED_FILE_BYTES`].
+/// Reads a file while requests wait. Only a regular file of at most [`MAX_RELOADED_FILE_BYTES`] is read, as a
+/// pipe or a device may block its reader without bound.
 fn read_without_blocking(path: &str) -> Result<String, ConfigError> {
     let metadata = fs::metadata(path).map_err(|error| unreadable_file(path, error))?;
     if !metadata.is_file() {
-        return Err(ConfigError::invalid_value(path, "a plain file", "something else"));
+        return Err(ConfigError::invalid_value(path, "a regular file", "another file type"));
     }
 
     let file = File::open(path).map_err(|error| unreadable_file(path, error))?;
@@ -84,9 +84,9 @@
 ///
 /// # Errors
 ///
-/// [`ConfigError::InvalidJson`] with the path of the key at fault.
+/// [`ConfigError::InvalidJson`] with the path of the invalid key.
 pub(super) fn parse_json<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, ConfigError> {
-    // Tracking the path of the key slows parsing down, so that only a text with a fault is parsed that way.
+    // Tracking the path of the key slows down parsing, so only an invalid text is parsed that way.
     serde_json::from_str(text).or_else(|_| parse_json_tracking_keys(path, text))
 }
 
--- a/crates/balancer-proxy/src/control/config/load_mode.rs
+++ b/crates/balancer-proxy/src/control/config/load_mode.rs
@@ -6,6 +6,6 @@
     /// At startup. The environment has precedence over the file.
     Startup,
     /// While requests are served. The file has precedence for the address of discovery, the size of the file
-    /// is bounded, and values are checked that startup accepts.
+    /// is bounded, and some values that startup accepts are rejected.
     Reload,
 }
--- a/crates/balancer-proxy/src/control/config/mod.rs
+++ b/crates/balancer-proxy/src/control/config/mod.rs
@@ -1,6 +1,6 @@
 //! The configuration of the proxy: environment variables and a JSON file, read at startup and on each reload,
-//! and translated into the types of the proxy and the decision module. Operators read about each key in
-//! `docs/configuration.md`.
+//! and translated into the types of the proxy and the decision module. `docs/configuration.md` documents each
+//! key for operators.
 //!
 //! - `environment`: the `RELAY_*` variables, and the precedence between environment and file
 //! - `file`: the text of the file and its identity on disk
@@ -43,9 +43,9 @@
     pub limits: ProcessLimits,
     /// The endpoint list of the last run; empty on a reload.
     pub cached_endpoints: RawEndpointList,
-    /// The settings, of the decision module and of the proxy.
+    /// The settings of the decision module and of the proxy.
     pub snapshot: SettingsSnapshot,
-    /// Hash of the text of the file, equal in all processes that have read the same text.
+    /// Hash of the text of the file. Processes that have read the same text have the same hash.
     pub file_digest: u64,
 }
 
@@ -54,8 +54,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if a required variable is not set, the file cannot be read or parsed, or a value is out
-    /// of its range.
+    /// [`ConfigError`] if a required variable is not set, the file cannot be read or parsed, or a value is
+    /// out of its range.
     pub fn load(mode: LoadMode) -> Result<Self, ConfigError> {
         let path = environment::config_path()?;
         let text = file::read_text(&path, mode)?;
--- a/crates/balancer-proxy/src/control/config/raw.rs
+++ b/crates/balancer-proxy/src/control/config/raw.rs
@@ -23,8 +23,8 @@
     pub(super) settings: RawSettings,
 }
 
-/// The cached endpoint list in the file. The list is by far the longest part of the file and needed at startup
-/// only, so that a reload skips the list.
+/// The cached endpoint list in the file. The list is by far the longest part of the file and is needed only
+/// at startup, so a reload skips the list.
 #[derive(Deserialize)]
 pub(super) struct RawCachedEndpoints {
     /// The endpoint list of the last run.
--- a/crates/balancer-proxy/src/control/config/tests/example.rs
+++ b/crates/balancer-proxy/src/control/config/tests/example.rs
@@ -1,4 +1,4 @@
-//! The example configuration has no key that the program does not know.
+//! Tests that the program accepts each key of the example configuration.
 
 use super::accepted_keys;
 use super::page::repository_path;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::fs;
 
-/// The paths of all values, except for comments, whose keys begin with `//`.
+/// Returns the paths of all values, except for comments, whose keys begin with `//`.
 fn paths_without_comments(prefix: &str, value: &Value) -> BTreeSet<String> {
     match value {
         Value::Object(entries) => {
@@ -37,9 +37,9 @@
 
 #[test]
 fn an_unknown_key_of_the_example_is_found() {
-    let misspelled = json!({"// listen": "", "listne": "", "settings": {"classes": [{"//": "", "nmae": ""}]}});
+    let misspelt = json!({"// listen": "", "listne": "", "settings": {"classes": [{"//": "", "nmae": ""}]}});
 
-    let paths = paths_without_comments("", &misspelled);
+    let paths = paths_without_comments("", &misspelt);
 
     assert_eq!(Vec::from_iter(paths), ["listne", "settings.classes[].nmae"]);
 }
--- a/crates/balancer-proxy/src/control/config/tests/mod.rs
+++ b/crates/balancer-proxy/src/control/config/tests/mod.rs
@@ -1,5 +1,5 @@
-//! The page `docs/configuration.md` has each environment variable and each key of the configuration file,
-//! with its type and its default, and no other; and each key of the proxy is translated.
+//! Tests that the page `docs/configuration.md` lists exactly the environment variables and the keys of the
+//! configuration file, with their types and defaults, and that each key of the proxy is translated.
 
 mod example;
 mod page;
@@ -18,7 +18,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The paths of all keys that deserialization accepts.
+/// Returns the paths of all keys that deserialization accepts.
 fn accepted_keys() -> BTreeSet<String> {
     let with_prefix = |path: &str, keys: &[&str]| -> Vec<String> {
         keys.iter().map(|key| format!("{path}{key}")).collect()
@@ -37,7 +37,7 @@
     keys
 }
 
-/// The environment variables of the proxy that the sources below a folder name in string literals.
+/// Returns the environment variables of the proxy that occur in string literals below a source folder.
 fn variables_in(folder: &Path) -> BTreeSet<String> {
     let mut variables = BTreeSet::new();
     for entry in fs::read_dir(folder).unwrap() {
@@ -56,7 +56,7 @@
     variables
 }
 
-/// What the page lacks, and what the program does not have.
+/// The differences between the page and the program.
 #[derive(Debug, PartialEq, Eq)]
 struct Differences {
     missing_on_the_page: Vec<String>,
@@ -75,7 +75,7 @@
     }
 }
 
-/// A file with the required keys only.
+/// Returns a file with the required keys only.
 fn required_keys() -> Value {
     let endpoint = json!({"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "SERVING"});
     json!({"known": {"generation": 1, "reset": true, "instances": [endpoint]},
@@ -90,7 +90,7 @@
     config.is_ok() && cached_endpoints.is_ok()
 }
 
-/// The object of the file that has the last key of a path, and that key.
+/// Returns the object of the file that contains the last key of a path, and that key.
 fn parent_of<'a>(file: &'a mut Value, path: &str) -> (&'a mut Value, String) {
     let pointer = format!("/{}", path.replace("[]", ".0").replace('.', "/"));
     let (parent, key) = pointer.rsplit_once('/').unwrap();
@@ -111,12 +111,12 @@
     is_parsed(&file)
 }
 
-/// Whether deserialization accepts the values of the type that the page states, and no others.
+/// Returns whether deserialization accepts the values of the type that the page states, and no others.
 fn has_stated_type(row: &Row) -> bool {
     let accepts = |value: Value| accepts(&row.name, value);
     match row.value_type.strip_suffix(OR_NULL).unwrap_or(&row.value_type) {
         "true or false" => accepts(json!(true)) && !accepts(json!(1)),
-        // A version of another type is read, and counts as none or is rejected later.
+        // Deserialization accepts a version of any type. A later step ignores or rejects an invalid version.
         "whole number" if row.name == "settings.version" => accepts(json!(1)),
         "whole number" => accepts(json!(1)) && !accepts(json!(1.5)) && !accepts(json!(-1)),
         "number" => accepts(json!(1.5)) && accepts(json!(1)) && !accepts(json!("1")),
--- a/crates/balancer-proxy/src/control/config/tests/page.rs
+++ b/crates/balancer-proxy/src/control/config/tests/page.rs
@@ -7,7 +7,7 @@
 const CELLS_PER_ROW: usize = 6;
 /// The types of keys whose value is a string.
 pub(super) const TEXT_TYPES: [&str; 2] = ["text", "address"];
-/// Marks a type of which null is a value.
+/// Suffix of a type that includes null.
 pub(super) const OR_NULL: &str = " or null";
 
 /// A row of the page.
@@ -25,7 +25,7 @@
         self.name.starts_with("RELAY_")
     }
 
-    /// Returns whether null is a value of the key.
+    /// Returns whether the key accepts null.
     pub fn accepts_null(&self) -> bool {
         self.value_type.ends_with(OR_NULL)
     }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Returns a path of the repository.
+/// Returns the path of a file in the repository.
 pub(super) fn repository_path(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path)
 }
--- a/crates/balancer-proxy/src/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -9,19 +9,19 @@
 use balancer_settings::{InvalidQuantity, RawSettings, VALID_QUANTITY};
 use std::time::Duration;
 
-/// Memory of the process in mebibytes, if the file states none.
+/// Default memory limit of the process in mebibytes.
 pub(super) const DEFAULT_MEMORY_MEBIBYTES: f64 = 192.0;
-/// Number of file descriptors of the process, if the file states none.
+/// Default number of file descriptors of the process.
 pub(super) const DEFAULT_FILE_DESCRIPTORS: usize = 1024;
-/// Longest time in which a connection to a backend is established. Backends are near: one that takes longer
-/// is down, and waiting for it would use up the deadline of the request.
+/// Default timeout for connecting to a backend. Backends are nearby: a backend that takes longer is down, and
+/// a longer wait would use up the deadline of the request.
 pub(super) const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which a backend closes an idle connection. Most backends wait longer, so that the proxy gives a
-/// connection up first and sends no request on a connection that is being closed.
+/// Default time after which a backend closes an idle connection. Most backends wait longer, so the proxy
+/// closes the connection first and sends no request on a connection that the backend is closing.
 pub(super) const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Grace period after a notification that a backend is draining; the figure of the simulator's example.
+/// Default grace period after the notification that a backend is draining, as in the simulator's example.
 pub(super) const DEFAULT_DRAIN_GRACE_PERIOD: Duration = Duration::from_secs(1);
-/// Seed of the decision module in hexadecimal digits, if the file states none.
+/// Default seed of the decision module, in hexadecimal digits.
 pub(super) const DEFAULT_SEED: &str = "0";
 
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
@@ -30,10 +30,11 @@
 ///
 /// # Errors
 ///
-/// [`ConfigError::InvalidValue`] if the text is no hexadecimal number of 64 bits.
+/// [`ConfigError::InvalidValue`] if the text is not a 64-bit hexadecimal number.
 pub(super) fn parse_seed(text: Option<&str>) -> Result<u64, ConfigError> {
     let text = text.unwrap_or(DEFAULT_SEED);
-    u64::from_str_radix(text, 16).map_err(|_| ConfigError::invalid_value("seed", "hex digits", text))
+    u64::from_str_radix(text, 16)
+        .map_err(|_| ConfigError::invalid_value("seed", "a 64-bit hexadecimal number", text))
 }
 
 /// Converts seconds to a duration, or returns the default if the seconds are absent.
@@ -46,7 +47,7 @@
         return Ok(default);
     };
     Duration::try_from_secs_f64(seconds)
-        .map_err(|_| ConfigError::invalid_value(field, "seconds, not below 0", seconds))
+        .map_err(|_| ConfigError::invalid_value(field, "a number of seconds not below 0", seconds))
 }
 
 impl RawLimits {
@@ -64,7 +65,7 @@
 ///
 /// # Errors
 ///
-/// [`ConfigError::InvalidValue`] if a time-out of the proxy, or a time of a class, is negative or not finite.
+/// [`ConfigError::InvalidValue`] if a duration of the proxy or of a class is negative or not finite.
 pub(super) fn into_snapshot(mut settings: RawSettings) -> Result<SettingsSnapshot, ConfigError> {
     let zone = zone_id(&mut settings.zones, &settings.zone);
     let proxy = proxy_settings(&settings)?;
@@ -80,7 +81,7 @@
         zones.push(name.to_string());
         zones.len() - 1
     });
-    // Memory ends long before the number of zones exceeds the range.
+    // Memory is exhausted long before the number of zones exceeds the range of `u32`.
     ZoneId(u32::try_from(index).unwrap_or(u32::MAX))
 }
 
--- a/crates/balancer-proxy/src/control/config/validation.rs
+++ b/crates/balancer-proxy/src/control/config/validation.rs
@@ -1,5 +1,5 @@
 //! The checks that only a reload makes. Startup accepts more values, as a proxy that starts has no earlier
-//! settings to go on with.
+//! settings to fall back on.
 
 use super::error::ConfigError;
 use super::raw::RawConfig;
@@ -9,7 +9,7 @@
 use std::collections::HashSet;
 use std::fmt::Display;
 
-/// Checks a quantity that may be absent.
+/// Checks that a quantity is valid or absent.
 fn check_not_negative(field: impl Display, value: Option<f64>) -> Result<(), ConfigError> {
     match value {
         Some(value) if !is_valid_quantity(value) => {
@@ -25,18 +25,18 @@
     for (index, name) in names.enumerate() {
         if !seen.insert(name) {
             let field = format_args!("settings.{list}[{index}].name");
-            return Err(ConfigError::invalid_value(field, "a name of its own", name));
+            return Err(ConfigError::invalid_value(field, "a unique name", name));
         }
     }
     Ok(())
 }
 
 impl RawConfig {
-    /// Checks a file that is read while requests are served.
+    /// Checks a file that a reload has read.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::InvalidValue`] with the first fault found.
+    /// [`ConfigError::InvalidValue`] with the first invalid value.
     pub(super) fn validate_for_reload(&self) -> Result<(), ConfigError> {
         check_identity(&self.settings)?;
         check_not_negative("limits.memory_mb", self.limits.memory_mb)?;
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Checks the quantities that startup accepts unchecked. The time-outs, the grace period, the latency
+/// Checks the quantities that startup accepts unchecked. The timeouts, the grace period, the latency
 /// objectives and the deadlines are checked where they are translated, at startup too.
 fn check_ranges(settings: &RawSettings) -> Result<(), ConfigError> {
     check_not_negative("settings.over-share-worth", settings.over_share_worth)?;
--- a/crates/balancer-proxy/src/control/discovery/client.rs
+++ b/crates/balancer-proxy/src/control/discovery/client.rs
@@ -16,14 +16,14 @@
 /// Largest response body that is accepted, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why a call has failed.
+/// The error of a call.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
     /// The response was not complete before the timeout.
-    #[error("no response in time")]
+    #[error("no response before the timeout")]
     Timeout,
     /// Discovery closed the connection before the response was complete.
-    #[error("the connection ended")]
+    #[error("connection closed before the response was complete")]
     ConnectionClosed,
     /// The connection could not be established.
     #[error("cannot connect: {0}")]
@@ -34,14 +34,14 @@
     /// The response violates HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The response has this status, which does not mean success.
-    #[error("status {0}")]
+    /// The response has this status, which is not a success.
+    #[error("unexpected response status {0}")]
     Status(u16),
-    /// The response body broke off or exceeds [`MAX_LIST_BYTES`].
-    #[error("body: {0}")]
+    /// The response body is incomplete or exceeds [`MAX_LIST_BYTES`].
+    #[error("cannot read the response body: {0}")]
     Body(#[source] Box<dyn StdError + Send + Sync>),
     /// The response body is not an endpoint list.
-    #[error("list: {0}")]
+    #[error("invalid endpoint list: {0}")]
     InvalidList(#[from] serde_json::Error),
 }
 
@@ -94,12 +94,13 @@
         Self { address, idle_connection: None }
     }
 
-    /// Makes one call, for which a connection is established if none is idle.
+    /// Makes one call, on the idle connection or else on a new connection.
     ///
     /// # Errors
     ///
-    /// [`CallError`] if there is no valid list after the wait that the request allows discovery and
-    /// `response_timeout` together, which include connecting.
+    /// [`CallError`] if no valid list arrives before the timeout. The timeout is the sum of
+    /// `response_timeout` and the longest wait for a change that the request allows, and includes
+    /// connecting.
     pub(super) async fn fetch(
         &mut self,
         request: ListRequest,
--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! - `client`: one HTTP call
 //! - `listener`: the trait of the receiver of watch events
-//! - `timing`: timeouts and backoff, and the bound on the age of the list that follows from them
+//! - `timing`: timeouts and backoff, and the resulting bound on the age of the list
 
 mod client;
 mod listener;
@@ -57,8 +57,9 @@
 }
 
 impl Discovery {
-    /// Prepares calls to `address`, the first of which [`Discovery::start`] makes. Zones have the indices
-    /// of `settings`. A `seed` of its own keeps a proxy from calling at the same times as others.
+    /// Creates a watch on the discovery at `address`, which makes no call before [`Discovery::start`]. The
+    /// id of a zone is its position in `settings`. Different seeds keep proxies from calling at the same
+    /// times.
     #[must_use]
     pub fn new(
         address: SocketAddr,
@@ -104,14 +105,14 @@
         self.address.get()
     }
 
-    /// Returns the id of a zone that settings or listed backends have named.
+    /// Returns the id of a zone, or `None` if neither settings nor a known backend has named the zone.
     #[must_use]
     pub fn find_zone(&self, name: &str) -> Option<ZoneId> {
         self.names.borrow().find_zone(name)
     }
 
-    /// Returns the id of a zone that the settings in force name, which stays the same as long as the process
-    /// runs.
+    /// Returns the id of a zone in the settings in force. A new zone gets the next id. The zone keeps its id
+    /// for as long as the process runs.
     pub fn assign_settings_zone(&self, name: &str) -> ZoneId {
         self.names.borrow_mut().assign_settings_zone(name)
     }
@@ -171,9 +172,9 @@
         });
     }
 
-    /// Calls discovery without a pause while calls succeed, as a pause would end the watch on the side of
-    /// discovery. After a failed call the next one follows after a backoff. If the decision module
-    /// schedules the calls, a failed call ends the watch instead, and the module starts the next watch.
+    /// Calls discovery without a pause while calls succeed, as discovery would end the watch during a pause.
+    /// After a failed call, the next call follows after a backoff. If the decision module schedules the
+    /// calls, a failed call ends the watch instead, and the module starts the next watch.
     async fn watch(self: Rc<Self>) {
         let mut client = DiscoveryClient::new(self.address.get());
         let mut backoff = Backoff::new();
@@ -188,8 +189,8 @@
                     }
                 }
                 Err(error) if self.must_poll() => {
-                    // The task is cleared before the module is notified, as the module may start the
-                    // next watch at once, which it could not while a task is set.
+                    // The task is cleared before the decision module is notified, as the module may start
+                    // the next watch immediately, and `start_watch` does nothing while a task is set.
                     *self.watch_task.borrow_mut() = None;
                     self.report_failure(&error);
                     return;
@@ -205,7 +206,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if there is no valid list in time.
+    /// [`CallError`] if no valid list arrives before the timeout.
     async fn watch_call(&self, client: &mut DiscoveryClient) -> Result<RawEndpointList, CallError> {
         let timing = self.last_call.get().next_timing();
         let response_timeout = self.jitter.apply(timing.response_timeout);
@@ -234,7 +235,7 @@
         Duration::try_from_secs_f64(limit_seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Returns whether the full list must be fetched, as there is no list that changes would apply to.
+    /// Returns whether the full list must be fetched because there is no current list to apply changes to.
     fn needs_full_list(&self) -> bool {
         self.list_generation.get().is_none()
     }
@@ -259,7 +260,8 @@
     /// Logs a failed call, and notifies the listener if the decision module schedules the next call. The
     /// current list stays in force.
     fn report_failure(&self, error: &CallError) {
-        log!("discovery: {error}");
+        let address = self.address.get();
+        log!("discovery: call to {address} failed: {error}; the current list stays in force");
         if self.must_poll() {
             self.listener.on_watch_event(WatchEvent::Failed);
         }
--- a/crates/balancer-proxy/src/control/discovery/timing.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing.rs
@@ -2,7 +2,7 @@
 //!
 //! # The bound on the delay of a change
 //!
-//! The protocol deems a proxy notified of a change 6 s after discovery had the change and could be
+//! The protocol counts a proxy as notified of a change 6 s after discovery had the change and could be
 //! reached, whatever failed before. The worst case is a sequence of five steps: a call without a response,
 //! made just before discovery returns; a backoff; a call with half a response; another backoff; and a
 //! call that succeeds.
@@ -17,8 +17,9 @@
 //!
 //! In the next table, "pushed" means that this module schedules the calls, and "polled" that the decision
 //! module schedules the calls, with `POLL_BACKOFF_AFTER_FAILURE` and `POLL_BACKOFF_AFTER_START` of
-//! `crates/balancer/src/decisions/endpoints.rs`. "Generations restart" means that the successful response
-//! shows that discovery has restarted its generation numbers, so that one more call fetches the full list.
+//! `crates/balancer/src/decisions/endpoint_polls.rs`. "Generations restart" means that the successful
+//! response shows that discovery has restarted its generation numbers, so that one more call fetches the
+//! full list.
 //! A new address by SIGHUP has to be in effect within 4 s. The calls to a new address fetch the full list,
 //! for which discovery does not wait, so that such calls fail after 1.25 s and 1.88 s. All times are in
 //! seconds:
@@ -51,7 +52,7 @@
 pub(super) struct CallTiming {
     /// Longest wait of discovery for a change, before it responds without any.
     pub(super) max_change_wait: Duration,
-    /// Longest time for the response beyond that wait, before jitter.
+    /// Longest time for the response in addition to `max_change_wait`, before jitter.
     pub(super) response_timeout: Duration,
 }
 
@@ -89,10 +90,10 @@
 }
 
 /// Largest fraction by which timeouts and backoff are lengthened or shortened. Without jitter, all
-/// proxies of a fleet would call at the same moment after discovery fell silent for all of them.
+/// proxies of a fleet would call at the same time after discovery had stopped responding to all of them.
 const MAX_JITTER_FRACTION: f64 = 0.25;
 
-/// Source of jitter, which differs between proxies with different seeds.
+/// Source of random factors for timeouts and backoff. Proxies with different seeds have different factors.
 pub(super) struct Jitter {
     random: RefCell<SmallRng>,
 }
@@ -119,8 +120,8 @@
 
 /// Exponential backoff between failed calls, where the decision module does not schedule them.
 ///
-/// Intervals start at the start of the failed call, so that a call that took long to fail is followed
-/// by the next one without a further delay. [`MIN_BACKOFF`] passes after each failure in any case.
+/// An interval is measured from the start of the failed call, so that a call that took long to fail is
+/// followed by the next one without a further delay. [`MIN_BACKOFF`] passes after each failure in any case.
 pub(super) struct Backoff {
     /// Interval after the next failure, before jitter, from [`MIN_BACKOFF`] to [`MAX_BACKOFF`].
     interval: Duration,
--- a/crates/balancer-proxy/src/control/discovery/timing/tests.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing/tests.rs
@@ -4,15 +4,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A deviation that rounding of durations may cause.
+/// Largest deviation that the rounding of durations may cause.
 const TOLERANCE: Duration = Duration::from_micros(1);
 
-/// The longest duration that jitter may make of this one.
+/// Returns the longest duration that jitter may produce from `duration`.
 fn longest_with_jitter(duration: Duration) -> Duration {
     duration.mul_f64(1.0 + MAX_JITTER_FRACTION)
 }
 
-/// The shortest duration that jitter may make of this one.
+/// Returns the shortest duration that jitter may produce from `duration`.
 fn shortest_with_jitter(duration: Duration) -> Duration {
     duration.mul_f64(1.0 - MAX_JITTER_FRACTION)
 }
@@ -25,8 +25,9 @@
     let durations: Vec<_> = (0..1000).map(|_| jitter.apply(second)).collect();
 
     let (least, most) = (*durations.iter().min().unwrap(), *durations.iter().max().unwrap());
-    assert!(least >= shortest_with_jitter(second) && least < shortest_with_jitter(second).mul_f64(1.02), "{least:?}");
-    assert!(most <= longest_with_jitter(second) && most > longest_with_jitter(second).mul_f64(0.98), "{most:?}");
+    let (shortest, longest) = (shortest_with_jitter(second), longest_with_jitter(second));
+    assert!(least >= shortest && least < shortest.mul_f64(1.02), "{least:?}");
+    assert!(most <= longest && most > longest.mul_f64(0.98), "{most:?}");
 }
 
 #[test]
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the JSON of discovery, and its translation for the decision module, which has
-//! ids in place of the names of backends and zones.
+//! The JSON format of the endpoint list from discovery, and the translation of the list for the decision
+//! module, which uses ids in place of the names of backends and zones.
 
 mod zone_names;
 
@@ -11,8 +11,9 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Parameters of the 32-bit FNV-1a hash (Fowler, Noll and Vo).
+/// The initial value of the 32-bit FNV-1a hash (Fowler, Noll and Vo).
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+/// The multiplier of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
@@ -25,7 +26,7 @@
 pub struct RawEndpointList {
     /// Number of the list, which increases with each change.
     pub(super) generation: u64,
-    /// Whether the list is complete, so that endpoints that it does not have are gone.
+    /// Whether the list is complete, so that an endpoint that the list lacks is gone.
     pub(super) reset: bool,
     /// All endpoints if the list is complete, or else the endpoints that have changed.
     pub(super) instances: Vec<RawEndpoint>,
@@ -45,9 +46,9 @@
     /// Number of the cell of the backend.
     #[serde(default)]
     cell: u32,
-    /// Whether the backend takes new requests.
+    /// Whether the backend accepts new requests.
     lifecycle: RawLifecycle,
-    /// Weight by which load is divided among the backends; not below 0.
+    /// Relative share of the load that the backend receives; not negative.
     weight: Option<f64>,
     /// Unix time of the start of the backend, in milliseconds; 0 if the backend started long ago.
     #[serde(default)]
@@ -72,21 +73,21 @@
     }
 }
 
-/// The ids of backends and zones in this process, by their names.
+/// Maps the names of backends and zones to their ids in this process.
 #[derive(Debug)]
 pub(super) struct EndpointNames {
     /// The zones of the settings and of the known backends.
     zones: ZoneNames,
     /// The id of each backend, by its name.
     backend_ids: HashMap<String, BackendId>,
-    /// All values of `backend_ids`, so that a free id is found without a search through the map.
+    /// All values of `backend_ids`, for a fast check whether an id is free.
     assigned_backend_ids: HashSet<BackendId>,
     /// The zone of each listed backend.
     backend_zones: HashMap<BackendId, ZoneId>,
 }
 
 impl EndpointNames {
-    /// Creates a table with these zones of the settings and no backends.
+    /// Creates a table with the zones of the settings and without backends.
     pub(super) fn new(zones: &[String]) -> Self {
         Self {
             zones: ZoneNames::from_settings(zones),
@@ -96,18 +97,19 @@
         }
     }
 
-    /// Returns the id of a zone that settings or backends in use have named.
+    /// Returns the id of a zone, or `None` if neither settings nor a backend in use has named the zone.
     pub(super) fn find_zone(&self, name: &str) -> Option<ZoneId> {
         self.zones.find(name)
     }
 
-    /// Returns the id of a zone that the settings in force name. A new zone gets the next id, and keeps that id.
+    /// Returns the id of a zone in the settings in force. A new zone gets the next id. The zone keeps its id
+    /// for as long as the process runs.
     pub(super) fn assign_settings_zone(&mut self, name: &str) -> ZoneId {
         self.zones.assign_for_settings(name)
     }
 
     /// Returns the id of a backend: the hash of its name, or the next free number if another backend has
-    /// that id. All proxies thus use the same ids, by which they divide the backends among themselves.
+    /// that id. Proxies thus use the same ids, which they need to divide the backends among themselves.
     pub(super) fn backend_id(&mut self, name: &str) -> BackendId {
         if let Some(&id) = self.backend_ids.get(name) {
             return id;
@@ -121,8 +123,8 @@
         id
     }
 
-    /// Releases the ids of all backends that are not in use, and the names of zones that no other backend is
-    /// in. A backend that returns gets the same id again, as the id depends on the name.
+    /// Releases the ids of all backends that are not in use, and of all zones that have no backend in use and
+    /// are in no settings. A backend that is listed again gets the same id, as the id depends on the name.
     pub(super) fn retain_backends(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
         self.backend_ids.retain(|_, id| is_in_use(*id));
         self.assigned_backend_ids.retain(|id| is_in_use(*id));
@@ -131,7 +133,7 @@
         self.zones.retain(|zone| zones_in_use.contains(&zone));
     }
 
-    /// Translates endpoints. Their start times become times of `clock`.
+    /// Translates endpoints, and converts their start times to times of `clock`.
     pub(super) fn translate(&mut self, raw: Vec<RawEndpoint>, clock: &Clock) -> Vec<ListedEndpoint> {
         raw.into_iter().map(|raw| self.translate_endpoint(&raw, clock)).collect()
     }
--- a/crates/balancer-proxy/src/control/endpoint_list/tests.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the names of endpoints, and of the translation of lists.
+//! Tests of the ids of backends and zones, and of the translation of lists.
 
 use super::{DEFAULT_WEIGHT, EndpointNames, RawEndpointList, RawLifecycle, fnv1a};
 use crate::clock::Clock;
@@ -17,7 +17,7 @@
 
 #[test]
 fn the_id_of_a_backend_is_the_hash_of_its_name() {
-    // The test vector of the authors of the hash.
+    // A test vector that the authors of the hash have published.
     assert_eq!(empty_names().backend_id("foobar"), BackendId(0xbf9c_f968));
 }
 
@@ -60,7 +60,7 @@
     assert_eq!(names.assign_settings_zone("north"), ZoneId(2));
 }
 
-/// Returns the zone of one backend as a list gives it.
+/// Translates a list with one backend in `zone`, and returns the id of the zone.
 fn zone_of_listed_backend(names: &mut EndpointNames, zone: &str) -> ZoneId {
     let endpoint =
         r#"{"instanceId": "s-0", "hostPort": "127.0.0.1:80", "lifecycle": "SERVING", "zone": "ZONE"}"#;
@@ -69,7 +69,8 @@
     listed[0].endpoint.zone
 }
 
-/// The names of zones were kept for as long as the process ran, however many discovery or rejected settings named.
+/// Guards against a table of zones that grows without bound: the names of zones from discovery and from
+/// rejected settings used to be kept for as long as the process ran.
 #[test]
 fn removes_the_zones_without_backends_in_use() {
     let mut names = EndpointNames::new(&["east".to_string()]);
--- a/crates/balancer-proxy/src/control/endpoint_list/zone_names.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list/zone_names.rs
@@ -1,21 +1,21 @@
-//! The ids of zones by their names.
+//! The table of zone names and zone ids.
 
 use balancer::ZoneId;
 use std::collections::{HashMap, HashSet};
 
-/// The zones that settings name, and those of known backends. No id is used for two zones, so that an id in a
-/// record of an earlier attempt never stands for another zone.
+/// Maps the names of zones to their ids, for the zones in the settings and the zones of known backends. An
+/// id is never reused for another zone, as a record of an earlier attempt may still contain the id.
 #[derive(Debug)]
 pub(super) struct ZoneNames {
     ids: HashMap<String, ZoneId>,
-    /// The zones that settings name, which are never forgotten.
+    /// The ids of zones that have been in the settings, which are never removed.
     named_by_settings: HashSet<ZoneId>,
     /// The id of the next new zone.
     next_id: ZoneId,
 }
 
 impl ZoneNames {
-    /// Creates a table of the zones that settings name. The id of a zone is its position.
+    /// Creates a table of zones in the settings. The id of a zone is its position in `names`.
     pub fn from_settings(names: &[String]) -> Self {
         let mut ids = HashMap::new();
         for (index, name) in (0..).zip(names) {
@@ -26,7 +26,7 @@
         Self { ids, named_by_settings, next_id }
     }
 
-    /// Returns the id of a zone that is known.
+    /// Returns the id of a zone, or `None` if the table does not contain the zone.
     pub fn find(&self, name: &str) -> Option<ZoneId> {
         self.ids.get(name).copied()
     }
@@ -42,14 +42,14 @@
         id
     }
 
-    /// Returns the id of a zone that settings name. The zone is never forgotten.
+    /// Returns the id of a zone in the settings. A new zone gets the next id. The zone is never removed.
     pub fn assign_for_settings(&mut self, name: &str) -> ZoneId {
         let id = self.find_or_assign(name);
         self.named_by_settings.insert(id);
         id
     }
 
-    /// Forgets the zones that neither settings name nor any backend in use is in.
+    /// Removes the zones that are not in use and have never been in the settings.
     pub fn retain(&mut self, is_in_use: impl Fn(ZoneId) -> bool) {
         let Self { ids, named_by_settings, .. } = self;
         ids.retain(|_, id| named_by_settings.contains(id) || is_in_use(*id));
--- a/crates/balancer-proxy/src/control/instance_lock.rs
+++ b/crates/balancer-proxy/src/control/instance_lock.rs
@@ -1,9 +1,10 @@
 //! The instance lock: detects a second process on the same listen address during an upgrade.
 //!
-//! Each process holds an advisory lock on one of two files. The operating system releases it however
-//! the process ends, so that files left behind by a killed process have no effect. The settings that a
-//! process uses are published in a file next to its lock file and count only while the lock is held.
-//! The files are shared with other versions of the program: see [`state_files`].
+//! Each process holds an advisory lock on one of two files. The operating system releases the lock when
+//! the process ends for any reason, so that files left behind by a killed process have no effect. A
+//! process publishes the fingerprint of its settings in a file next to its lock file. The fingerprint is
+//! valid only while the lock is held. Other versions of the program use the same files: see
+//! [`state_files`].
 
 use super::state_files::{self, LISTENING_MARK};
 use crate::limits::OtherProcess;
@@ -13,14 +14,14 @@
 use std::time::Duration;
 
 /// Number of attempts to acquire a lock before a process runs without a lock. A single attempt is not
-/// enough: a process that checks for others locks the file for a moment, and the attempt then fails.
+/// enough, as it fails while another process locks the file briefly to check for other processes.
 const MAX_ACQUIRE_ATTEMPTS: usize = 20;
 /// Pause between two attempts to acquire a lock.
 const ACQUIRE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The lock of this process, held until it is dropped, and a view of the other process.
+/// The lock of this process, which is held until it is dropped, and the lock files of other processes.
 pub struct InstanceLock {
-    /// The lock of this process. `None` if two other processes hold both locks, as a third process runs
+    /// The lock of this process. `None` if two other processes hold both locks: a third process runs
     /// without a lock.
     held: Option<HeldLock>,
     /// The lock files that other processes may hold: one, or both if `held` is `None`.
@@ -38,8 +39,8 @@
 }
 
 impl InstanceLock {
-    /// Acquires a free lock of the two whose paths start with `base`. If other processes keep both, the
-    /// returned value holds no lock and detects both processes.
+    /// Acquires one of the two locks whose paths start with `base`. If other processes hold both locks, the
+    /// returned value holds no lock, and still detects both processes.
     ///
     /// # Errors
     ///
@@ -65,8 +66,8 @@
         Ok(None)
     }
 
-    /// Announces to other processes that this one accepts connections. A process without a lock
-    /// announces nothing.
+    /// Announces to other processes that this process accepts connections. Does nothing in a process
+    /// without a lock.
     ///
     /// # Errors
     ///
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Publishes the fingerprint of the file in force to other processes. A process without a lock
-    /// publishes nothing.
+    /// Publishes the fingerprint of the configuration file in force to other processes. Does nothing in a
+    /// process without a lock.
     ///
     /// # Errors
     ///
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Returns whether another process runs and has published another fingerprint than this one. A
-    /// partly written fingerprint counts as another one.
+    /// Returns whether another process runs and has published a fingerprint that differs from
+    /// `fingerprint`. A partly written fingerprint counts as different.
     #[must_use]
     pub fn other_settings_differ(&self, fingerprint: &str) -> bool {
         self.other_paths.iter().any(|path| publishes_other_settings(path, fingerprint) && is_locked(path))
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Returns the path of the Unix socket on which this process may offer its listener. A process without a
-    /// lock has none.
+    /// Returns the path of the Unix socket on which this process may offer its listener, or `None` in a
+    /// process without a lock.
     #[must_use]
     pub fn own_listener_offer_path(&self) -> Option<PathBuf> {
         self.held.as_ref().map(|held| held.listener_offer_path.clone())
@@ -131,7 +132,7 @@
 
 impl HeldLock {
     /// Locks the file at `path`, unless another process holds the lock, and clears the listening mark
-    /// and the fingerprint of the last holder.
+    /// and the fingerprint of the previous holder.
     fn try_acquire(path: &Path) -> io::Result<Option<Self>> {
         let file = open_lock_file(path)?;
         match file.try_lock() {
@@ -161,7 +162,8 @@
     std::fs::read_to_string(path).is_ok_and(|text| text == LISTENING_MARK)
 }
 
-/// Returns whether the published fingerprint is neither empty nor `fingerprint`.
+/// Returns whether the holder of the lock has published a fingerprint other than `fingerprint`. An empty file
+/// counts as no fingerprint.
 fn publishes_other_settings(path: &Path, fingerprint: &str) -> bool {
     std::fs::read_to_string(state_files::published_settings_path(path))
         .is_ok_and(|published| !published.is_empty() && published != fingerprint)
--- a/crates/balancer-proxy/src/control/listener_handover.rs
+++ b/crates/balancer-proxy/src/control/listener_handover.rs
@@ -1,11 +1,12 @@
 //! Handover of the listener for clients from a running process to its successor.
 //!
-//! Two sockets with SO_REUSEPORT have a queue each, and the system resets what waits in a queue whose socket is
-//! closed. A process therefore offers its listening socket on a Unix socket among the state files, and a
-//! successor that gets the descriptor accepts from the same queue. The socket is closed once the last process
-//! that has a descriptor ends, however that process ends, and until then a connection that waits is accepted.
+//! Two sockets with SO_REUSEPORT have separate accept queues, and the operating system resets the
+//! connections in the queue of a socket that is closed. A process therefore offers a descriptor of its
+//! listening socket on a Unix socket among the state files. A successor that receives the descriptor accepts
+//! from the same queue. The queue is closed only when the last process with a descriptor has closed it or
+//! has ended for any reason. Until then the waiting connections can be accepted.
 //!
-//! The handover is an offer: a successor that gets no descriptor binds a socket of its own, as versions
+//! The handover is optional: a successor that receives no descriptor binds a socket of its own, as versions
 //! without the handover do.
 
 use crate::log;
@@ -27,34 +28,35 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::task::JoinHandle;
 
-/// Longest time that a successor waits for the descriptor, before it binds a socket of its own.
+/// Longest time that a successor waits for the descriptor from one offer.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause after a successor's connection could not be accepted.
+/// Pause after a failed `accept` on the Unix socket, as the next one may fail immediately, too.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 /// Permissions of the Unix socket: only processes of the same user may connect.
 const OFFER_PERMISSIONS: u32 = 0o600;
-/// Number of connections of successors that the system holds until they are accepted.
+/// Largest number of connections from successors that wait to be accepted.
 const OFFER_BACKLOG: i32 = 16;
 /// The message that carries the descriptor.
 const HANDOVER_MESSAGE: [u8; 1] = *b"L";
 
-/// The offer of a process to hand its listener over, for as long as the value exists.
+/// The offer of this process to hand over its listener. Dropping the value withdraws the offer.
 pub struct ListenerOffer {
     path: PathBuf,
     task: JoinHandle<()>,
-    /// Owned here and not by the task, which ends only when the runtime runs again: the listener has to be closed
-    /// with the offer, as nobody accepts the connections that still arrive.
+    /// The descriptor that is offered. The task has a weak reference only, as an aborted task is dropped only
+    /// when the runtime runs again. The descriptor must be closed together with the offer, as this process
+    /// accepts no connections that arrive later.
     _listener: Rc<OwnedFd>,
 }
 
 impl ListenerOffer {
-    /// Offers the listener on a Unix socket at `path`. What is at that path, such as the socket of a process
-    /// that was killed, is replaced.
+    /// Offers the listener on a Unix socket at `path`. An existing file at that path, such as the socket of a
+    /// killed process, is replaced.
     ///
     /// # Errors
     ///
-    /// Fails if the listener has no descriptor left, or if the socket can't be created, for example because the
-    /// path is too long for the address of a socket.
+    /// Fails if the descriptor of the listener can't be duplicated, or if the Unix socket can't be created,
+    /// for example because the path is too long for a socket address.
     pub fn start(path: PathBuf, listener: &impl AsFd) -> io::Result<Self> {
         let listener = Rc::new(listener.as_fd().try_clone_to_owned()?);
         let offer = bind_offer(&path)?;
@@ -66,11 +68,13 @@
 impl Drop for ListenerOffer {
     fn drop(&mut self) {
         self.task.abort();
-        let _ = std::fs::remove_file(&self.path); // a successor copes with a socket that is left
+        // A successor treats a socket file that remains as no offer, and binds a socket of its own.
+        let _ = std::fs::remove_file(&self.path);
     }
 }
 
-/// Binds the Unix socket of an offer. No other user can connect at any time.
+/// Binds the Unix socket of an offer. The permissions are set before the socket accepts connections, so that
+/// other users can never connect.
 fn bind_offer(path: &Path) -> io::Result<UnixListener> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -84,26 +88,26 @@
     UnixListener::from_std(socket.into())
 }
 
-/// Hands a descriptor of the listener to each process that connects, until the listener is closed.
+/// Sends a descriptor of the listener to each process that connects. Returns once the offer has ended.
 async fn hand_over_to_successors(offer: UnixListener, listener: Weak<OwnedFd>) {
     loop {
         match offer.accept().await {
             Ok((successor, _)) => {
                 let Some(listener) = listener.upgrade() else { return };
                 if let Err(error) = hand_over(&successor, listener.as_fd()) {
-                    log!("handover: the listener could not be handed over: {error}");
+                    log!("handover: cannot send the listener to a successor: {error}");
                 }
             }
             Err(error) => {
-                log!("handover: accept: {error}");
+                log!("handover: cannot accept the connection of a successor: {error}; retrying");
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-/// Sends a descriptor of the listener to a successor. The message is small enough for the buffer of a new
-/// connection, so that the send does not wait for the successor.
+/// Sends a descriptor of the listener to a successor. The message fits into the send buffer of a new
+/// connection, so that sending never waits for the successor.
 fn hand_over(successor: &UnixStream, listener: BorrowedFd<'_>) -> io::Result<()> {
     check_same_user(successor)?;
     let descriptors = [listener];
@@ -115,15 +119,16 @@
     Ok(())
 }
 
-/// Returns the listener of the first of these offers that hands over a listener of `address`. None if there is
-/// no such offer.
+/// Returns the listener from the first offer that hands over a listener on `address`, or `None` if no offer
+/// does.
 pub async fn receive_listener(offers: &[PathBuf], address: SocketAddr) -> Option<TcpListener> {
     for offer in offers {
         match tokio::time::timeout(RECEIVE_TIMEOUT, receive_from_offer(offer, address)).await {
             Ok(Ok(listener)) => return Some(listener),
-            Ok(Err(error)) if means_no_offer(&error) => {} // an older version, or a process that was killed
-            Ok(Err(error)) => log!("handover: {}: {error}", offer.display()),
-            Err(_) => log!("handover: {}: no listener within the time limit", offer.display()),
+            // The other process has a version without the handover, or was killed.
+            Ok(Err(error)) if means_no_offer(&error) => {}
+            Ok(Err(error)) => log!("handover: cannot receive the listener from {}: {error}", offer.display()),
+            Err(_) => log!("handover: no listener received from {} before the timeout", offer.display()),
         }
     }
     None
@@ -134,7 +139,7 @@
     matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused)
 }
 
-/// Receives the listener of an offer, and checks that it is one of `address`.
+/// Receives the listener of an offer, and checks that the listener is bound to `address`.
 async fn receive_from_offer(offer: &Path, address: SocketAddr) -> io::Result<TcpListener> {
     let predecessor = UnixStream::connect(offer).await?;
     check_same_user(&predecessor)?;
@@ -147,12 +152,12 @@
     };
     let is_listener = SockRef::from(&listener).is_listener()?;
     if !is_listener || listener.local_addr()? != address {
-        return Err(io::Error::other("the descriptor is no listener of the address"));
+        return Err(io::Error::other("the received descriptor is not a listener on the listen address"));
     }
     Ok(listener)
 }
 
-/// Receives one descriptor. It is closed when a new program is executed.
+/// Receives one descriptor, and sets its close-on-exec flag.
 fn receive_descriptor(predecessor: &UnixStream) -> io::Result<OwnedFd> {
     let mut message = HANDOVER_MESSAGE;
     let mut ancillary_storage = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -167,7 +172,7 @@
     descriptor.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))
 }
 
-/// Checks that the other process belongs to the user of this one.
+/// Checks that the other process runs as the same user as this process.
 fn check_same_user(stream: &UnixStream) -> io::Result<()> {
     let own = rustix::process::geteuid().as_raw();
     if stream.peer_cred()?.uid() == own {
--- a/crates/balancer-proxy/src/control/maintenance.rs
+++ b/crates/balancer-proxy/src/control/maintenance.rs
@@ -26,16 +26,17 @@
     store: Rc<MaintenanceStore>,
     discovery: Rc<Discovery>,
     engine: Rc<Engine>,
-    /// Ids of the backends that the engine has in maintenance, as it was notified last.
+    /// Ids of the backends in maintenance as of the last notification of the engine.
     applied: RefCell<BTreeSet<String>>,
 }
 
 impl Maintenance {
-    /// Notifies the engine of the backends in maintenance now, and of each change from then on.
+    /// Notifies the engine of the backends in maintenance, and spawns a task that notifies the engine of each
+    /// later change.
     ///
     /// # Panics
     ///
-    /// Panics outside of a [`tokio::task::LocalSet`], on which the store is polled.
+    /// Panics outside of a [`tokio::task::LocalSet`], on which the task is spawned.
     pub fn start(store: Rc<MaintenanceStore>, discovery: Rc<Discovery>, engine: Rc<Engine>) -> Rc<Self> {
         let maintenance = Rc::new(Self { store, discovery, engine, applied: RefCell::default() });
         maintenance.notify_engine();
@@ -48,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// [`NeverListed`] if discovery has listed the backend to no process of this address.
+    /// [`NeverListed`] if discovery has never listed the backend to any process on this address.
     pub async fn set_state(&self, backend: &str, state: MaintenanceState) -> Result<(), NeverListed> {
         self.store.refresh();
         if !self.store.record().ever_listed.contains(backend) {
@@ -59,7 +60,7 @@
         Ok(())
     }
 
-    /// Reads changes by another process and saves changes by this one, for as long as the process runs.
+    /// Periodically reads changes by another process and saves changes by this process. Never returns.
     async fn poll_store(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STORE_POLL_INTERVAL).await;
--- a/crates/balancer-proxy/src/control/maintenance_record.rs
+++ b/crates/balancer-proxy/src/control/maintenance_record.rs
@@ -14,8 +14,8 @@
 
 /// The content of the maintenance store, saved as JSON.
 ///
-/// Processes of other versions read and write the same file, so the keys `listed` and `out` stay (see
-/// [`state_files`](super::state_files)).
+/// Processes of other versions read and write the same file, so the keys `listed` and `out` must not change
+/// (see [`state_files`](super::state_files)).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MaintenanceRecord {
     /// Ids of all backends that discovery has ever listed.
--- a/crates/balancer-proxy/src/control/maintenance_store.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store.rs
@@ -1,10 +1,10 @@
-//! The maintenance store: the maintenance record in a file that outlasts a process and is shared by
-//! the processes of one listen address.
+//! The maintenance store: keeps the maintenance record in a file that outlives the process and is shared
+//! by the processes of one listen address.
 //!
-//! The store owns this process's copy of the record. Every change is made under the lock of the file,
-//! on the record that the file has at that time, and replaces the file as a whole. A store that can't
-//! read or write its file works from the copy and saves the copy as soon as the file can be written.
-//! The file is shared with other versions of the program: see [`state_files`].
+//! The store owns the copy of the record in this process. To change the record, the store locks it, reads
+//! the file again, applies the change and replaces the whole file. A store that can't read or write its
+//! file uses the copy, and saves the copy as soon as the file can be written. The file is shared with
+//! other versions of the program: see [`state_files`].
 
 use super::maintenance_record::{MaintenanceRecord, MaintenanceState};
 use super::state_files;
@@ -18,9 +18,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait for the lock of the record, which is held for moments only. After that wait a process
-/// changes the record without the lock, as a holder that is stopped would otherwise keep operators from
-/// maintenance calls to the other process.
+/// Longest wait for the lock of the record, which is usually held only briefly. After this time a process
+/// changes the record without the lock, as a suspended holder would otherwise block the maintenance calls
+/// to the other process.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause between two attempts to acquire the lock of the record.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
@@ -29,18 +29,18 @@
 pub struct MaintenanceStore {
     /// The file of the record.
     path: PathBuf,
-    /// The record as this process knows it.
+    /// The copy of the record in this process.
     record: RefCell<MaintenanceRecord>,
-    /// The version of the file that was read or written last; `None` before that.
+    /// The version of the file that was read or written last; `None` before the first read or write.
     last_file_version: Cell<Option<FileVersion>>,
-    /// Whether the record has content that the file lacks.
+    /// Whether the copy has content that the file lacks.
     has_unsaved_changes: Cell<bool>,
-    /// Whether the last write failed. Of several failures in a row only the first is logged, as a poll
-    /// writes ten times a second.
+    /// Whether the last write failed. Only the first of several consecutive failures is logged, as the poll
+    /// of the store writes ten times a second.
     last_write_failed: Cell<bool>,
 }
 
-/// The identity of a file and of its content, which differs after each replacement of the file.
+/// The identity of a file and its modification time, which together differ after each replacement.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -74,7 +74,7 @@
         Rc::new(store)
     }
 
-    /// Returns the record as this process knows it.
+    /// Returns the copy of the record in this process.
     pub(super) fn record(&self) -> Ref<'_, MaintenanceRecord> {
         self.record.borrow()
     }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Reads the file, if another process has replaced it since it was last read or written.
+    /// Reads the file if another process has replaced it since this store last read or wrote it.
     pub(super) fn refresh(&self) {
         let current = std::fs::metadata(&self.path).ok().as_ref().map(FileVersion::from);
         if current.is_some() && current == self.last_file_version.get() {
@@ -100,7 +100,7 @@
             self.last_file_version.set(current);
             self.merge(saved);
         } else {
-            // The record in memory is still valid, and replaces a file that was removed or damaged.
+            // The copy is still valid, and the next save replaces the missing or malformed file.
             let is_empty = *self.record.borrow() == MaintenanceRecord::default();
             self.has_unsaved_changes.set(!is_empty);
         }
@@ -119,7 +119,7 @@
     }
 
     /// Changes the record in memory and in the file. If the file can't be written, the failure is logged
-    /// and the change holds for this process alone.
+    /// and the change applies to this process only.
     async fn update(&self, change: impl FnOnce(&mut MaintenanceRecord)) {
         let lock = self.lock().await;
         if let Ok(saved) = self.load() {
@@ -137,7 +137,10 @@
         if let Err(error) = result
             && !previous_write_failed
         {
-            log!("maintenance: {}: {error}", self.path.display());
+            log!(
+                "maintenance: cannot write {}: {error}; changes stay in this process until a write succeeds",
+                self.path.display()
+            );
         }
     }
 
@@ -166,8 +169,8 @@
         Ok(())
     }
 
-    /// Waits for the lock of the record and returns the lock file, which holds the lock until it is
-    /// dropped. After [`LOCK_TIMEOUT`] the returned file does not hold the lock.
+    /// Waits for the lock of the record and returns the lock file, which holds the lock until the file is
+    /// dropped. If the wait takes longer than [`LOCK_TIMEOUT`], the returned file does not hold the lock.
     async fn lock(&self) -> io::Result<File> {
         let path = state_files::maintenance_lock_path(&self.path);
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
--- a/crates/balancer-proxy/src/control/maintenance_store/tests.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the copy of the record and its file. Other processes are played by a second store.
+//! Tests of the copy of the record and its file. A second store stands for another process.
 
 use super::MaintenanceStore;
 use crate::control::maintenance_record::{MaintenanceRecord, MaintenanceState};
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A folder of one test, removed when the value is dropped.
+/// A temporary folder for one test, which is removed when the value is dropped.
 struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -1,7 +1,7 @@
-//! The management address: responds to the calls of operators, one for each connection.
+//! The management service: responds to the calls of operators, one call for each connection.
 //!
-//! Every caller gets a response or the end of its connection within twice the call timeout. Callers
-//! that send nothing can't keep others from a response, as the oldest connection is closed at the limit.
+//! A connection gets its response or is closed within twice the call timeout. Callers that send nothing
+//! can't block other callers, as the oldest connection is closed when the connection limit is reached.
 
 use super::maintenance::Maintenance;
 use super::maintenance_record::MaintenanceState;
@@ -18,11 +18,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Largest number of management connections that are open at once. Their descriptors are reserved.
+/// Largest number of management connections that are open at once. As many
+/// file descriptors are reserved.
 pub const MAX_MANAGEMENT_CONNECTIONS: usize = 16;
-/// Longest time until a call has arrived, and again until its response has been read.
+/// Longest time for reading a call, and again for sending the response and reading the end of the input.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after a failed `accept`, which may fail again at once.
+/// Pause after a failed `accept`, as the next one may fail immediately, too.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Serves the management address.
@@ -47,7 +48,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => self.clone().admit(stream).await,
                 Err(error) => {
-                    log!("management: {error}");
+                    log!("management: cannot accept a connection: {error}; retrying");
                     tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
@@ -56,9 +57,9 @@
 
     /// Serves a new connection. At the limit the oldest connection is closed first.
     ///
-    /// Yielding lets the connections whose call has arrived get their response before, so that only
-    /// callers that have sent nothing are closed. The loop waits until a closed connection has released
-    /// its descriptor, as no more descriptors than the limit are reserved.
+    /// The first yield lets connections whose call has arrived get their response, so that only connections
+    /// without a call are closed. The loop waits until the closed connection has released its descriptor,
+    /// as only [`MAX_MANAGEMENT_CONNECTIONS`] descriptors are reserved.
     async fn admit(self: Rc<Self>, stream: TcpStream) {
         tokio::task::yield_now().await;
         while self.is_full() {
@@ -67,7 +68,7 @@
         }
         let this = self.clone();
         let connection = tokio::task::spawn_local(async move {
-            // An error means that the caller has disconnected, so that nobody waits for a response.
+            // An error means that the caller has disconnected or does not read the response.
             let _ = this.serve(stream).await;
         });
         self.connections.borrow_mut().push_back(connection.abort_handle());
@@ -103,8 +104,8 @@
         tokio::time::timeout(CALL_TIMEOUT, write_and_close(stream, &line)).await?
     }
 
-    /// Carries out a call and returns its response. A response begins with `OK`, except for metrics,
-    /// which are sent without as operators' programs expect.
+    /// Carries out a call and returns its response. A response begins with `OK`, except for the metrics, as
+    /// operators' programs expect metrics without `OK`.
     async fn respond(&self, call: Call) -> Result<String, CallError> {
         match call {
             Call::Status if self.server.is_ready() => Ok("OK ready".to_string()),
--- a/crates/balancer-proxy/src/control/management_protocol.rs
+++ b/crates/balancer-proxy/src/control/management_protocol.rs
@@ -26,7 +26,7 @@
     },
 }
 
-/// Why a call fails. The response is `ERR` with the text of the error.
+/// The error of a call. The response to the call is `ERR` with the text of the error.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
     /// The line is not one of the calls.
@@ -41,7 +41,8 @@
     /// The call names a backend that discovery has never listed.
     #[error("{0}")]
     NeverListed(#[from] NeverListed),
-    /// The proxy does not accept requests, or no backend in service has been listed since its start.
+    /// The proxy does not accept requests, or no backend in service has been listed since the
+    /// proxy started.
     #[error("not ready")]
     NotReady,
     /// The metrics could not be serialized.
--- a/crates/balancer-proxy/src/control/management_protocol/tests.rs
+++ b/crates/balancer-proxy/src/control/management_protocol/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the calls and of the texts of their errors.
+//! Tests of the parsing of calls, and of the error texts.
 
 use super::{Call, CallError, MAX_LINE_BYTES};
 use crate::control::maintenance_record::MaintenanceState;
--- a/crates/balancer-proxy/src/control/mod.rs
+++ b/crates/balancer-proxy/src/control/mod.rs
@@ -1,11 +1,11 @@
-//! The control plane: configuration, discovery, maintenance, the management address, and the locks
-//! between two processes of one listen address.
+//! The control plane: configuration, discovery, maintenance, the management address, and the
+//! coordination of two processes on one listen address.
 //!
 //! - `config`, `reload`: the configuration at startup and while the proxy runs
 //! - `discovery`, `endpoint_list`: the watch on the endpoint list
 //! - `management`, `management_protocol`: the calls of operators
 //! - `maintenance`, `maintenance_record`, `maintenance_store`: the backends in maintenance
-//! - `instance_lock`, `listener_handover`, `state_files`: the other process of an upgrade
+//! - `instance_lock`, `listener_handover`, `state_files`: coordination with the other process of an upgrade
 
 pub mod config;
 pub mod discovery;
--- a/crates/balancer-proxy/src/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -1,12 +1,12 @@
 //! Reloads the configuration while the proxy runs.
 //!
-//! The file is read and validated completely before any of it is applied. A valid file is applied in
-//! one turn of the event loop, without an `await` in between, so that no request meets settings of two
-//! files. An invalid file changes nothing.
+//! The file is read and validated completely before any of it is applied. A valid file is applied without
+//! an `await`, so that no request is handled with settings from two files. An invalid file changes
+//! nothing.
 //!
 //! During an upgrade two processes share one listen address, and SIGHUP may reach only one of them.
 //! Each process therefore publishes the fingerprint of the file that it has applied, through its
-//! instance lock. A process that sees another fingerprint there reloads the file without a signal.
+//! instance lock. A process that reads a different fingerprint reloads the file without a signal.
 
 use super::config::{Config, ConfigError, FileStamp, LoadMode};
 use super::discovery::Discovery;
@@ -20,13 +20,13 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Why the configuration file is read again.
+/// The reason for a reload.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReloadTrigger {
     /// SIGHUP has arrived.
     Signal,
-    /// The other process has applied another file, or has ended, perhaps with a signal that was meant
-    /// for both.
+    /// The other process has applied another version of the file, or has ended. A process that has ended
+    /// may have received a SIGHUP that this process needs to act on, too.
     OtherProcess,
 }
 
@@ -36,9 +36,9 @@
     pub server: Rc<Server>,
     /// The engine, which gets new settings.
     pub engine: Rc<Engine>,
-    /// Discovery, which gets a new address and is notified of new settings.
+    /// Discovery, which gets a new address and notifications of new settings.
     pub discovery: Rc<Discovery>,
-    /// The lock that shows another process on the address; `None` in a proxy without a management
+    /// The lock that detects another process on the address; `None` in a proxy without a management
     /// address or usable lock files.
     pub instance_lock: Option<Rc<InstanceLock>>,
 }
@@ -50,7 +50,7 @@
     reserved_descriptors: usize,
     /// The addresses that stay as they are until the next start.
     startup_addresses: StartupAddresses,
-    /// The limits in force, of all processes on the address together.
+    /// The limits in force, for all processes on the address together.
     limits: Cell<ProcessLimits>,
     /// Whether another process ran at the last check.
     other_process: Cell<OtherProcess>,
@@ -117,8 +117,8 @@
         if !has_ended && !instance_lock.other_settings_differ(&self.fingerprint()) {
             return;
         }
-        // Each version of the file is read once: a version that was rejected would be rejected, logged
-        // and counted again at every check.
+        // Each version of the file is read only once, as an invalid version would otherwise be rejected,
+        // logged and counted again at every check.
         if FileStamp::of_config_file() != self.last_read_file.get() {
             self.reload(ReloadTrigger::OtherProcess);
         }
@@ -132,7 +132,8 @@
 
     /// Reads the configuration file and applies it. A rejected file is logged and counted.
     fn reload(&self, trigger: ReloadTrigger) {
-        // The stamp is taken before the file is read, so that a change during the read shows later.
+        // The stamp is taken before the file is read, so that a change during the read is detected
+        // later.
         self.last_read_file.set(FileStamp::of_config_file());
         let result = Config::load(LoadMode::Reload).and_then(|config| self.apply(config, trigger));
         if let Err(error) = result {
@@ -170,8 +171,9 @@
     /// Fails without any change if the settings may not replace those in force.
     fn apply_settings(&self, mut snapshot: SettingsSnapshot) -> Result<bool, ConfigError> {
         let ReloadTargets { engine, discovery, .. } = &self.targets;
-        // A running proxy has its own zone numbers, in the order in which the zones appeared. A zone without a
-        // number is another one than that in force, and gets its number only if these settings do come into force.
+        // A running proxy numbers zones in the order in which they first appeared, so the id in the snapshot
+        // is replaced. A zone without an id differs from the zone in force, and gets an id only once these
+        // settings have been accepted.
         if let Some(zone) = discovery.find_zone(&snapshot.proxy.zone) {
             snapshot.balancer.zone = zone;
         }
@@ -197,8 +199,7 @@
     }
 
     /// Returns the fingerprint of the file that this process has applied. The two processes of an
-    /// upgrade compare fingerprints byte for byte, so that the form must stay the same in all versions
-    /// of the program.
+    /// upgrade compare fingerprints byte for byte, so all versions of the program must use the same format.
     fn fingerprint(&self) -> String {
         let version = version_suffix(&self.targets.engine.settings());
         format!("{:016x}{version}\n", self.applied_digest.get())
@@ -214,8 +215,8 @@
     }
 }
 
-/// Returns the version of the settings as the end of a log line or fingerprint; empty if the settings
-/// have no version.
+/// Returns the suffix of a log line or fingerprint that states the version of the settings. The suffix is
+/// empty if the settings have no version.
 fn version_suffix(snapshot: &SettingsSnapshot) -> String {
     snapshot.proxy.version.map_or_else(String::new, |version| format!(", version {version}"))
 }
--- a/crates/balancer-proxy/src/control/state_files.rs
+++ b/crates/balancer-proxy/src/control/state_files.rs
@@ -3,7 +3,7 @@
 //! During an upgrade a process of the old version and one of the new version run on the same address.
 //! Each finds the other, its settings and the backends in maintenance through these files. Names and
 //! contents are therefore an interface between versions: none of them may change, although some of
-//! them use words that the code itself no longer uses.
+//! them use terms that the code no longer uses.
 //!
 //! | File | Written by | Content |
 //! |---|---|---|
@@ -25,7 +25,7 @@
 /// whole content with this mark.
 pub const LISTENING_MARK: &str = "listening";
 
-/// Start of all file names, which is the former name of the program.
+/// Prefix of all file names, which is the former name of the program.
 const FILE_NAME_PREFIX: &str = "dewpier-";
 const INSTANCE_LOCK_EXTENSIONS: [&str; 2] = ["seat-0", "seat-1"];
 const PUBLISHED_SETTINGS_EXTENSION: &str = "settings";
@@ -34,8 +34,8 @@
 const MAINTENANCE_LOCK_EXTENSION: &str = "lock";
 const MAINTENANCE_STAGING_EXTENSION_PREFIX: &str = "new-";
 
-/// Returns the path that all shared files of a listen address start with, in the temporary folder of
-/// the system.
+/// Returns the common prefix of the paths of all shared files of a listen address. The files are in the
+/// temporary folder of the system.
 #[must_use]
 pub fn base_path(listen: SocketAddr) -> PathBuf {
     std::env::temp_dir().join(format!("{FILE_NAME_PREFIX}{listen}"))
@@ -49,7 +49,7 @@
 }
 
 /// Returns the path of the file in which the holder of a lock file publishes the fingerprint of its
-/// settings. The fingerprint has a file of its own, as other versions compare the whole content of the
+/// settings. The fingerprint has a separate file, as other versions compare the whole content of the
 /// lock file with [`LISTENING_MARK`].
 #[must_use]
 pub fn published_settings_path(instance_lock_path: &Path) -> PathBuf {
--- a/crates/balancer-proxy/src/lib.rs
+++ b/crates/balancer-proxy/src/lib.rs
@@ -1,53 +1,53 @@
-//! An HTTP/1.1 load-balancing proxy: the sockets around the decision module of the crate [`balancer`].
+//! An HTTP/1.1 load-balancing proxy: the network I/O around the decision module of the crate [`balancer`].
 //!
-//! The decision module is a state machine without I/O and without a clock. This crate turns what happens
-//! on sockets into events of that module, and the actions of the module into I/O.
+//! The decision module is a state machine without I/O and without a clock. This crate translates I/O into
+//! events of the decision module, and carries out the actions that the module returns.
 //!
 //! # Layers
 //!
-//! A module imports only modules of its own layer and of the layers below.
+//! A module imports only modules of its own layer and of the layers below it.
 //!
 //! | layer | module | task |
 //! | --- | --- | --- |
-//! | process | [`process`] | starts all parts in their order, handles signals |
-//! | steering | [`control`] | settings reload, management calls, maintenance |
+//! | process | [`process`] | starts all parts in order, handles signals |
+//! | control | [`control`] | settings reload, management calls, maintenance |
 //! | clients | [`downstream`] | accepts connections, reads requests, writes final responses |
 //! | engine | [`engine`] | drives the decision module, owns requests, attempts and timers |
 //! | backends | [`upstream`] | pools connections, sends attempts, reads responses |
-//! | sources | [`control`] | configuration, discovery, instance lock, maintenance store |
+//! | inputs | [`control`] | configuration, discovery, instance lock, maintenance store |
 //!
 //! All layers share [`clock`], [`limits`], [`log_writer`], [`metrics`], [`settings`], [`watch_event`] and
 //! [`stream_error`].
 //!
-//! # The way of a request
+//! # Path of a request
 //!
-//! 1. [`downstream`] accepts a connection if its table has a free slot, reads the head of a request and
-//!    checks it, and buffers the body or, if the body is long, streams it.
-//! 2. [`engine`] gives the request an id and a deadline, and passes it to the decision module as an
-//!    event. The module rejects the request, queues it, or starts an attempt at a backend of its choice.
+//! 1. [`downstream`] accepts a connection if its table has a free slot, reads and checks the head of
+//!    a request, and buffers the body or, if the body is long, streams it.
+//! 2. [`engine`] assigns an id and a deadline to the request, and passes the request to the decision module
+//!    as an event. The module rejects the request, queues it, or chooses a backend and starts an attempt.
 //! 3. [`upstream`] sends the attempt on a pooled connection. Its result is the next event. The module
 //!    then completes the request or starts a retry.
 //! 4. The engine sends the final response over a channel. `downstream` writes the response, and
 //!    [`metrics`] counts its status.
 //!
-//! Each accepted request gets exactly one final response before its deadline, whatever happens to its
-//! backends. A request whose client disconnects gets none, and no further attempt.
+//! Each accepted request gets exactly one final response before its deadline, even if its backends fail.
+//! A request whose client disconnects gets no response and no further attempt.
 //!
-//! # One thread
+//! # Threading
 //!
 //! The proxy runs on a single-threaded runtime, in one [`tokio::task::LocalSet`]. State is shared by
-//! `Rc`, `Cell` and `RefCell`, and no borrow of shared state is held across an `await`. The code between
-//! two `await`s is therefore one turn that no other task can interrupt: a reload, for example, takes
-//! effect in one turn, so that no request meets settings of two files. The price is that a turn that
-//! blocks stops the whole process. Only log lines, which may block, are written by a thread of their own.
+//! `Rc`, `Cell` and `RefCell`, and no borrow of shared state is held across an `await`. No other task can
+//! run between two `await`s: a reload, for example, applies a file without an `await`, so that no request
+//! is handled with settings from two files. A call that blocks, however, stops the whole process. Writing
+//! a log line may block, so a separate thread writes the log.
 //!
 //! # Ownership
 //!
-//! Each state has one owner: the engine owns the open requests, their timers and the settings in force; a
-//! [`ConnectionPool`](upstream::pool::ConnectionPool) owns the connections to one backend;
+//! Each piece of state has one owner: the engine owns the open requests, their timers and the settings in
+//! force; a [`ConnectionPool`](upstream::pool::ConnectionPool) owns the connections to one backend;
 //! [`Discovery`](control::discovery::Discovery) owns the generation of the endpoint list; and a
-//! [`Server`](downstream::server::Server) owns the connections of clients. An obligation that every path
-//! has to meet, such as returning a connection slot or counting an outcome, is met by dropping a value:
+//! [`Server`](downstream::server::Server) owns the connections of clients. A step that every code path has
+//! to take, such as returning a connection slot or counting an outcome, is taken when a value is dropped:
 //!
 //! ```
 //! use balancer_proxy::limits::{Budget, Capacities, OtherProcess, ProcessLimits};
@@ -78,7 +78,7 @@
 pub mod upstream;
 pub mod watch_event;
 
-/// Logs a line to the standard error, without waiting for it to be written; see [`log_writer`].
+/// Logs a line to the standard error without waiting until the line has been written; see [`log_writer`].
 #[macro_export]
 macro_rules! log {
     ($($part:tt)*) => {
--- a/crates/balancer-proxy/src/main.rs
+++ b/crates/balancer-proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! The program `balancer-proxy`: runs the proxy on a single-threaded runtime, and turns a failed start
-//! into a log line and an exit code.
+//! The program `balancer-proxy`: runs the proxy on a single-threaded runtime, and reports a failed start
+//! by a log line and the exit code.
 
 use balancer_proxy::process::{self, StartError};
 use balancer_proxy::{log, log_writer};
@@ -8,7 +8,7 @@
 use tokio::task::LocalSet;
 
 fn main() -> ExitCode {
-    // The hook of the standard library would wait for the log to be read.
+    // The default panic hook blocks while the standard error is a full pipe that nobody reads.
     std::panic::set_hook(Box::new(|panic| log!("balancer-proxy: {panic}")));
     let exit_code = match run_on_new_runtime() {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/balancer-proxy/src/process/management_resources.rs
+++ b/crates/balancer-proxy/src/process/management_resources.rs
@@ -1,4 +1,4 @@
-//! The management address and the state files, which only a proxy with a management address has.
+//! The listener and the state files that only a proxy with a management address has.
 
 use crate::control::instance_lock::InstanceLock;
 use crate::control::maintenance_store::MaintenanceStore;
@@ -14,8 +14,8 @@
 pub(super) struct ManagementResources {
     /// The listener of the management address.
     pub(super) listener: TcpListener,
-    /// The lock that shows a second process on the listen address. `None` if the lock files can't be
-    /// used: the proxy then serves as if it were the only process.
+    /// The lock that detects a second process on the listen address. `None` if the lock files can't be
+    /// used: the proxy then runs as if it were the only process.
     pub(super) instance_lock: Option<Rc<InstanceLock>>,
     /// The store of the backends in maintenance.
     pub(super) maintenance_store: Rc<MaintenanceStore>,
@@ -44,15 +44,18 @@
     }
 }
 
-/// Announces to the other process that this one accepts connections. Without the announcement the other
-/// process would count this one as absent and keep accepting connections.
+/// Announces to the other process that this process accepts connections. Without the announcement the
+/// other process treats this process as absent and keeps accepting connections.
 pub(super) fn announce_listening(instance_lock: &InstanceLock, listen: SocketAddr) {
     if let Err(error) = instance_lock.announce_listening() {
         log_state_file_error(&state_files::base_path(listen), &error);
     }
 }
 
-/// Logs that the files whose paths start with `base` can't be used.
+/// Logs that the instance lock files whose paths start with `base` can't be used.
 fn log_state_file_error(base: &Path, error: &io::Error) {
-    log!("balancer-proxy: {}: {error}", base.display());
+    log!(
+        "balancer-proxy: cannot use lock files {}.*: {error}; two processes may not detect each other",
+        base.display()
+    );
 }
--- a/crates/balancer-proxy/src/process/mod.rs
+++ b/crates/balancer-proxy/src/process/mod.rs
@@ -1,12 +1,12 @@
 //! One process of the proxy, from its start to the end of its graceful shutdown.
 //!
-//! [`run`] starts the parts in the order that they depend on one another: signals, configuration,
+//! [`run`] starts the parts in the order of their dependencies: signals, configuration,
 //! management address, engine and discovery, client listener, reloads. The modules:
 //!
-//! - `error`: why a start fails
+//! - `error`: the errors that prevent a start
 //! - `signals`: the signals that the process handles
 //! - `management_resources`: the management address and the files that two processes share
-//! - `proxy`: the engine, discovery and the server, as they are connected to one another
+//! - `proxy`: the engine, discovery and the server, and the connections between them
 //! - `other_process`: the checks for a second process on the listen address
 //!
 //! A proxy with a management address may be replaced by a second process on the same listen address.
@@ -31,13 +31,15 @@
 use crate::log;
 use std::rc::Rc;
 
-/// Descriptors reserved for the handover of the listener: one of the listener, a Unix socket and a connection.
+/// Number of descriptors reserved for the listener handover: a copy of the listener, a Unix socket and a
+/// connection.
 const HANDOVER_DESCRIPTORS: usize = 3;
-/// Descriptors reserved where there is a management address: its listener, its connections and the handover.
+/// Number of descriptors reserved in a proxy with a management address: for the management listener, its
+/// connections and the listener handover.
 const MANAGEMENT_DESCRIPTORS: usize = 1 + MAX_MANAGEMENT_CONNECTIONS + HANDOVER_DESCRIPTORS;
 
-/// Runs the proxy as the environment and the configuration file describe it, until the graceful
-/// shutdown that SIGTERM begins is complete.
+/// Runs the proxy with the configuration from the environment and the configuration file, until the
+/// graceful shutdown after SIGTERM is complete.
 ///
 /// # Errors
 ///
@@ -47,9 +49,9 @@
 ///
 /// Panics outside of a [`tokio::task::LocalSet`], on which the proxy spawns its tasks.
 pub async fn run() -> Result<(), StartError> {
-    // First of all, as an unhandled signal ends the process.
+    // The handlers are installed first, as SIGHUP or SIGTERM without a handler ends the process.
     let signals = Signals::install()?;
-    // Before the file is read, so that a later change of the file is noticed.
+    // The stamp is taken before the file is read, so that a change during the read is detected later.
     let file_stamp = FileStamp::of_config_file();
     let mut config = Config::load(LoadMode::Startup)?;
     let management = match config.management {
--- a/crates/balancer-proxy/src/process/proxy.rs
+++ b/crates/balancer-proxy/src/process/proxy.rs
@@ -1,4 +1,4 @@
-//! The parts of a running proxy, as they are connected to one another.
+//! The parts of a running proxy, and the connections between them.
 
 use super::management_resources::ManagementResources;
 use super::signals::Signals;
@@ -16,8 +16,8 @@
 use std::time::Duration;
 use tokio::signal::unix::Signal;
 
-/// Longest wait for an endpoint list before a process that replaces another one accepts connections.
-/// After that wait the process serves from the cached list.
+/// Longest time that a process that replaces another one waits for an endpoint list before it accepts
+/// connections. After this time the process serves from the cached list.
 const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The parts of a running proxy.
@@ -31,8 +31,8 @@
 }
 
 impl Proxy {
-    /// Starts the engine and discovery, and with `management` also maintenance and the management
-    /// address. Takes the settings and the cached endpoint list out of `config`.
+    /// Starts the engine and discovery. If `management` is given, also starts maintenance and the
+    /// management service. Takes the settings and the cached endpoint list out of `config`.
     pub(super) fn start(
         config: &mut Config,
         capacities: Capacities,
@@ -71,7 +71,7 @@
         let _ = tokio::time::timeout(ENDPOINT_LIST_TIMEOUT, first_response).await;
     }
 
-    /// Serves clients until the graceful shutdown that SIGTERM begins is complete.
+    /// Serves clients until the graceful shutdown after SIGTERM is complete.
     pub(super) async fn serve(self, listener: ClientListener, signals: Signals, reloader: Rc<Reloader>) {
         let Signals { hangup, mut terminate } = signals;
         let shutdown = async move { terminate.recv().await.unwrap_or_default() };
--- a/crates/balancer-proxy/src/process/signals.rs
+++ b/crates/balancer-proxy/src/process/signals.rs
@@ -3,7 +3,7 @@
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that the process handles. All others have their default effect.
+/// The signals that the process handles. All other signals have their default effect.
 pub(super) struct Signals {
     /// SIGHUP, which requests a reload of the configuration.
     pub(super) hangup: Signal,
@@ -12,7 +12,7 @@
 }
 
 impl Signals {
-    /// Installs the handlers. Signals that arrive from now on are kept until they are received.
+    /// Installs the handlers. A signal that arrives afterwards is kept until it is received.
     ///
     /// # Errors
     ///
