--- a/crates/balancer-proxy/src/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -17,7 +17,7 @@
 /// a longer wait would use up the deadline of the request.
 pub(super) const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Default time after which a backend closes an idle connection. Most backends wait longer, so the proxy
-/// closes the connection first and sends no request on a connection that the backend is closing.
+/// stops using a connection first and sends no request on a connection that the backend is closing.
 pub(super) const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Default grace period after the notification that a backend is draining, as in the simulator's example.
 pub(super) const DEFAULT_DRAIN_GRACE_PERIOD: Duration = Duration::from_secs(1);
--- a/crates/balancer-proxy/src/control/discovery/client.rs
+++ b/crates/balancer-proxy/src/control/discovery/client.rs
@@ -48,7 +48,7 @@
 /// A request for the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ListRequest {
-    /// Requests the full list, for which discovery does not wait.
+    /// Requests the full list. Discovery responds without waiting for a change.
     Full,
     /// Requests the changes since a list. Discovery responds when there is a change, or without any
     /// change after a wait.
--- a/crates/balancer-proxy/src/control/discovery/timing.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing.rs
@@ -19,10 +19,9 @@
 //! module schedules the calls, with `POLL_BACKOFF_AFTER_FAILURE` and `POLL_BACKOFF_AFTER_START` of
 //! `crates/balancer/src/decisions/endpoint_polls.rs`. "Generations restart" means that the successful
 //! response shows that discovery has restarted its generation numbers, so that one more call fetches the
-//! full list.
-//! A new address by SIGHUP has to be in effect within 4 s. The calls to a new address fetch the full list,
-//! for which discovery does not wait, so that such calls fail after 1.25 s and 1.88 s. All times are in
-//! seconds:
+//! full list. A new address by SIGHUP has to be in effect within 4 s. The calls to a new address fetch the
+//! full list, and discovery responds to them without waiting for a change. Such calls therefore fail after
+//! 1.25 s and 1.88 s. All times are in seconds:
 //!
 //! | worst case                                   | first call + backoff + second call + backoff | sum  |
 //! | -------------------------------------------- | -------------------------------------------- | ---- |
@@ -104,7 +103,7 @@
         Self { random: RefCell::new(SmallRng::seed_from_u64(seed)) }
     }
 
-    /// Returns the duration multiplied by a random factor, which is distributed evenly between
+    /// Returns the duration multiplied by a random factor, which is uniformly distributed between
     /// `1 - MAX_JITTER_FRACTION` and `1 + MAX_JITTER_FRACTION`.
     pub(super) fn apply(&self, duration: Duration) -> Duration {
         let from_minus_one_to_one = 2.0 * self.random.borrow_mut().random::<f64>() - 1.0;
@@ -118,7 +117,7 @@
 /// that took longer than the interval is followed by the next one after [`MIN_BACKOFF`].
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Exponential backoff between failed calls, where the decision module does not schedule them.
+/// Exponential backoff between failed calls, unless the decision module schedules the calls.
 ///
 /// An interval is measured from the start of the failed call, so that a call that took long to fail is
 /// followed by the next one without a further delay. [`MIN_BACKOFF`] passes after each failure in any case.
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -48,7 +48,7 @@
     cell: u32,
     /// Whether the backend accepts new requests.
     lifecycle: RawLifecycle,
-    /// Relative share of the load that the backend receives; not negative.
+    /// Relative share of the load that the backend receives; [`DEFAULT_WEIGHT`] if absent or invalid.
     weight: Option<f64>,
     /// Unix time of the start of the backend, in milliseconds; 0 if the backend started long ago.
     #[serde(default)]
@@ -123,8 +123,8 @@
         id
     }
 
-    /// Releases the ids of all backends that are not in use, and of all zones that have no backend in use and
-    /// are in no settings. A backend that is listed again gets the same id, as the id depends on the name.
+    /// Releases the ids of all backends that are not in use, and of all zones without a backend in use, except
+    /// for zones in settings. A backend that is listed again gets the same id, as the id depends on the name.
     pub(super) fn retain_backends(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
         self.backend_ids.retain(|_, id| is_in_use(*id));
         self.assigned_backend_ids.retain(|id| is_in_use(*id));
--- a/crates/balancer-proxy/src/control/maintenance.rs
+++ b/crates/balancer-proxy/src/control/maintenance.rs
@@ -27,7 +27,7 @@
     discovery: Rc<Discovery>,
     engine: Rc<Engine>,
     /// Ids of the backends in maintenance as of the last notification of the engine.
-    applied: RefCell<BTreeSet<String>>,
+    applied_in_maintenance: RefCell<BTreeSet<String>>,
 }
 
 impl Maintenance {
@@ -38,7 +38,7 @@
     ///
     /// Panics outside of a [`tokio::task::LocalSet`], on which the task is spawned.
     pub fn start(store: Rc<MaintenanceStore>, discovery: Rc<Discovery>, engine: Rc<Engine>) -> Rc<Self> {
-        let maintenance = Rc::new(Self { store, discovery, engine, applied: RefCell::default() });
+        let maintenance = Rc::new(Self { store, discovery, engine, applied_in_maintenance: RefCell::default() });
         maintenance.notify_engine();
         tokio::task::spawn_local(maintenance.clone().poll_store());
         maintenance
@@ -73,7 +73,7 @@
     /// Notifies the engine of the differences between the record and the state applied last.
     fn notify_engine(&self) {
         let in_maintenance = self.store.record().in_maintenance.clone();
-        let previous = self.applied.replace(in_maintenance.clone());
+        let previous = self.applied_in_maintenance.replace(in_maintenance.clone());
         for backend in previous.symmetric_difference(&in_maintenance) {
             let is_in_maintenance = in_maintenance.contains(backend);
             let change = if is_in_maintenance { MaintenanceChange::Begins } else { MaintenanceChange::Ends };
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -18,10 +18,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::AbortHandle;
 
-/// Largest number of management connections that are open at once. As many
-/// file descriptors are reserved.
+/// Largest number of management connections that are open at once. The same number of
+/// file descriptors is reserved.
 pub const MAX_MANAGEMENT_CONNECTIONS: usize = 16;
-/// Longest time for reading a call, and again for sending the response and reading the end of the input.
+/// Longest time for reading a call, and again for sending the response and waiting for the caller to close
+/// the connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed `accept`, as the next one may fail immediately, too.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -42,7 +43,7 @@
         Rc::new(Self { server, maintenance, connections: RefCell::default() })
     }
 
-    /// Responds to the calls on `listener` for as long as the process runs.
+    /// Responds to the calls on `listener`. Never returns.
     pub async fn run(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
--- a/crates/balancer-proxy/src/control/management_protocol.rs
+++ b/crates/balancer-proxy/src/control/management_protocol.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, BufReader};
 
-/// Longest line of a call, in bytes, with its line feed.
+/// Longest line of a call, in bytes, including the line feed.
 pub(super) const MAX_LINE_BYTES: u64 = 256;
 
 /// A call of an operator.
@@ -32,7 +32,8 @@
     /// The line is not one of the calls.
     #[error("no call: status, stats, maint-on ID, maint-off ID")]
     Unknown,
-    /// The line is longer than [`MAX_LINE_BYTES`], or the caller closed the connection before its end.
+    /// The line is longer than [`MAX_LINE_BYTES`], or the caller closed the connection before the end of
+    /// the line.
     #[error("the call did not come whole")]
     Incomplete,
     /// The line did not arrive before the timeout.
--- a/crates/balancer-proxy/src/process/other_process.rs
+++ b/crates/balancer-proxy/src/process/other_process.rs
@@ -7,7 +7,8 @@
 /// Interval between two checks for another process on the listen address and for its settings.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Checks for another process on the listen address every [`CHECK_INTERVAL`]. Never returns.
+/// Checks for another process on the listen address, and for its settings, every [`CHECK_INTERVAL`]. Never
+/// returns.
 pub(super) async fn check_periodically(reloader: Rc<Reloader>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
