--- a/crates/balancer-proxy/src/control/discovery/client.rs
+++ b/crates/balancer-proxy/src/control/discovery/client.rs
@@ -16,7 +16,7 @@
 /// Largest response body that is accepted, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// The error of a call.
+/// The error of a call to discovery.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
     /// The response was not complete before the timeout.
--- a/crates/balancer-proxy/src/control/maintenance.rs
+++ b/crates/balancer-proxy/src/control/maintenance.rs
@@ -38,7 +38,8 @@
     ///
     /// Panics outside of a [`tokio::task::LocalSet`], on which the task is spawned.
     pub fn start(store: Rc<MaintenanceStore>, discovery: Rc<Discovery>, engine: Rc<Engine>) -> Rc<Self> {
-        let maintenance = Rc::new(Self { store, discovery, engine, applied_in_maintenance: RefCell::default() });
+        let maintenance =
+            Rc::new(Self { store, discovery, engine, applied_in_maintenance: RefCell::default() });
         maintenance.notify_engine();
         tokio::task::spawn_local(maintenance.clone().poll_store());
         maintenance
