--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -124,7 +124,8 @@
     }
 
     /// Releases the ids of all backends that are not in use, and of all zones without a backend in use,
-    /// except for zones in settings. A backend that is listed again gets the same id, as the id depends on the name.
+    /// except for zones in settings. A backend that is listed again gets the same id, as the id depends on
+    /// the name.
     pub(super) fn retain_backends(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
         self.backend_ids.retain(|_, id| is_in_use(*id));
         self.assigned_backend_ids.retain(|id| is_in_use(*id));
