--- a/crates/balancer-proxy/src/process/management_resources.rs
+++ b/crates/balancer-proxy/src/process/management_resources.rs
@@ -55,7 +55,7 @@
 /// Logs that the instance lock files whose paths start with `base` can't be used.
 fn log_state_file_error(base: &Path, error: &io::Error) {
     log!(
-        "balancer-proxy: cannot use lock files {}.*: {error}; two processes may not detect each other",
+        "balancer-proxy: cannot use lock files {}.*: {error}; two processes might not detect each other",
         base.display()
     );
 }
