--- a/crates/balancer-proxy/src/control/config/tests/mod.rs
+++ b/crates/balancer-proxy/src/control/config/tests/mod.rs
@@ -1,5 +1,5 @@
-//! The page `docs/configuration.md` has each environment variable and each key of the configuration file,
-//! with its type and its default, and no other; and each key of the proxy is translated.
+//! Tests that the page `docs/configuration.md` lists exactly the environment variables and the keys of the
+//! configuration file, with their types and defaults, and that each key of the proxy is translated.
 
 mod example;
 mod page;
@@ -11,33 +11,33 @@
 use balancer::ZoneId;
 use balancer_settings::defaults;
 use balancer_settings::keys::{keys_of, settings_keys};
-use page::{OR_NULL, Row, TEXT_TYPES, page, rows};
+use page::{OR_NULL, Row, TEXT_TYPES, parse_rows, read_page};
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 use std::time::Duration;
 
-/// The paths of all keys that deserialization accepts.
+/// Returns the paths of all keys that deserialization accepts.
 fn accepted_keys() -> BTreeSet<String> {
-    let below = |path: &str, keys: &[&str]| -> Vec<String> {
+    let with_prefix = |path: &str, keys: &[&str]| -> Vec<String> {
         keys.iter().map(|key| format!("{path}{key}")).collect()
     };
     let groups = ["limits", "settings"];
-    let mut keys: BTreeSet<String> = below("", keys_of::<RawConfig>()).into_iter().collect();
+    let mut keys: BTreeSet<String> = with_prefix("", keys_of::<RawConfig>()).into_iter().collect();
     for group in groups {
         assert!(keys.remove(group), "{group}");
     }
     assert_eq!(keys_of::<RawCachedEndpoints>(), ["known"]);
     let lists = keys_of::<RawEndpointList>().iter().filter(|key| **key != "instances");
     keys.extend(lists.map(|key| format!("known.{key}")));
-    keys.extend(below("known.instances[].", keys_of::<RawEndpoint>()));
-    keys.extend(below("limits.", keys_of::<RawLimits>()));
+    keys.extend(with_prefix("known.instances[].", keys_of::<RawEndpoint>()));
+    keys.extend(with_prefix("limits.", keys_of::<RawLimits>()));
     keys.extend(settings_keys().iter().map(|key| format!("settings.{key}")));
     keys
 }
 
-/// The environment variables of the proxy that the sources below a folder name in string literals.
+/// Returns the environment variables of the proxy that occur in string literals below a source folder.
 fn variables_in(folder: &Path) -> BTreeSet<String> {
     let mut variables = BTreeSet::new();
     for entry in fs::read_dir(folder).unwrap() {
@@ -56,7 +56,7 @@
     variables
 }
 
-/// What the page lacks, and what the program does not have.
+/// The differences between the page and the program.
 #[derive(Debug, PartialEq, Eq)]
 struct Differences {
     missing_on_the_page: Vec<String>,
@@ -66,7 +66,7 @@
 fn differences(page: &str) -> Differences {
     let mut accepted = accepted_keys();
     accepted.append(&mut variables_in(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src")));
-    let rows = rows(page);
+    let rows = parse_rows(page);
     let documented: BTreeSet<String> = rows.iter().map(|row| row.name.clone()).collect();
     assert_eq!(documented.len(), rows.len(), "a name has two rows");
     Differences {
@@ -75,7 +75,7 @@
     }
 }
 
-/// A file with the required keys only.
+/// Returns a file with the required keys only.
 fn required_keys() -> Value {
     let endpoint = json!({"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "SERVING"});
     json!({"known": {"generation": 1, "reset": true, "instances": [endpoint]},
@@ -90,7 +90,7 @@
     config.is_ok() && cached_endpoints.is_ok()
 }
 
-/// The object of the file that has the last key of a path, and that key.
+/// Returns the object of the file that contains the last key of a path, and that key.
 fn parent_of<'a>(file: &'a mut Value, path: &str) -> (&'a mut Value, String) {
     let pointer = format!("/{}", path.replace("[]", ".0").replace('.', "/"));
     let (parent, key) = pointer.rsplit_once('/').unwrap();
@@ -111,12 +111,12 @@
     is_parsed(&file)
 }
 
-/// Whether deserialization accepts the values of the type that the page states, and no others.
+/// Returns whether deserialization accepts the values of the type that the page states, and no others.
 fn has_stated_type(row: &Row) -> bool {
     let accepts = |value: Value| accepts(&row.name, value);
     match row.value_type.strip_suffix(OR_NULL).unwrap_or(&row.value_type) {
         "true or false" => accepts(json!(true)) && !accepts(json!(1)),
-        // A version of another type is read, and counts as none or is rejected later.
+        // Deserialization accepts a version of any type. A later step ignores or rejects an invalid version.
         "whole number" if row.name == "settings.version" => accepts(json!(1)),
         "whole number" => accepts(json!(1)) && !accepts(json!(1.5)) && !accepts(json!(-1)),
         "number" => accepts(json!(1.5)) && accepts(json!(1)) && !accepts(json!("1")),
@@ -133,16 +133,16 @@
 fn the_page_has_each_variable_and_key_and_no_other() {
     let none = Differences { missing_on_the_page: Vec::new(), unknown_to_the_program: Vec::new() };
 
-    assert_eq!(differences(&page()), none);
+    assert_eq!(differences(&read_page()), none);
 }
 
 #[test]
 fn a_missing_and_an_unknown_key_of_the_page_are_found() {
-    let planted = page()
+    let altered = read_page()
         .replace("| `settings.rules.cold` |", "| `settings.rules.warm` |")
         .replace("| `RELAY_LISTEN` |", "| `RELAY_LISTENER` |");
 
-    let found = differences(&planted);
+    let found = differences(&altered);
 
     assert_eq!(found.missing_on_the_page, ["RELAY_LISTEN", "settings.rules.cold"]);
     assert_eq!(found.unknown_to_the_program, ["RELAY_LISTENER", "settings.rules.warm"]);
@@ -152,7 +152,7 @@
 fn each_key_has_the_type_that_the_page_states_and_is_required_where_the_page_states_so() {
     assert!(is_parsed(&required_keys()));
 
-    for row in rows(&page()).iter().filter(|row| !row.is_variable()) {
+    for row in parse_rows(&read_page()).iter().filter(|row| !row.is_variable()) {
         assert!(has_stated_type(row), "{row:?}");
         assert_eq!(accepts(&row.name, Value::Null), row.accepts_null(), "null: {row:?}");
         assert_eq!(!is_parsed_without(&row.name), row.is_required(), "{row:?}");
@@ -179,8 +179,8 @@
     let seconds = |duration: Duration| duration.as_secs_f64().to_string();
     let defaults = [
         ("seed", translation::DEFAULT_SEED.to_string()),
-        ("limits.sockets", translation::DEFAULT_DESCRIPTORS.to_string()),
-        ("limits.memory_mb", translation::DEFAULT_MEMORY_MB.to_string()),
+        ("limits.sockets", translation::DEFAULT_FILE_DESCRIPTORS.to_string()),
+        ("limits.memory_mb", translation::DEFAULT_MEMORY_MEBIBYTES.to_string()),
         ("settings.caps.connect-timeout", seconds(translation::DEFAULT_CONNECT_TIMEOUT)),
         ("settings.caps.idle-close", seconds(translation::DEFAULT_IDLE_TIMEOUT)),
         ("settings.rules.drain-grace", seconds(translation::DEFAULT_DRAIN_GRACE_PERIOD)),
@@ -198,7 +198,7 @@
         ("settings.classes[].worth", defaults::PRIORITY_WEIGHT.to_string()),
         ("settings.classes[].window", defaults::IDEMPOTENCY_WINDOW.to_string()),
     ];
-    let rows = rows(&page());
+    let rows = parse_rows(&read_page());
 
     for (name, default) in defaults {
         let row = rows.iter().find(|row| row.name == name).unwrap();
--- a/crates/balancer-proxy/src/control/management_protocol.rs
+++ b/crates/balancer-proxy/src/control/management_protocol.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncRead, AsyncReadExt, BufReader};
 
-/// Longest line of a call, in bytes, with its line feed.
+/// Longest line of a call, in bytes, including the line feed.
 pub(super) const MAX_LINE_BYTES: u64 = 256;
 
 /// A call of an operator.
@@ -26,13 +26,14 @@
     },
 }
 
-/// Why a call fails. The response is `ERR` with the text of the error.
+/// The error of a call. The response to the call is `ERR` with the text of the error.
 #[derive(Debug, Error)]
 pub(super) enum CallError {
     /// The line is not one of the calls.
     #[error("no call: status, stats, maint-on ID, maint-off ID")]
     Unknown,
-    /// The line is longer than [`MAX_LINE_BYTES`], or the caller closed the connection before its end.
+    /// The line is longer than [`MAX_LINE_BYTES`], or the caller closed the connection before the end of
+    /// the line.
     #[error("the call did not come whole")]
     Incomplete,
     /// The line did not arrive before the timeout.
@@ -41,7 +42,8 @@
     /// The call names a backend that discovery has never listed.
     #[error("{0}")]
     NeverListed(#[from] NeverListed),
-    /// The proxy does not accept requests, or no backend in service has been listed since its start.
+    /// The proxy does not accept requests, or no backend in service has been listed since the
+    /// proxy started.
     #[error("not ready")]
     NotReady,
     /// The metrics could not be serialized.
