--- a/crates/balancer/tests/concerns/admission_queue.rs
+++ b/crates/balancer/tests/concerns/admission_queue.rs
@@ -1,27 +1,27 @@
-//! The queue of calls that wait for admission: the order in which they leave.
+//! The queue of calls that wait for admission: the order in which calls are removed.
 
 use super::fixtures::call_keys;
 use crate::decisions::admission_queue::{AdmissionQueue, PercentileRank};
 use crate::decisions::calls::CallKey;
 
 #[test]
-fn the_call_of_the_best_rank_leaves_first() {
-    let [worst, best, middle] = call_keys();
+fn pops_the_call_with_the_highest_rank_first() {
+    let [lowest, highest, middle] = call_keys();
     let mut queue = AdmissionQueue::default();
-    queue.insert(PercentileRank(0.1), worst);
-    queue.insert(PercentileRank(0.9), best);
+    queue.insert(PercentileRank(0.1), lowest);
+    queue.insert(PercentileRank(0.9), highest);
     queue.insert(PercentileRank(0.5), middle);
 
     let highest_rank = queue.highest_rank();
     let order = [(); 4].map(|()| queue.pop_highest());
 
     assert_eq!(highest_rank, Some(PercentileRank(0.9)));
-    assert_eq!(order, [Some(best), Some(middle), Some(worst), None]);
+    assert_eq!(order, [Some(highest), Some(middle), Some(lowest), None]);
     assert_eq!(queue.highest_rank(), None);
 }
 
 #[test]
-fn among_equal_ranks_the_first_to_arrive_leaves_first() {
+fn pops_calls_of_equal_rank_in_the_order_of_arrival() {
     let calls: [CallKey; 3] = call_keys();
     let mut queue = AdmissionQueue::default();
     for call in calls {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_call_that_no_longer_waits_does_not_leave() {
+fn does_not_pop_a_removed_call() {
     let [removed, waiting] = call_keys();
     let mut queue = AdmissionQueue::default();
     queue.insert(PercentileRank(0.9), removed);
--- a/crates/balancer/tests/concerns/attempt_counts.rs
+++ b/crates/balancer/tests/concerns/attempt_counts.rs
@@ -1,11 +1,11 @@
-//! The counts of attempts: which attempts refer to a backend.
+//! Attempt counts: the attempts in flight at each backend, and the attempts that refer to a backend.
 
 use super::fixtures::backend_indices;
 use crate::decisions::attempt_counts::AttemptCounts;
 use crate::support::BackendIndex;
 
-/// Returns the counts of these backends, which have no attempts.
-fn counts_of(backends: &[BackendIndex]) -> AttemptCounts {
+/// Returns the counts of backends without attempts.
+fn counts_without_attempts(backends: &[BackendIndex]) -> AttemptCounts {
     let mut counts = AttemptCounts::default();
     for backend in backends {
         counts.add_backend(*backend);
@@ -16,7 +16,7 @@
 #[test]
 fn counts_attempts_in_flight_by_backend() {
     let [busy, idle] = backend_indices();
-    let mut counts = counts_of(&[busy, idle]);
+    let mut counts = counts_without_attempts(&[busy, idle]);
 
     counts.increment_in_flight(busy);
     counts.increment_in_flight(busy);
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn stays_at_zero_when_an_attempt_ends_that_was_not_counted() {
+fn stays_at_zero_when_an_uncounted_attempt_ends() {
     let [backend] = backend_indices();
-    let mut counts = counts_of(&[backend]);
+    let mut counts = counts_without_attempts(&[backend]);
 
     counts.decrement_in_flight(backend);
 
@@ -39,7 +39,7 @@
 #[test]
 fn a_backend_is_referenced_by_an_attempt_in_flight_or_of_an_unfinished_call() {
     let [in_flight, of_unfinished_call, unused] = backend_indices();
-    let mut counts = counts_of(&[in_flight, of_unfinished_call, unused]);
+    let mut counts = counts_without_attempts(&[in_flight, of_unfinished_call, unused]);
 
     counts.increment_in_flight(in_flight);
     counts.add_reference(of_unfinished_call);
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn a_backend_is_no_longer_referenced_after_the_last_attempt() {
+fn a_backend_is_not_referenced_after_its_last_attempt() {
     let [backend] = backend_indices();
-    let mut counts = counts_of(&[backend]);
+    let mut counts = counts_without_attempts(&[backend]);
     counts.increment_in_flight(backend);
     counts.add_reference(backend);
 
@@ -67,7 +67,7 @@
 #[test]
 fn a_backend_added_at_a_reused_index_has_no_attempts() {
     let [backend] = backend_indices();
-    let mut counts = counts_of(&[backend]);
+    let mut counts = counts_without_attempts(&[backend]);
     counts.increment_in_flight(backend);
 
     counts.add_backend(backend);
--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -1,7 +1,8 @@
-//! A call: its deadline, its doubling timers, its attempts, and its indices over changes of settings.
+//! A call: its deadline, its retry timers, its attempts, and its class and tenant when settings change.
 
 use super::fixtures::{
-    T1, TIMEOUT, attempt, backend_indices, call_of, request, request_class, safe_call, settings_with_effect,
+    CALL_TIMEOUT, T1, attempt, backend_indices, call_for_request, request, request_class, safe_call,
+    settings_with_effect,
 };
 use crate::decisions::calls::{Call, CallStage, CallTable};
 use crate::interface::{
@@ -11,10 +12,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// The greatest fraction by which a doubling timer differs from its exact time.
-const JITTER: f64 = 0.1;
+/// The greatest difference between a retry timer and its exact time, as a fraction of the exact time.
+const MAX_TIMER_JITTER_FRACTION: f64 = 0.1;
 
-fn random() -> SmallRng {
+fn seeded_random() -> SmallRng {
     SmallRng::seed_from_u64(1)
 }
 
@@ -22,19 +23,19 @@
     Tenant { name: name.to_string(), quota_per_second: 1.0 }
 }
 
-/// Asserts that a timer fires after an interval, within its jitter.
+/// Asserts that a timer fires an interval after the dispatch, with at most the greatest jitter.
 #[track_caller]
-fn assert_fires_after(interval: Time, dispatched_at: Time, at: Option<Time>) {
-    let actual = at.expect("the timer is set") - dispatched_at;
-    assert!((actual / interval - 1.0).abs() <= JITTER, "{actual} is not about {interval}");
+fn assert_fires_after(interval: Time, dispatched_at: Time, fires_at: Option<Time>) {
+    let actual = fires_at.expect("the timer is set") - dispatched_at;
+    assert!((actual / interval - 1.0).abs() <= MAX_TIMER_JITTER_FRACTION, "{actual} is not about {interval}");
 }
 
 #[test]
-fn the_timeout_of_a_streamed_body_starts_at_its_end() {
+fn timeout_of_a_streamed_request_starts_at_the_end_of_its_body() {
     let streamed = Request { streaming_body: true, ..request(1) };
     let settings = settings_with_effect(Effect::Safe);
     let mut table = CallTable::default();
-    let key = table.insert(call_of(streamed, settings), CallStage::Undispatched);
+    let key = table.insert(call_for_request(streamed, settings), CallStage::Undispatched);
     table.record_dispatch(key);
     let deadline_while_receiving = table[key].deadline();
     let time_left_while_receiving = table[key].time_left(100.0);
@@ -43,21 +44,21 @@
     table[key].start_timeout(100.0);
 
     assert_eq!(deadline_while_receiving, Time::INFINITY);
-    assert_close(time_left_while_receiving, TIMEOUT);
-    assert_close(table[key].deadline(), 100.0 + TIMEOUT);
-    assert_close(table[key].time_left(100.5), TIMEOUT - 0.5);
+    assert_close(time_left_while_receiving, CALL_TIMEOUT);
+    assert_close(table[key].deadline(), 100.0 + CALL_TIMEOUT);
+    assert_close(table[key].time_left(100.5), CALL_TIMEOUT - 0.5);
 }
 
 #[test]
-fn schedules_no_timer_at_or_after_the_deadline() {
+fn schedules_no_retry_timer_at_or_after_the_deadline() {
     let mut call = safe_call(1);
 
-    let first = call.schedule_retry_timer(&mut random());
+    let first = call.schedule_retry_timer(&mut seeded_random());
     call.record_retry_timer_firing();
-    let second = call.schedule_retry_timer(&mut random());
+    let second = call.schedule_retry_timer(&mut seeded_random());
     let is_second_set = call.retry_timer().is_set();
     call.record_retry_timer_firing();
-    let third = call.schedule_retry_timer(&mut random());
+    let third = call.schedule_retry_timer(&mut seeded_random());
 
     assert_fires_after(T1, 0.0, first);
     assert_fires_after(3.0 * T1, 0.0, second);
@@ -67,34 +68,34 @@
 }
 
 #[test]
-fn schedules_no_timer_where_no_attempt_is_left() {
+fn schedules_no_retry_timer_if_no_attempt_is_left() {
     let [backend] = backend_indices();
     let settings = Settings { max_attempts: 1, ..settings_with_effect(Effect::Safe) };
-    let mut call = call_of(request(1), settings);
-    let before_the_attempt = call.schedule_retry_timer(&mut random());
+    let mut call = call_for_request(request(1), settings);
+    let before_the_attempt = call.schedule_retry_timer(&mut seeded_random());
 
     call.add_attempt(attempt(backend, None));
-    let after_the_attempt = call.schedule_retry_timer(&mut random());
+    let after_the_attempt = call.schedule_retry_timer(&mut seeded_random());
 
     assert!(before_the_attempt.is_some());
     assert_eq!(after_the_attempt, None);
 }
 
 #[test]
-fn the_timers_of_a_call_that_was_queued_start_at_its_dispatch_and_its_deadline_stays() {
+fn retry_timers_of_a_queued_call_start_at_its_dispatch_and_its_deadline_is_kept() {
     let mut table = CallTable::default();
     let key = table.insert(safe_call(1), CallStage::Queued);
 
     let new_t1 = 0.2;
     table.leave_queue(key, 1.0, new_t1);
 
-    assert_fires_after(new_t1, 1.0, table[key].schedule_retry_timer(&mut random()));
-    assert_close(table[key].deadline(), TIMEOUT);
+    assert_fires_after(new_t1, 1.0, table[key].schedule_retry_timer(&mut seeded_random()));
+    assert_close(table[key].deadline(), CALL_TIMEOUT);
     assert!(!table[key].is_queued());
 }
 
 #[test]
-fn has_reached_no_backend_until_an_attempt_has_another_outcome_than_no_connection() {
+fn has_reached_no_backend_only_if_all_attempts_ended_without_a_connection() {
     let [backend] = backend_indices();
     let mut call = safe_call(1);
     call.add_attempt(attempt(backend, Some(Outcome::NoConnection)));
@@ -113,7 +114,7 @@
 }
 
 #[test]
-fn gives_its_alternative_to_one_retry_only() {
+fn returns_the_alternative_backend_only_once() {
     let [backend] = backend_indices();
     let mut call = safe_call(1);
 
@@ -124,25 +125,25 @@
 }
 
 #[test]
-fn follows_its_class_and_tenant_by_name_and_keeps_the_settings_of_its_arrival() {
+fn updates_class_and_tenant_indices_by_name_and_keeps_the_settings_in_force_on_arrival() {
     let classes = |names: &[&str]| names.iter().map(|name| request_class(name, Effect::Safe)).collect();
     let tenants = |names: &[&str]| names.iter().map(|name| tenant(name)).collect();
     let old = Settings { classes: classes(&["a"]), tenants: tenants(&["x"]), ..Settings::default() };
-    let moved =
+    let reordered =
         Settings { classes: classes(&["b", "a"]), tenants: tenants(&["y", "x"]), ..Settings::default() };
-    let without = Settings { classes: classes(&["b"]), tenants: tenants(&["y"]), ..Settings::default() };
+    let removed = Settings { classes: classes(&["b"]), tenants: tenants(&["y"]), ..Settings::default() };
     let mut table = CallTable::default();
-    let of_tenant = Request { tenant: Some(TenantIndex(0)), ..request(1) };
-    let key = table.insert(call_of(of_tenant, old.clone()), CallStage::Undispatched);
+    let tenant_request = Request { tenant: Some(TenantIndex(0)), ..request(1) };
+    let key = table.insert(call_for_request(tenant_request, old.clone()), CallStage::Undispatched);
 
-    table.remap_indices(&old, &moved);
-    let moved_class = table[key].current_class();
-    let moved_tenant = table[key].tenant();
-    table.remap_indices(&moved, &without);
+    table.remap_indices(&old, &reordered);
+    let reordered_class = table[key].current_class();
+    let reordered_tenant = table[key].tenant();
+    table.remap_indices(&reordered, &removed);
 
-    assert_eq!(moved_class, ClassIndex(1));
-    assert_eq!(moved_tenant, Some(TenantIndex(1)));
-    assert_eq!(table[key].current_class(), ClassIndex(without.classes.len()));
+    assert_eq!(reordered_class, ClassIndex(1));
+    assert_eq!(reordered_tenant, Some(TenantIndex(1)));
+    assert_eq!(table[key].current_class(), ClassIndex(removed.classes.len()));
     assert_eq!(table[key].tenant(), None);
     assert_eq!(table[key].settings(), &old);
     assert_eq!(table[key].request_class().name, "a");
--- a/crates/balancer/tests/concerns/calls.rs
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -1,17 +1,17 @@
-//! The call table: which calls have no final response, and how many are in each state.
+//! The call table: the calls without a final response, and the number of calls in each state.
 
-use super::fixtures::{call_of, request, safe_call, settings_with_effect};
+use super::fixtures::{call_for_request, request, safe_call, settings_with_effect};
 use crate::decisions::calls::{Call, CallStage, CallTable};
 use crate::interface::{Effect, Request, RequestId};
 
 /// Returns a call whose body is still being received.
 fn streamed_call(id: u64) -> Call {
     let streamed = Request { streaming_body: true, ..request(id) };
-    call_of(streamed, settings_with_effect(Effect::Safe))
+    call_for_request(streamed, settings_with_effect(Effect::Safe))
 }
 
 #[test]
-fn finds_a_call_by_its_request_until_the_call_has_ended() {
+fn finds_a_call_by_its_request_id_until_the_call_is_removed() {
     let mut table = CallTable::default();
     let key = table.insert(safe_call(7), CallStage::Undispatched);
     let found = table.key_of(RequestId(7));
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn does_not_reuse_the_key_of_an_ended_call() {
+fn does_not_reuse_the_key_of_a_removed_call() {
     let mut table = CallTable::default();
     let ended = table.insert(safe_call(1), CallStage::Undispatched);
     table.remove(ended);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_queued_call_is_unanswered_from_its_dispatch_on() {
+fn counts_a_queued_call_as_unanswered_after_its_dispatch() {
     let mut table = CallTable::default();
     let key = table.insert(safe_call(1), CallStage::Queued);
     table.insert(safe_call(2), CallStage::Queued);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_call_that_ends_while_it_is_queued_is_no_longer_counted() {
+fn does_not_count_a_call_that_ended_while_it_was_queued() {
     let mut table = CallTable::default();
     let ended = table.insert(safe_call(1), CallStage::Queued);
     table.insert(safe_call(2), CallStage::Undispatched);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_streamed_call_is_unanswered_from_the_end_of_its_body_on() {
+fn counts_a_streamed_call_as_unanswered_after_the_end_of_its_body() {
     let mut table = CallTable::default();
     let key = table.insert(streamed_call(1), CallStage::Undispatched);
     table.record_dispatch(key);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_body_that_ends_while_its_call_is_queued_is_not_counted_as_received_twice() {
+fn counts_a_call_once_if_its_body_ends_while_the_call_is_queued() {
     let mut table = CallTable::default();
     let key = table.insert(streamed_call(1), CallStage::Queued);
 
@@ -95,12 +95,12 @@
     assert_eq!(table.unanswered(), 1);
 }
 
-/// What happened: a streamed request that had waited, and then had too little time left, ended without having been
-/// dispatched. It was subtracted from the receiving calls, to which only a dispatch adds: a debug build panicked,
-/// and in a release build the unanswered calls were one too many for good. Found by reading; this test showed 2
-/// unanswered calls of 1.
+/// Guards against a wrong number of unanswered calls after a streamed request has left the queue with too
+/// little time for a dispatch. Only a dispatch adds a call to the receiving calls. If the end of such a call
+/// were subtracted from them, a debug build would panic, and a release build would count one unanswered call
+/// too many from then on: 2 instead of 1 in this test.
 #[test]
-fn a_streamed_call_that_ends_undispatched_after_its_wait_leaves_the_counts_as_they_were() {
+fn keeps_the_counts_when_a_streamed_call_ends_after_its_wait_without_a_dispatch() {
     let mut table = CallTable::default();
     let key = table.insert(streamed_call(1), CallStage::Queued);
     table.insert(safe_call(2), CallStage::Undispatched);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn counts_a_call_that_lacks_capacity_once_and_until_it_is_sent_again_or_ends() {
+fn counts_a_call_that_lacks_capacity_once_until_it_is_sent_again_or_ends() {
     let mut table = CallTable::default();
     let retried = table.insert(safe_call(1), CallStage::Undispatched);
     let ended = table.insert(safe_call(2), CallStage::Undispatched);
--- a/crates/balancer/tests/concerns/endpoint_polls.rs
+++ b/crates/balancer/tests/concerns/endpoint_polls.rs
@@ -1,4 +1,4 @@
-//! The schedule of polls: the spread of the first ones, and the waits after failures.
+//! The schedule of polls of the endpoint list: the spread of first polls, and the delays after failed polls.
 
 use crate::decisions::endpoint_polls::EndpointPolls;
 use crate::interface::{Settings, Time};
@@ -6,20 +6,20 @@
 use rand::rngs::SmallRng;
 
 /// The time of the events of these tests, in seconds.
-const NOW: Time = 100.0;
+const EVENT_TIME: Time = 100.0;
 
 fn polling_settings() -> Settings {
     Settings { must_poll_endpoints: true, endpoint_poll_limit: 10.0, ..Settings::default() }
 }
 
-/// Returns a source of random draws for each of many balancers.
-fn generators() -> impl Iterator<Item = SmallRng> {
+/// Returns a random generator for each of 500 balancers.
+fn random_generators() -> impl Iterator<Item = SmallRng> {
     (0..500).map(SmallRng::seed_from_u64)
 }
 
-/// Asserts that waits fill a range, from one end to the other.
+/// Asserts that all waits lie in a range, and that the shortest and the longest are near its ends.
 #[track_caller]
-fn assert_fill(waits: &[Time], least: Time, greatest: Time) {
+fn assert_waits_fill_range(waits: &[Time], least: Time, greatest: Time) {
     let shortest = waits.iter().copied().fold(f64::INFINITY, f64::min);
     let longest = waits.iter().copied().fold(0.0, f64::max);
     let margin = 0.05 * (greatest - least);
@@ -28,25 +28,25 @@
 }
 
 #[test]
-fn spreads_first_polls_over_half_of_the_longest_interval() {
+fn spreads_first_polls_over_half_of_the_longest_poll_interval() {
     let first_wait = |mut random: SmallRng| {
-        let at = EndpointPolls::default().schedule_first(NOW, &polling_settings(), &mut random);
-        at.expect("a poll is scheduled") - NOW
+        let at = EndpointPolls::default().schedule_first(EVENT_TIME, &polling_settings(), &mut random);
+        at.expect("a poll is scheduled") - EVENT_TIME
     };
 
-    let waits: Vec<Time> = generators().map(first_wait).collect();
+    let waits: Vec<Time> = random_generators().map(first_wait).collect();
 
-    assert_fill(&waits, 0.0, 5.0);
+    assert_waits_fill_range(&waits, 0.0, 5.0);
 }
 
 #[test]
-fn schedules_the_first_poll_once_and_only_where_the_list_is_not_pushed() {
+fn schedules_the_first_poll_once_unless_the_list_is_pushed() {
     let mut random = SmallRng::seed_from_u64(1);
     let mut polls = EndpointPolls::default();
 
-    let while_pushed = polls.schedule_first(NOW, &Settings::default(), &mut random);
-    let first = polls.schedule_first(NOW, &polling_settings(), &mut random);
-    let again = polls.schedule_first(NOW, &polling_settings(), &mut random);
+    let while_pushed = polls.schedule_first(EVENT_TIME, &Settings::default(), &mut random);
+    let first = polls.schedule_first(EVENT_TIME, &polling_settings(), &mut random);
+    let again = polls.schedule_first(EVENT_TIME, &polling_settings(), &mut random);
 
     assert_eq!(while_pushed, None);
     assert!(first.is_some());
@@ -54,36 +54,37 @@
 }
 
 #[test]
-fn a_first_retry_waits_a_quarter_of_a_second_on_average() {
-    let first_wait = |mut random: SmallRng| EndpointPolls::default().schedule_retry(NOW, &mut random) - NOW;
+fn waits_a_quarter_of_a_second_on_average_before_the_first_retry() {
+    let first_wait =
+        |mut random: SmallRng| EndpointPolls::default().schedule_retry(EVENT_TIME, &mut random) - EVENT_TIME;
 
-    let waits: Vec<Time> = generators().map(first_wait).collect();
+    let waits: Vec<Time> = random_generators().map(first_wait).collect();
 
-    assert_fill(&waits, 0.125, 0.375);
+    assert_waits_fill_range(&waits, 0.125, 0.375);
 }
 
 #[test]
-fn a_retry_after_a_poll_that_fails_at_once_starts_a_second_after_it_on_average() {
+fn starts_a_retry_one_second_on_average_after_the_start_of_a_poll_that_failed_at_once() {
     let second_wait = |mut random: SmallRng| {
         let mut polls = EndpointPolls::default();
-        let started_at = polls.schedule_retry(NOW, &mut random);
+        let started_at = polls.schedule_retry(EVENT_TIME, &mut random);
         polls.schedule_retry(started_at, &mut random) - started_at
     };
 
-    let waits: Vec<Time> = generators().map(second_wait).collect();
+    let waits: Vec<Time> = random_generators().map(second_wait).collect();
 
-    assert_fill(&waits, 0.5, 1.5);
+    assert_waits_fill_range(&waits, 0.5, 1.5);
 }
 
 #[test]
-fn a_retry_after_a_poll_that_fails_late_waits_as_the_first_one_does() {
+fn waits_a_quarter_of_a_second_on_average_after_a_poll_that_failed_late() {
     let wait_after_late_failure = |mut random: SmallRng| {
         let mut polls = EndpointPolls::default();
-        let failed_at = polls.schedule_retry(NOW, &mut random) + 2.0;
+        let failed_at = polls.schedule_retry(EVENT_TIME, &mut random) + 2.0;
         polls.schedule_retry(failed_at, &mut random) - failed_at
     };
 
-    let waits: Vec<Time> = generators().map(wait_after_late_failure).collect();
+    let waits: Vec<Time> = random_generators().map(wait_after_late_failure).collect();
 
-    assert_fill(&waits, 0.125, 0.375);
+    assert_waits_fill_range(&waits, 0.125, 0.375);
 }
--- a/crates/balancer/tests/concerns/endpoint_table.rs
+++ b/crates/balancer/tests/concerns/endpoint_table.rs
@@ -1,11 +1,11 @@
-//! The endpoint table: which backends are known, and at which index.
+//! The endpoint table: the known backends and their indices.
 
 use super::fixtures::endpoint;
 use crate::decisions::endpoint_table::{EndpointChange, EndpointTable};
 use crate::interface::{BackendId, Endpoint, Status, ZoneId};
 
 #[test]
-fn gives_each_new_backend_an_index_of_its_own() {
+fn assigns_a_distinct_index_to_each_new_backend() {
     let mut table = EndpointTable::default();
 
     let first = table.upsert(&endpoint(7));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn does_not_list_a_removed_backend_but_keeps_it_known() {
+fn keeps_a_removed_backend_known_but_not_listed() {
     let mut table = EndpointTable::default();
     table.upsert(&endpoint(1));
     table.upsert(&endpoint(2));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn forgets_removed_backends_without_a_reference_and_no_others() {
+fn prunes_only_removed_backends_without_a_reference() {
     let mut table = EndpointTable::default();
     table.upsert(&endpoint(1));
     let referenced = table.upsert(&Endpoint { status: Status::Removed, ..endpoint(2) }).index;
@@ -66,9 +66,9 @@
 }
 
 #[test]
-fn reuses_the_index_of_a_forgotten_backend_once() {
+fn reuses_the_index_of_a_pruned_backend_once() {
     let mut table = EndpointTable::default();
-    let forgotten = table.upsert(&Endpoint { status: Status::Removed, ..endpoint(1) }).index;
+    let pruned = table.upsert(&Endpoint { status: Status::Removed, ..endpoint(1) }).index;
     table.prune_removed(|_| false);
     table.prune_removed(|_| false);
 
@@ -76,7 +76,7 @@
     let second = table.upsert(&endpoint(3));
 
     assert_eq!(first.change, EndpointChange::Added);
-    assert_eq!(first.index, forgotten);
-    assert_ne!(second.index, forgotten);
+    assert_eq!(first.index, pruned);
+    assert_ne!(second.index, pruned);
     assert_eq!(table.indices().count(), 2);
 }
--- a/crates/balancer/tests/concerns/fixtures.rs
+++ b/crates/balancer/tests/concerns/fixtures.rs
@@ -1,4 +1,4 @@
-//! Backends, classes and calls that the tests of several concerns start from.
+//! Backends, classes and calls that the tests of several concerns use.
 
 use crate::decisions::attempts::Attempt;
 use crate::decisions::calls::{Call, CallKey, CallStage, CallTable};
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 
 /// The timeout of the calls of these tests, in seconds.
-pub const TIMEOUT: Time = 2.0;
+pub const CALL_TIMEOUT: Time = 2.0;
 /// T1 of the calls of these tests, in seconds.
 pub const T1: Time = 0.5;
 
-/// Returns the indices of the first backends of a balancer.
+/// Returns the indices of the first `COUNT` backends of a balancer.
 pub fn backend_indices<const COUNT: usize>() -> [BackendIndex; COUNT] {
     let mut backends = BackendMap::default();
     std::array::from_fn(|_| {
@@ -31,7 +31,13 @@
 /// Returns a class with a latency objective of 1 s and a timeout of at most 2 s.
 pub fn request_class(name: &str, effect: Effect) -> RequestClass {
     let name = name.to_string();
-    RequestClass { name, latency_objective: 1.0, max_timeout: TIMEOUT, effect, ..RequestClass::default() }
+    RequestClass {
+        name,
+        latency_objective: 1.0,
+        max_timeout: CALL_TIMEOUT,
+        effect,
+        ..RequestClass::default()
+    }
 }
 
 /// Returns settings with one class of this effect.
@@ -39,22 +45,22 @@
     Settings { classes: vec![request_class("only", effect)], ..Settings::default() }
 }
 
-/// Returns a request of the first class with [`TIMEOUT`].
+/// Returns a request of the first class with [`CALL_TIMEOUT`].
 pub fn request(id: u64) -> Request {
-    Request { id: RequestId(id), timeout: TIMEOUT, ..Request::default() }
+    Request { id: RequestId(id), timeout: CALL_TIMEOUT, ..Request::default() }
 }
 
-/// Returns a call that arrives at time 0 with [`TIMEOUT`] and [`T1`].
-pub fn call_of(request: Request, settings: Settings) -> Call {
-    Call::new(&request, Arc::new(settings), 0.0, TIMEOUT, T1)
+/// Returns a call of the request that arrives at time 0 with [`CALL_TIMEOUT`] and [`T1`].
+pub fn call_for_request(request: Request, settings: Settings) -> Call {
+    Call::new(&request, Arc::new(settings), 0.0, CALL_TIMEOUT, T1)
 }
 
-/// Returns a call of safe requests that arrives at time 0 with [`TIMEOUT`] and [`T1`].
+/// Returns a call of a safe request that arrives at time 0 with [`CALL_TIMEOUT`] and [`T1`].
 pub fn safe_call(id: u64) -> Call {
-    call_of(request(id), settings_with_effect(Effect::Safe))
+    call_for_request(request(id), settings_with_effect(Effect::Safe))
 }
 
-/// Returns the keys of queued calls of safe requests, which are numbered from 0.
+/// Returns the keys of `COUNT` queued calls of safe requests, whose ids start at 0.
 pub fn call_keys<const COUNT: usize>() -> [CallKey; COUNT] {
     let mut table = CallTable::default();
     std::array::from_fn(|id| table.insert(safe_call(id as u64), CallStage::Queued))
--- a/crates/balancer/tests/concerns/fleet_assignment.rs
+++ b/crates/balancer/tests/concerns/fleet_assignment.rs
@@ -5,8 +5,8 @@
 use crate::support::{BackendIndex, BackendMap};
 use std::collections::BTreeMap;
 
-/// Returns the indices of this many backends.
-fn indices(count: u32) -> Vec<BackendIndex> {
+/// Returns the indices of `count` backends.
+fn backend_indices(count: u32) -> Vec<BackendIndex> {
     let mut map = BackendMap::default();
     for _ in 0..count {
         map.insert(map.next_index(), ());
@@ -14,19 +14,19 @@
     map.indices().collect()
 }
 
-/// Returns backends with the ids from 0 on.
-fn backends(count: u32) -> Vec<AssignableBackend> {
-    let backends = indices(count).into_iter().zip(0..);
+/// Returns `count` backends, whose ids start at 0.
+fn assignable_backends(count: u32) -> Vec<AssignableBackend> {
+    let backends = backend_indices(count).into_iter().zip(0..);
     backends.map(|(index, id)| AssignableBackend { index, id: BackendId(id) }).collect()
 }
 
-/// Assigns this many backends.
+/// Assigns `count` backends to `balancers` balancers.
 fn assign(count: u32, balancers: usize, min_members: usize) -> FleetAssignment {
     let shape = FleetShape { balancers, min_members: min_members as f64 };
-    FleetAssignment::new(backends(count), shape)
+    FleetAssignment::new(assignable_backends(count), shape)
 }
 
-/// Returns the number of subsets of each backend that is in one.
+/// Returns the number of subsets that each backend is in. Backends in no subset are absent.
 fn memberships(assignment: &FleetAssignment, balancers: usize) -> BTreeMap<BackendIndex, usize> {
     let mut memberships = BTreeMap::new();
     for member in (0..balancers).flat_map(|balancer| assignment.members(balancer, 0)) {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn assigns_each_backend_to_a_balancer_where_subsets_have_no_least_size() {
+fn assigns_each_backend_to_one_balancer_if_subsets_have_no_least_size() {
     for balancers in 1..30 {
         let assignment = assign(40, balancers, 0);
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn gives_each_balancer_the_least_number_of_members_as_far_as_there_are_backends() {
+fn assigns_the_least_number_of_members_or_all_backends_to_each_balancer() {
     for (count, min_members) in [(1, 3), (2, 3), (3, 3), (4, 3), (50, 3), (50, 49)] {
         let assignment = assign(count, 20, min_members);
 
@@ -60,19 +60,19 @@
 }
 
 #[test]
-fn gives_a_balancer_as_many_members_as_wanted_with_those_that_are_assigned_among_them() {
+fn extends_the_assigned_members_of_a_balancer_to_the_target_size_or_to_all_backends() {
     let assignment = assign(30, 10, 3);
 
     let assigned = assignment.members(4, 0);
-    let wanted = assignment.members(4, 12);
+    let extended = assignment.members(4, 12);
     let all = assignment.members(4, 100);
 
-    assert_eq!([wanted.len(), all.len()], [12, 30]);
-    assert!(assigned.iter().all(|member| wanted.iter().any(|other| other.index == member.index)));
+    assert_eq!([extended.len(), all.len()], [12, 30]);
+    assert!(assigned.iter().all(|member| extended.iter().any(|other| other.index == member.index)));
 }
 
 #[test]
-fn tells_how_many_subsets_have_a_member_over_the_mean() {
+fn returns_the_ratio_of_the_memberships_of_a_member_to_the_mean() {
     let assignment = assign(17, 12, 3);
 
     let memberships = memberships(&assignment, 12);
@@ -85,16 +85,16 @@
 }
 
 #[test]
-fn assigns_nothing_to_a_balancer_that_there_is_not_or_without_backends() {
+fn assigns_no_members_if_the_balancer_does_not_exist_or_there_are_no_backends() {
     assert!(assign(5, 3, 2).members(3, 0).is_empty());
     assert!(assign(0, 3, 2).members(0, 4).is_empty());
 }
 
 #[test]
-fn rounds_a_fraction_of_a_member_up_for_as_many_balancers() {
+fn rounds_a_fractional_least_size_up_for_that_fraction_of_the_balancers() {
     let shape = FleetShape { balancers: 40, min_members: 3.25 };
 
-    let assignment = FleetAssignment::new(backends(20), shape);
+    let assignment = FleetAssignment::new(assignable_backends(20), shape);
 
     let sizes: Vec<_> = (0..40).map(|balancer| assignment.members(balancer, 0).len()).collect();
     assert!(sizes.iter().all(|size| [3, 4].contains(size)), "{sizes:?}");
--- a/crates/balancer/tests/concerns/load_reports.rs
+++ b/crates/balancer/tests/concerns/load_reports.rs
@@ -6,8 +6,8 @@
 use crate::support::BackendIndex;
 use crate::support::tests::assertions::assert_close;
 
-/// Returns the state of backends that have not reported yet.
-fn reports_of(backends: &[BackendIndex]) -> LoadReports {
+/// Returns the state of backends that have not reported their load.
+fn reports_without_samples(backends: &[BackendIndex]) -> LoadReports {
     let mut reports = LoadReports::default();
     for backend in backends {
         reports.add_backend(*backend);
@@ -15,18 +15,18 @@
     reports
 }
 
-fn report(service_time: Option<Time>, requests_per_second: Option<f64>) -> LoadReport {
+fn load_report(service_time: Option<Time>, requests_per_second: Option<f64>) -> LoadReport {
     LoadReport { service_time, requests_per_second }
 }
 
 #[test]
-fn relates_the_service_time_of_a_backend_to_that_of_the_fleet() {
+fn returns_the_service_time_of_a_backend_relative_to_the_mean_of_the_fleet() {
     let [fast, slow, silent] = backend_indices();
-    let mut reports = reports_of(&[fast, slow, silent]);
+    let mut reports = reports_without_samples(&[fast, slow, silent]);
 
     for _ in 0..1000 {
-        reports.record(fast, WarmUpState::Warm, report(Some(0.1), None));
-        reports.record(slow, WarmUpState::Warm, report(Some(0.3), None));
+        reports.record(fast, WarmUpState::Warm, load_report(Some(0.1), None));
+        reports.record(slow, WarmUpState::Warm, load_report(Some(0.3), None));
     }
 
     let fast_ratio = reports.relative_service_time(fast);
@@ -39,36 +39,36 @@
 #[test]
 fn skips_values_that_are_absent_or_not_positive() {
     let [backend] = backend_indices();
-    let mut reports = reports_of(&[backend]);
+    let mut reports = reports_without_samples(&[backend]);
 
-    reports.record(backend, WarmUpState::Warm, report(Some(0.0), Some(0.0)));
-    reports.record(backend, WarmUpState::Warm, report(Some(-1.0), Some(f64::NAN)));
-    reports.record(backend, WarmUpState::Warm, report(None, None));
+    reports.record(backend, WarmUpState::Warm, load_report(Some(0.0), Some(0.0)));
+    reports.record(backend, WarmUpState::Warm, load_report(Some(-1.0), Some(f64::NAN)));
+    reports.record(backend, WarmUpState::Warm, load_report(None, None));
 
     assert_eq!(reports.requests_per_second_per_backend(), None);
     assert_close(reports.relative_service_time(backend), 1.0);
 }
 
 #[test]
-fn counts_the_request_rates_of_warm_backends_only() {
+fn uses_the_request_rates_of_warm_backends_only() {
     let [warm, warming_up] = backend_indices();
-    let mut reports = reports_of(&[warm, warming_up]);
+    let mut reports = reports_without_samples(&[warm, warming_up]);
 
-    reports.record(warming_up, WarmUpState::WarmingUp, report(None, Some(1.0)));
+    reports.record(warming_up, WarmUpState::WarmingUp, load_report(None, Some(1.0)));
     let before_a_warm_report = reports.requests_per_second_per_backend();
-    reports.record(warm, WarmUpState::Warm, report(None, Some(50.0)));
-    reports.record(warming_up, WarmUpState::WarmingUp, report(None, Some(1.0)));
+    reports.record(warm, WarmUpState::Warm, load_report(None, Some(50.0)));
+    reports.record(warming_up, WarmUpState::WarmingUp, load_report(None, Some(1.0)));
 
     assert_eq!(before_a_warm_report, None);
     assert_eq!(reports.requests_per_second_per_backend(), Some(50.0));
 }
 
 #[test]
-fn a_backend_added_at_a_reused_index_has_not_reported() {
+fn a_backend_added_at_a_reused_index_has_no_load_reports() {
     let [removed, other] = backend_indices();
-    let mut reports = reports_of(&[removed, other]);
-    reports.record(other, WarmUpState::Warm, report(Some(0.1), None));
-    reports.record(removed, WarmUpState::Warm, report(Some(0.9), None));
+    let mut reports = reports_without_samples(&[removed, other]);
+    reports.record(other, WarmUpState::Warm, load_report(Some(0.1), None));
+    reports.record(removed, WarmUpState::Warm, load_report(Some(0.9), None));
 
     reports.add_backend(removed);
 
@@ -76,9 +76,9 @@
 }
 
 #[test]
-fn every_third_send_is_followed_by_a_health_check_of_the_next_member_in_turn() {
+fn requests_a_health_check_of_the_next_member_after_every_third_send() {
     let members: [BackendIndex; 3] = backend_indices();
-    let mut reports = reports_of(&members);
+    let mut reports = reports_without_samples(&members);
 
     let checks: Vec<_> = (0..12).map(|_| reports.count_send(&members)).collect();
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn checks_no_health_where_the_subset_has_no_member() {
+fn requests_no_health_check_if_the_subset_is_empty() {
     let mut reports = LoadReports::default();
 
     let checks: Vec<_> = (0..6).map(|_| reports.count_send(&[])).collect();
--- a/crates/balancer/tests/concerns/mod.rs
+++ b/crates/balancer/tests/concerns/mod.rs
@@ -1,4 +1,4 @@
-//! Each concern of the decision module by itself. The files are part of the crate, as the types of the
+//! Unit tests of each concern of the decision module. They are compiled into the crate, as the types of the
 //! concerns are private to the decisions.
 
 mod admission;
--- a/crates/balancer/tests/concerns/ordered_keys.rs
+++ b/crates/balancer/tests/concerns/ordered_keys.rs
@@ -1,16 +1,16 @@
-//! Ordering keys: which call of a key is next, and what blocks a key.
+//! Ordering keys: the next call of a key, and the attempts that block a key.
 
 use super::fixtures::{attempt, backend_indices, call_keys, safe_call};
 use crate::decisions::calls::{Call, CallKey};
 use crate::decisions::ordered_keys::{OrderedKeys, may_still_run};
 use crate::interface::{AttemptNumber, Outcome, RequestId, Time};
 
-/// An ordering key.
-const KEY: u64 = 7;
-/// The number of queues beyond which idle ones are dropped.
-const MANY_QUEUES: u64 = 16;
+/// The ordering key of the calls of these tests.
+const ORDERING_KEY: u64 = 7;
+/// The number of queues at which idle queues are removed.
+const PRUNE_THRESHOLD_QUEUES: u64 = 16;
 
-/// Returns the call of request 1, with one attempt.
+/// Returns the call of request 1 with one attempt, which has this outcome.
 fn call_with_attempt(outcome: Option<Outcome>) -> Call {
     let [backend] = backend_indices();
     let mut call = safe_call(1);
@@ -18,96 +18,96 @@
     call
 }
 
-fn next_key(keys: &OrderedKeys) -> Option<CallKey> {
-    keys.next(KEY).map(|next| next.key)
+fn next_call_key(keys: &OrderedKeys) -> Option<CallKey> {
+    keys.next(ORDERING_KEY).map(|next| next.key)
 }
 
-/// Returns the state after a key has rested until 5 s, has no call any more, and the calls of many other
-/// keys have arrived at `now`.
-fn keys_after_rest(now: Time) -> OrderedKeys {
+/// Returns the state at `now`, in which [`ORDERING_KEY`] has no calls and is blocked until 5 s, and calls of
+/// [`PRUNE_THRESHOLD_QUEUES`] other keys have arrived.
+fn keys_after_block(now: Time) -> OrderedKeys {
     let [ended, other] = call_keys();
     let mut keys = OrderedKeys::default();
-    keys.enqueue(KEY, ended, 0.0);
-    keys.block_until(KEY, 5.0);
-    keys.remove(KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
-    for other_key in 0..MANY_QUEUES {
+    keys.enqueue(ORDERING_KEY, ended, 0.0);
+    keys.block_until(ORDERING_KEY, 5.0);
+    keys.remove(ORDERING_KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
+    for other_key in 0..PRUNE_THRESHOLD_QUEUES {
         keys.enqueue(100 + other_key, other, now);
     }
     keys
 }
 
 #[test]
-fn the_next_call_is_the_first_to_arrive_that_has_not_ended() {
+fn returns_the_earliest_unfinished_call_as_the_next_call() {
     let [first, second, third] = call_keys();
     let mut keys = OrderedKeys::default();
     for call in [first, second, third] {
-        keys.enqueue(KEY, call, 0.0);
+        keys.enqueue(ORDERING_KEY, call, 0.0);
     }
     let answered = call_with_attempt(Some(Outcome::Success));
 
-    let at_first = next_key(&keys);
-    keys.remove(KEY, second, &safe_call(2));
-    keys.remove(KEY, first, &answered);
+    let at_first = next_call_key(&keys);
+    keys.remove(ORDERING_KEY, second, &safe_call(2));
+    keys.remove(ORDERING_KEY, first, &answered);
 
     assert_eq!(at_first, Some(first));
-    assert_eq!(next_key(&keys), Some(third));
-    assert_eq!(keys.queue_len(KEY), 1);
-    assert_eq!(keys.queue_len(KEY + 1), 0);
+    assert_eq!(next_call_key(&keys), Some(third));
+    assert_eq!(keys.queue_len(ORDERING_KEY), 1);
+    assert_eq!(keys.queue_len(ORDERING_KEY + 1), 0);
 }
 
 #[test]
 fn an_attempt_in_flight_of_an_ended_call_blocks_its_key_until_the_attempt_ends() {
     let [ended, waiting] = call_keys();
     let mut keys = OrderedKeys::default();
-    keys.enqueue(KEY, ended, 0.0);
-    keys.enqueue(KEY, waiting, 0.0);
+    keys.enqueue(ORDERING_KEY, ended, 0.0);
+    keys.enqueue(ORDERING_KEY, waiting, 0.0);
 
-    keys.remove(KEY, ended, &call_with_attempt(None));
-    let while_in_flight = next_key(&keys);
-    let settled = keys.remove_orphan(RequestId(1), AttemptNumber(0));
-    let settled_again = keys.remove_orphan(RequestId(1), AttemptNumber(0));
+    keys.remove(ORDERING_KEY, ended, &call_with_attempt(None));
+    let while_in_flight = next_call_key(&keys);
+    let removed_orphan_key = keys.remove_orphan(RequestId(1), AttemptNumber(0));
+    let removed_again = keys.remove_orphan(RequestId(1), AttemptNumber(0));
 
     assert_eq!(while_in_flight, None);
-    assert_eq!(settled, Some(KEY));
-    assert_eq!(settled_again, None);
-    assert_eq!(next_key(&keys), Some(waiting));
+    assert_eq!(removed_orphan_key, Some(ORDERING_KEY));
+    assert_eq!(removed_again, None);
+    assert_eq!(next_call_key(&keys), Some(waiting));
 }
 
 #[test]
 fn an_attempt_with_an_outcome_does_not_block_its_key() {
     let [ended, waiting] = call_keys();
     let mut keys = OrderedKeys::default();
-    keys.enqueue(KEY, ended, 0.0);
-    keys.enqueue(KEY, waiting, 0.0);
+    keys.enqueue(ORDERING_KEY, ended, 0.0);
+    keys.enqueue(ORDERING_KEY, waiting, 0.0);
 
-    keys.remove(KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
+    keys.remove(ORDERING_KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
 
-    assert_eq!(next_key(&keys), Some(waiting));
+    assert_eq!(next_call_key(&keys), Some(waiting));
     assert_eq!(keys.remove_orphan(RequestId(1), AttemptNumber(0)), None);
 }
 
 #[test]
-fn keeps_a_key_that_rests_when_idle_queues_are_dropped() {
+fn keeps_a_blocked_key_when_idle_queues_are_removed() {
     let [call] = call_keys();
-    let mut keys = keys_after_rest(4.9);
+    let mut keys = keys_after_block(4.9);
 
-    keys.enqueue(KEY, call, 4.9);
+    keys.enqueue(ORDERING_KEY, call, 4.9);
 
-    assert_eq!(keys.next(KEY).map(|next| next.blocked_until), Some(5.0));
+    assert_eq!(keys.next(ORDERING_KEY).map(|next| next.blocked_until), Some(5.0));
 }
 
 #[test]
-fn drops_a_key_whose_rest_is_over_when_there_are_many() {
+fn removes_a_key_that_is_no_longer_blocked_if_there_are_many_queues() {
     let [call] = call_keys();
-    let mut keys = keys_after_rest(5.0);
+    let mut keys = keys_after_block(5.0);
 
-    keys.enqueue(KEY, call, 5.0);
+    keys.enqueue(ORDERING_KEY, call, 5.0);
 
-    assert_eq!(keys.next(KEY).map(|next| next.blocked_until), Some(0.0));
+    assert_eq!(keys.next(ORDERING_KEY).map(|next| next.blocked_until), Some(0.0));
 }
 
 #[test]
-fn an_attempt_may_still_run_unless_its_backend_has_answered_or_was_not_reached() {
+fn an_attempt_may_still_run_unless_its_backend_has_responded_or_was_not_reached() {
     let may_run = [Outcome::Timeout, Outcome::Reset, Outcome::Cancelled];
     let cannot_run =
         [Outcome::Success, Outcome::Error, Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent];
--- a/crates/balancer/tests/concerns/quotas.rs
+++ b/crates/balancer/tests/concerns/quotas.rs
@@ -1,17 +1,17 @@
-//! Quotas: which requests lie within the quota of their tenant.
+//! Quotas: whether a request is within the quota of its tenant.
 
 use crate::decisions::quotas::{QuotaStatus, Quotas};
 use crate::interface::{Settings, Tenant, TenantIndex, Time};
 
 /// The index of the only tenant, or of the first one.
-const TENANT: Option<TenantIndex> = Some(TenantIndex(0));
+const FIRST_TENANT: Option<TenantIndex> = Some(TenantIndex(0));
 
 fn tenant(name: &str, quota_per_second: f64) -> Tenant {
     Tenant { name: name.to_string(), quota_per_second }
 }
 
-/// Returns the quotas at time 0 of one tenant, which one of `instance_count` balancers enforces.
-fn quotas(quota_per_second: f64, instance_count: usize) -> Quotas {
+/// Returns the quotas at time 0 of one tenant at one of `instance_count` balancers.
+fn quotas_of_one_tenant(quota_per_second: f64, instance_count: usize) -> Quotas {
     let tenants = vec![tenant("tenant", quota_per_second)];
     let settings = Settings { tenants, instance_count, ..Settings::default() };
     let mut quotas = Quotas::default();
@@ -19,19 +19,19 @@
     quotas
 }
 
-/// Consumes the quota of the tenant at `now`, and returns the number of requests within the quota.
+/// Consumes the remaining quota of the first tenant at `now`. Returns the number of requests within quota.
 fn exhaust(quotas: &mut Quotas, now: Time) -> usize {
     let mut requests = 0;
-    while quotas.status(TENANT, now) == QuotaStatus::Within {
-        quotas.consume(TENANT);
+    while quotas.status(FIRST_TENANT, now) == QuotaStatus::Within {
+        quotas.consume(FIRST_TENANT);
         requests += 1;
     }
     requests
 }
 
 #[test]
-fn allows_the_quota_of_one_second_at_once_and_then_the_quota_per_second() {
-    let mut quotas = quotas(4.0, 1);
+fn allows_a_burst_of_the_quota_of_one_second_and_then_the_quota_per_second() {
+    let mut quotas = quotas_of_one_tenant(4.0, 1);
 
     let at_once = exhaust(&mut quotas, 0.0);
     let after_half_a_second = exhaust(&mut quotas, 0.5);
@@ -42,14 +42,14 @@
 
 #[test]
 fn divides_the_quota_evenly_among_the_balancers() {
-    let mut quotas = quotas(12.0, 4);
+    let mut quotas = quotas_of_one_tenant(12.0, 4);
 
     assert_eq!(exhaust(&mut quotas, 0.0), 3);
 }
 
 #[test]
-fn allows_a_single_request_where_the_quota_is_less_than_one_per_second() {
-    let mut quotas = quotas(0.5, 1);
+fn allows_a_burst_of_one_request_if_the_quota_is_less_than_one_per_second() {
+    let mut quotas = quotas_of_one_tenant(0.5, 1);
 
     let at_once = exhaust(&mut quotas, 0.0);
     let before_the_next = exhaust(&mut quotas, 1.5);
@@ -59,33 +59,33 @@
 }
 
 #[test]
-fn a_request_that_is_not_admitted_uses_no_quota() {
-    let mut quotas = quotas(1.0, 1);
+fn a_request_that_is_not_admitted_consumes_no_quota() {
+    let mut quotas = quotas_of_one_tenant(1.0, 1);
 
-    let statuses = [(); 3].map(|()| quotas.status(TENANT, 0.0));
+    let statuses = [(); 3].map(|()| quotas.status(FIRST_TENANT, 0.0));
 
     assert_eq!(statuses, [QuotaStatus::Within; 3]);
 }
 
 #[test]
-fn a_request_without_a_tenant_is_within_quota_also_where_that_of_each_tenant_is_exceeded() {
-    let mut quotas = quotas(1.0, 1);
+fn a_request_without_a_tenant_is_within_quota_even_if_every_tenant_has_exceeded_its_quota() {
+    let mut quotas = quotas_of_one_tenant(1.0, 1);
     exhaust(&mut quotas, 0.0);
 
     quotas.consume(None);
 
     assert_eq!(quotas.status(None, 0.0), QuotaStatus::Within);
-    assert_eq!(quotas.status(TENANT, 0.0), QuotaStatus::Exceeded);
+    assert_eq!(quotas.status(FIRST_TENANT, 0.0), QuotaStatus::Exceeded);
 }
 
 #[test]
-fn keeps_the_used_quota_of_a_tenant_over_a_settings_change() {
-    let mut quotas = quotas(2.0, 1);
+fn keeps_the_remaining_quota_of_a_tenant_when_settings_change() {
+    let mut quotas = quotas_of_one_tenant(2.0, 1);
     exhaust(&mut quotas, 0.0);
     let tenants = vec![tenant("new", 2.0), tenant("tenant", 2.0)];
     let settings = Settings { tenants, ..Settings::default() };
 
-    quotas.apply_settings(&settings, &[None, TENANT], 0.0);
+    quotas.apply_settings(&settings, &[None, FIRST_TENANT], 0.0);
 
     assert_eq!(quotas.status(Some(TenantIndex(0)), 0.0), QuotaStatus::Within);
     assert_eq!(quotas.status(Some(TenantIndex(1)), 0.0), QuotaStatus::Exceeded);
--- a/crates/balancer/tests/concerns/retransmission.rs
+++ b/crates/balancer/tests/concerns/retransmission.rs
@@ -1,4 +1,4 @@
-//! Retransmission control: the doubling timers, T1, and the probability of a retry.
+//! Retransmission control: the retry timers, T1, and the probability of a retry.
 
 use crate::decisions::retransmission::{RetryTimer, first_interval, retry_probability};
 use crate::interface::Time;
@@ -7,13 +7,14 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
+/// T1 of the calls of these tests, in seconds.
 const T1: Time = 0.5;
 /// The resolution of timers, in seconds.
-const QUANTUM: Time = 0.01;
-/// The average send rate at which ten calls are one T1's worth.
+const TIMER_RESOLUTION: Time = 0.01;
+/// The average send rate, at which ten calls are sent in one T1.
 const SENDS_PER_SECOND: f64 = 20.0;
 
-/// Returns an estimate from samples that all count as in a plain mean.
+/// Returns an estimate from samples with the weights of a plain mean.
 fn estimate_of(latencies: &[Time]) -> LatencyEstimate {
     let mut estimate = LatencyEstimate::default();
     for (index, latency) in latencies.iter().enumerate() {
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn the_timers_fire_after_t1_and_then_twice_as_long_after_one_another() {
+fn retry_timers_fire_after_t1_and_then_at_doubling_intervals() {
     let dispatched_at = 100.0;
     let mut random = SmallRng::seed_from_u64(1);
     let mut timer = RetryTimer::new(T1);
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn spreads_the_timers_evenly_over_a_tenth_of_t1_on_both_sides() {
+fn spreads_retry_timers_evenly_within_a_tenth_of_t1_on_both_sides() {
     let mut random = SmallRng::seed_from_u64(1);
     let timer = RetryTimer::new(T1);
 
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn has_fired_once_between_the_first_and_the_second_firing() {
+fn has_fired_once_only_between_the_first_and_the_second_firing() {
     let mut timer = RetryTimer::new(T1);
     let mut has_fired_once = [timer.has_fired_once(); 3];
 
@@ -68,29 +69,29 @@
 }
 
 #[test]
-fn t1_lies_four_mean_deviations_above_the_mean_latency() {
+fn t1_is_the_mean_latency_plus_four_mean_deviations() {
     let latency = estimate_of(&[0.1, 0.2, 0.1, 0.2]);
 
-    let t1 = first_interval(&latency, 100.0, QUANTUM);
+    let t1 = first_interval(&latency, 100.0, TIMER_RESOLUTION);
 
     assert_close(t1, latency.mean() + 4.0 * latency.deviation());
 }
 
 #[test]
-fn t1_leaves_time_for_a_retry_and_is_not_shorter_than_a_quantum() {
+fn t1_leaves_time_for_a_retry_and_is_at_least_the_timer_resolution() {
     let unknown = LatencyEstimate::default();
     let slow = estimate_of(&[5.0]);
     let instant = estimate_of(&[0.0]);
 
-    assert_close(first_interval(&unknown, 2.0, QUANTUM), 0.8);
-    assert_close(first_interval(&slow, 2.0, QUANTUM), 0.8);
-    assert_close(first_interval(&instant, 2.0, QUANTUM), QUANTUM);
-    assert_close(first_interval(&unknown, 0.0, QUANTUM), QUANTUM);
-    assert_close(first_interval(&slow, -1.0, QUANTUM), QUANTUM);
+    assert_close(first_interval(&unknown, 2.0, TIMER_RESOLUTION), 0.8);
+    assert_close(first_interval(&slow, 2.0, TIMER_RESOLUTION), 0.8);
+    assert_close(first_interval(&instant, 2.0, TIMER_RESOLUTION), TIMER_RESOLUTION);
+    assert_close(first_interval(&unknown, 0.0, TIMER_RESOLUTION), TIMER_RESOLUTION);
+    assert_close(first_interval(&slow, -1.0, TIMER_RESOLUTION), TIMER_RESOLUTION);
 }
 
 #[test]
-fn the_probability_falls_linearly_from_one_to_a_tenth_between_the_thresholds() {
+fn retry_probability_falls_linearly_from_one_to_a_tenth_between_the_thresholds() {
     let unanswered = [0, 10, 11, 12, 15, 1000];
 
     let probabilities = unanswered.map(|calls| retry_probability(T1, calls, SENDS_PER_SECOND, 0.0));
@@ -101,15 +102,15 @@
 }
 
 #[test]
-fn a_single_waiting_call_of_a_quiet_balancer_is_retried_for_certain() {
-    let quiet = 0.01;
+fn retry_probability_is_one_for_a_single_unanswered_call_of_a_quiet_balancer() {
+    let quiet_sends_per_second = 0.01;
 
-    assert_close(retry_probability(T1, 1, quiet, 0.0), 1.0);
-    assert_close(retry_probability(T1, 2, quiet, 0.0), 0.1);
+    assert_close(retry_probability(T1, 1, quiet_sends_per_second, 0.0), 1.0);
+    assert_close(retry_probability(T1, 2, quiet_sends_per_second, 0.0), 0.1);
 }
 
 #[test]
-fn the_overload_level_lowers_the_probability_to_no_less_than_a_tenth() {
+fn overload_level_lowers_the_retry_probability_to_no_less_than_a_tenth() {
     let levels = [0.0, 0.25, 0.9, 1.0];
 
     let probabilities = levels.map(|level| retry_probability(T1, 0, SENDS_PER_SECOND, level));
--- a/crates/balancer/tests/concerns/slow_start.rs
+++ b/crates/balancer/tests/concerns/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the budgets of backends that are warming up.
+//! Slow start: the request budgets of backends that are warming up.
 
 use super::fixtures::backend_indices;
 use crate::decisions::slow_start::{SlowStart, WarmRate};
@@ -7,18 +7,18 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// The rate that warm backends report: at the end of slow start, half of what would overload a backend is
-/// 1.5 times that, which is 15 requests per second.
-const WARM_RATE: WarmRate = WarmRate::Reported(10.0);
-/// The time from its start after which a backend has its full capacity, in seconds.
-const DURATION: Time = 10.0;
+/// The rate that warm backends report, in requests per second. At the end of slow start, three times this
+/// rate overloads a backend, and all balancers together may send half of that: 15 requests per second.
+const REPORTED_WARM_RATE: WarmRate = WarmRate::Reported(10.0);
+/// The time from the start of a backend until the backend has its full capacity, in seconds.
+const SLOW_START_DURATION: Time = 10.0;
 /// The time at which the backends of these tests start, in seconds.
-const START: Time = 100.0;
-/// The time at which they have their full capacity, in seconds.
-const WARM_AT: Time = START + DURATION;
-const SEED: u64 = 1;
+const BACKEND_START: Time = 100.0;
+/// The time at which the backends of these tests reach their full capacity, in seconds.
+const BACKEND_WARM_AT: Time = BACKEND_START + SLOW_START_DURATION;
+const RANDOM_SEED: u64 = 1;
 
-/// A backend that started at [`START`], and the state of slow start.
+/// A backend that started at [`BACKEND_START`], with the state of slow start.
 struct WarmingBackend {
     index: BackendIndex,
     slow_start: SlowStart,
@@ -26,11 +26,11 @@
 }
 
 impl WarmingBackend {
-    /// Returns a backend that is added to the state at a time.
+    /// Returns a backend that is added to the state at `now`.
     fn added_at(now: Time) -> Self {
         let settings = Settings {
             slow_start_initial_capacity: 0.1,
-            slow_start_duration: DURATION,
+            slow_start_duration: SLOW_START_DURATION,
             slow_start_overload_multiple: 3.0,
             slow_start_overload_window: 2.0,
             ..Settings::default()
@@ -39,15 +39,15 @@
         let mut slow_start = SlowStart::default();
         slow_start.apply_settings(&settings);
         slow_start.reset(index, now);
-        Self { index, slow_start, random: SmallRng::seed_from_u64(SEED) }
+        Self { index, slow_start, random: SmallRng::seed_from_u64(RANDOM_SEED) }
     }
 
     fn has_budget(&mut self, warm_rate: WarmRate, now: Time) -> bool {
-        self.slow_start.has_budget(self.index, START, warm_rate, now, &mut self.random)
+        self.slow_start.has_budget(self.index, BACKEND_START, warm_rate, now, &mut self.random)
     }
 
-    /// Sends requests at one time until the budget does not permit another one, and returns their number.
-    fn exhaust(&mut self, warm_rate: WarmRate, now: Time) -> usize {
+    /// Sends requests at `now` until the budget does not permit another one. Returns the number of requests.
+    fn exhaust_budget(&mut self, warm_rate: WarmRate, now: Time) -> usize {
         let mut sent = 0;
         while self.has_budget(warm_rate, now) {
             self.slow_start.record_send(self.index);
@@ -59,72 +59,73 @@
 
 #[test]
 fn a_backend_is_warming_up_until_its_slow_start_is_over() {
-    let WarmingBackend { slow_start, .. } = WarmingBackend::added_at(START);
+    let WarmingBackend { slow_start, .. } = WarmingBackend::added_at(BACKEND_START);
 
     assert!(slow_start.is_warming_up(5.0, 5.0));
-    assert!(slow_start.is_warming_up(5.0, 4.9 + DURATION));
-    assert!(!slow_start.is_warming_up(5.0, 5.0 + DURATION));
-    assert_eq!(slow_start.duration(), DURATION);
+    assert!(slow_start.is_warming_up(5.0, 4.9 + SLOW_START_DURATION));
+    assert!(!slow_start.is_warming_up(5.0, 5.0 + SLOW_START_DURATION));
+    assert_eq!(slow_start.duration(), SLOW_START_DURATION);
 }
 
 #[test]
 fn a_backend_has_no_budget_when_it_is_added_nor_after_a_reset() {
-    let mut backend = WarmingBackend::added_at(START);
-    let when_added = backend.exhaust(WARM_RATE, START);
+    let mut backend = WarmingBackend::added_at(BACKEND_START);
+    let when_added = backend.exhaust_budget(REPORTED_WARM_RATE, BACKEND_START);
 
-    backend.slow_start.reset(backend.index, WARM_AT);
-    let after_reset = backend.exhaust(WARM_RATE, WARM_AT);
+    backend.slow_start.reset(backend.index, BACKEND_WARM_AT);
+    let after_reset = backend.exhaust_budget(REPORTED_WARM_RATE, BACKEND_WARM_AT);
 
     assert_eq!([when_added, after_reset], [0, 0]);
 }
 
 #[test]
-fn keeps_unused_budget_for_the_overload_window_only() {
-    let mut backend = WarmingBackend::added_at(START);
+fn accumulates_unused_budget_over_the_overload_window_only() {
+    let mut backend = WarmingBackend::added_at(BACKEND_START);
 
-    let sent = backend.exhaust(WARM_RATE, WARM_AT);
+    let sent = backend.exhaust_budget(REPORTED_WARM_RATE, BACKEND_WARM_AT);
 
     assert_eq!(sent, 2 * 15);
 }
 
 #[test]
-fn permits_more_by_reported_rates_than_by_the_rate_of_this_balancer() {
+fn permits_more_requests_with_reported_rates_than_with_the_rate_of_this_balancer() {
     let own_rate = WarmRate::Own(10.0);
 
-    let by_reported_rate = WarmingBackend::added_at(START).exhaust(WARM_RATE, WARM_AT);
-    let by_own_rate = WarmingBackend::added_at(START).exhaust(own_rate, WARM_AT);
+    let by_reported_rate =
+        WarmingBackend::added_at(BACKEND_START).exhaust_budget(REPORTED_WARM_RATE, BACKEND_WARM_AT);
+    let by_own_rate = WarmingBackend::added_at(BACKEND_START).exhaust_budget(own_rate, BACKEND_WARM_AT);
 
     assert_eq!(by_reported_rate, 2 * 15);
     assert!((20..=21).contains(&by_own_rate), "2 * 0.35 * 3 * 10 requests, not {by_own_rate}");
 }
 
 #[test]
-fn the_permitted_rate_rises_with_the_capacity_of_the_backend() {
+fn permitted_rate_rises_with_the_capacity_of_the_backend() {
     let sent_within_a_second = |from: Time| {
         let mut backend = WarmingBackend::added_at(from);
         let times = (1..=100).map(|step| from + 0.01 * f64::from(step));
-        times.map(|now| backend.exhaust(WARM_RATE, now)).sum::<usize>()
+        times.map(|now| backend.exhaust_budget(REPORTED_WARM_RATE, now)).sum::<usize>()
     };
 
-    let at_first = sent_within_a_second(START);
-    let at_last = sent_within_a_second(WARM_AT);
+    let at_first = sent_within_a_second(BACKEND_START);
+    let at_last = sent_within_a_second(BACKEND_WARM_AT);
 
     assert!(at_first <= 5, "{at_first}");
     assert!((10..=20).contains(&at_last), "{at_last}");
 }
 
 #[test]
-fn a_fraction_of_a_request_is_a_probability_and_is_spent_by_a_refusal() {
-    let half_a_request_later = WARM_AT + 1.0 / 30.0;
-    let mut backend = WarmingBackend::added_at(WARM_AT);
+fn a_fraction_of_a_request_is_a_probability_and_is_consumed_by_a_refusal() {
+    let half_a_request_later = BACKEND_WARM_AT + 1.0 / 30.0;
+    let mut backend = WarmingBackend::added_at(BACKEND_WARM_AT);
     let mut permitted = 0;
     let mut permitted_after_refusal = 0;
 
     for _ in 0..1000 {
-        backend.slow_start.reset(backend.index, WARM_AT);
-        if backend.has_budget(WARM_RATE, half_a_request_later) {
+        backend.slow_start.reset(backend.index, BACKEND_WARM_AT);
+        if backend.has_budget(REPORTED_WARM_RATE, half_a_request_later) {
             permitted += 1;
-        } else if backend.has_budget(WARM_RATE, half_a_request_later) {
+        } else if backend.has_budget(REPORTED_WARM_RATE, half_a_request_later) {
             permitted_after_refusal += 1;
         }
     }
@@ -134,14 +135,14 @@
 }
 
 #[test]
-fn a_send_beyond_the_budget_is_taken_from_what_becomes_available_later() {
-    let mut backend = WarmingBackend::added_at(WARM_AT);
+fn a_send_beyond_the_budget_is_taken_from_later_budget() {
+    let mut backend = WarmingBackend::added_at(BACKEND_WARM_AT);
     for _ in 0..15 {
         backend.slow_start.record_send(backend.index);
     }
 
-    let a_second_later = backend.exhaust(WARM_RATE, WARM_AT + 1.0);
-    let two_seconds_later = backend.exhaust(WARM_RATE, WARM_AT + 2.0);
+    let a_second_later = backend.exhaust_budget(REPORTED_WARM_RATE, BACKEND_WARM_AT + 1.0);
+    let two_seconds_later = backend.exhaust_budget(REPORTED_WARM_RATE, BACKEND_WARM_AT + 2.0);
 
     assert_eq!([a_second_later, two_seconds_later], [0, 15]);
 }
--- a/crates/balancer/tests/concerns/subset.rs
+++ b/crates/balancer/tests/concerns/subset.rs
@@ -1,4 +1,4 @@
-//! Subset assignment: which backends are members of the subset of a balancer.
+//! Subset assignment: the backends that are members of the subset of a balancer.
 
 use super::fixtures::endpoint;
 use crate::decisions::endpoint_table::EndpointTable;
@@ -8,7 +8,7 @@
 use crate::support::BackendIndex;
 use std::collections::BTreeSet;
 
-/// The facts on which the assignments of a test depend.
+/// The inputs of the assignments of a test.
 struct Fleet {
     settings: Settings,
     endpoints: EndpointTable,
@@ -16,7 +16,7 @@
 }
 
 impl Fleet {
-    /// Returns backends in zone 0 before the first of `instance_count` inner balancers.
+    /// Returns the inputs of the first of `instance_count` inner balancers. All backends are in zone 0.
     fn new(backends: u32, instance_count: usize) -> Self {
         let mut endpoints = EndpointTable::default();
         for id in 0..backends {
@@ -30,14 +30,14 @@
         self.endpoints.indices().collect()
     }
 
-    /// Assigns a subset of the backends in service.
+    /// Assigns the members of a subset from the backends in service.
     fn assign(&self, subset: &mut Subset, in_service: Vec<BackendIndex>, calls_in_flight: Option<f64>) {
         let Self { settings, endpoints, maintenance } = self;
         let inputs = AssignmentInputs { settings, endpoints, maintenance, calls_in_flight, now: 0.0 };
         subset.assign(in_service, inputs);
     }
 
-    /// Returns a first subset of all backends.
+    /// Returns the first subset that is assigned, with all backends in service.
     fn first_subset(&self) -> Subset {
         let mut subset = Subset::default();
         self.assign(&mut subset, self.all_backends(), None);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn has_two_members_at_an_inner_balancer_and_three_at_the_entry_tier() {
+fn assigns_two_members_to_an_inner_balancer_and_three_at_the_entry_tier() {
     let mut fleet = Fleet::new(10, 100);
 
     let inner = fleet.first_subset();
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn has_all_backends_in_service_where_they_are_fewer_than_the_least_size() {
+fn assigns_all_backends_if_there_are_fewer_than_the_least_number_of_members() {
     let fleet = Fleet::new(1, 100);
     let without_backends = Fleet::new(0, 100);
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn each_backend_is_a_member_of_the_subset_of_some_balancer() {
+fn each_backend_is_a_member_of_at_least_one_subset() {
     for instance_count in 1..=12 {
         let mut fleet = Fleet::new(10, instance_count);
         let mut covered: BTreeSet<BackendIndex> = BTreeSet::new();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn grows_with_the_calls_in_flight_and_does_not_shrink_with_them() {
+fn grows_with_the_calls_in_flight_and_does_not_shrink_when_they_decrease() {
     let fleet = Fleet::new(10, 100);
     let mut subset = fleet.first_subset();
 
@@ -128,23 +128,23 @@
 }
 
 #[test]
-fn the_high_watermark_rises_only_and_by_less_where_connections_have_a_cost() {
-    let free = Settings::default();
-    let costly = Settings { connections_have_cost: true, ..Settings::default() };
+fn high_watermark_never_falls_and_rises_by_less_if_connections_have_a_cost() {
+    let free_connections = Settings::default();
+    let costly_connections = Settings { connections_have_cost: true, ..Settings::default() };
 
     let mut subset = Subset::default();
     let with_free_connections = [None, Some(0.5), Some(3.0), Some(3.9), Some(2.0)]
-        .map(|calls| subset.raise_high_watermark(calls, &free));
+        .map(|calls| subset.raise_high_watermark(calls, &free_connections));
     let mut subset = Subset::default();
-    let with_costly_connections =
-        [Some(3.0), Some(4.0), Some(7.0)].map(|calls| subset.raise_high_watermark(calls, &costly));
+    let with_costly_connections = [Some(3.0), Some(4.0), Some(7.0)]
+        .map(|calls| subset.raise_high_watermark(calls, &costly_connections));
 
     assert_eq!(with_free_connections, [false, false, true, false, false]);
     assert_eq!(with_costly_connections, [false, true, false]);
 }
 
 #[test]
-fn has_two_members_in_other_zones_where_crossing_zones_has_a_price() {
+fn assigns_two_members_in_other_zones_if_crossing_zones_has_a_cost() {
     let mut fleet = Fleet::new(10, 100);
     for id in 10..20 {
         fleet.endpoints.upsert(&Endpoint { zone: ZoneId(1), ..endpoint(id) });
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_backend_has_at_least_one_balancer_and_as_many_as_the_memberships_divide_into() {
+fn balancers_per_backend_is_the_mean_number_of_memberships_and_at_least_one() {
     let subset = Fleet::new(10, 100).first_subset();
 
     assert_eq!(subset.balancers_per_backend(100), 20.0);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn settings_assign_alike_unless_a_fact_of_the_assignment_differs() {
+fn assignment_is_unchanged_unless_a_setting_that_it_depends_on_differs() {
     let settings = Settings { cross_zone_cost: 0.5, ..Settings::default() };
 
     let with_other_cost = Settings { cross_zone_cost: 0.7, max_attempts: 9, ..settings.clone() };
--- a/crates/balancer/tests/concerns/timer.rs
+++ b/crates/balancer/tests/concerns/timer.rs
@@ -1,4 +1,4 @@
-//! Timers and the tokens by which the caller hands them back.
+//! Timers and the tokens that identify them to the caller.
 
 use super::fixtures::safe_call;
 use crate::decisions::calls::{CallKey, CallStage, CallTable};
@@ -7,7 +7,7 @@
 use slotmap::KeyData;
 use std::collections::BTreeSet;
 
-/// Returns the keys of some calls. Some are at the places of calls that have ended.
+/// Returns the keys of 20 calls. Five of these calls have ended, and later calls reuse their slots.
 fn call_keys() -> Vec<CallKey> {
     let mut table = CallTable::default();
     let first: Vec<CallKey> =
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn a_token_stands_for_the_timer_that_it_was_made_of() {
-    let of_calls = call_keys().into_iter().flat_map(timers_of);
+fn a_token_converts_back_to_its_timer() {
+    let call_timers = call_keys().into_iter().flat_map(timers_of);
 
-    for timer in of_calls.chain([Timer::EndpointPoll]) {
+    for timer in call_timers.chain([Timer::EndpointPoll]) {
         let token = TimerToken::from(timer);
 
         assert_eq!(Timer::from(token), timer);
@@ -41,11 +41,12 @@
     CallKey::from(KeyData::from_ffi(version << 32 | slot))
 }
 
-/// At 10,000 reuses a second a slot of the call table has been reused 2^29 times after 15 hours. Tokens lost the
-/// two highest bits of a key then: the timer of a call stood for a call that had ended long ago, and the call was
-/// neither retried nor failed at its deadline.
+/// Guards against tokens that omit the highest bits of a call key. At 10,000 reuses per second, a slot of the
+/// call table has been reused 2^29 times after 15 hours. Without the two highest bits of the key, the token of
+/// a timer then identifies a call that ended long ago, and the open call is neither retried nor failed at its
+/// deadline.
 #[test]
-fn a_token_stands_for_its_timer_however_often_the_slot_of_the_call_was_reused() {
+fn a_token_converts_back_to_its_timer_after_any_number_of_slot_reuses() {
     for reuses in [0, 1, 1 << 29, 1 << 30, (1 << 31) - 1] {
         for slot in [1, 1 << 20, (1 << 31) - 1] {
             for timer in timers_of(key_after_reuses(reuses, slot)) {
@@ -56,18 +57,18 @@
 }
 
 #[test]
-fn the_tokens_of_different_timers_differ_also_where_a_call_has_ended() {
-    let of_calls: Vec<Timer> = call_keys().into_iter().flat_map(timers_of).collect();
-    let timers = of_calls.iter().copied().chain([Timer::EndpointPoll]);
+fn tokens_of_different_timers_differ_even_if_slots_of_ended_calls_are_reused() {
+    let call_timers: Vec<Timer> = call_keys().into_iter().flat_map(timers_of).collect();
+    let timers = call_timers.iter().copied().chain([Timer::EndpointPoll]);
 
     let tokens: BTreeSet<TimerToken> = timers.map(TimerToken::from).collect();
 
-    assert_eq!(of_calls.len(), 3 * 20);
-    assert_eq!(tokens.len(), of_calls.len() + 1);
+    assert_eq!(call_timers.len(), 3 * 20);
+    assert_eq!(tokens.len(), call_timers.len() + 1);
 }
 
 #[test]
-fn the_token_of_the_endpoint_poll_is_less_than_those_of_calls() {
+fn token_of_the_endpoint_poll_is_less_than_the_tokens_of_call_timers() {
     let poll = TimerToken::from(Timer::EndpointPoll);
 
     let is_greater = |timer: Timer| TimerToken::from(timer) > poll;
