--- a/crates/balancer/tests/common/actions.rs
+++ b/crates/balancer/tests/common/actions.rs
@@ -1,4 +1,4 @@
-//! Readings of the actions that a balancer returns.
+//! Functions that extract information from the actions of a balancer.
 
 use balancer::{Action, BackendId, RequestId, Time};
 
--- a/crates/balancer/tests/common/balancer_harness.rs
+++ b/crates/balancer/tests/common/balancer_harness.rs
@@ -19,7 +19,7 @@
     pub token: TimerToken,
 }
 
-/// A balancer that is driven event by event, on a virtual clock.
+/// A balancer whose events and virtual clock are controlled by a test.
 pub struct BalancerHarness {
     /// The balancer under test.
     pub balancer: Balancer,
@@ -93,7 +93,7 @@
     pub fn end_attempt(&mut self, sent: SentAttempt, outcome: Outcome, duration: Time) -> Vec<Action> {
         let SentAttempt { request, backend } = sent;
         let backends = &self.attempts[&request];
-        let number = backends.iter().position(|tried| *tried == backend).expect("an attempt that was sent");
+        let number = backends.iter().position(|tried| *tried == backend).expect("the attempt was sent");
         self.handle(Event::AttemptEnded(EndedAttempt {
             id: request,
             backend,
@@ -105,7 +105,8 @@
         }))
     }
 
-    /// Ends the attempts that these actions cancel, as the engine does, and returns the actions that follow.
+    /// Ends the attempts that these actions cancel, as the caller of a balancer does. Returns the actions
+    /// that follow.
     pub fn end_cancelled_attempts(&mut self, actions: &[Action]) -> Vec<Action> {
         let mut following = Vec::new();
         for action in actions {
@@ -161,7 +162,7 @@
         sends(&self.actions_until(end))
     }
 
-    /// Removes the earliest timer, if that is due by `end`, and returns the timer.
+    /// Removes and returns the earliest timer, if a timer is due by `end`.
     fn take_next_timer(&mut self, end: Time) -> Option<PendingTimer> {
         let due_timers = self.timers.iter().enumerate().filter(|(_, timer)| timer.due <= end);
         let (index, _) = due_timers.min_by(|(_, left), (_, right)| left.due.total_cmp(&right.due))?;
--- a/crates/balancer/tests/common/fixtures.rs
+++ b/crates/balancer/tests/common/fixtures.rs
@@ -1,4 +1,4 @@
-//! Settings, classes, tenants and endpoints that many tests start from.
+//! Settings, classes, tenants and endpoints that many tests use.
 
 use balancer::{BackendId, Effect, Endpoint, RequestClass, Settings, Tenant, Tier};
 
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the integration tests, one module for each job.
+//! Helpers of the integration tests.
 #![allow(dead_code, reason = "each test program uses only some of the helpers")]
 
 pub mod actions;
--- a/crates/balancer/tests/concerns/timer.rs
+++ b/crates/balancer/tests/concerns/timer.rs
@@ -42,9 +42,9 @@
 }
 
 /// Guards against tokens that omit the highest bits of a call key. At 10,000 reuses per second, a slot of the
-/// call table has been reused 2^29 times after 15 hours. Without the two highest bits of the key, the token of
-/// a timer then identifies a call that ended long ago, and the open call is neither retried nor failed at its
-/// deadline.
+/// call table has been reused 2^29 times after 15 hours. Without the two highest bits of the key, the token
+/// of a timer then identifies a call that ended long ago, and the open call is neither retried nor failed at
+/// its deadline.
 #[test]
 fn a_token_converts_back_to_its_timer_after_any_number_of_slot_reuses() {
     for reuses in [0, 1, 1 << 29, 1 << 30, (1 << 31) - 1] {
--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -1,4 +1,4 @@
-//! A checker of the decision module's invariants that sees only events and actions.
+//! A checker of the invariants of the decision module, which uses only events and actions.
 
 use balancer::{
     Action, BackendId, CellId, ClassIndex, Effect, Endpoint, IdempotencyGroup, Outcome, RequestId, Settings,
@@ -30,7 +30,7 @@
         !matches!(self.outcome, Some(Outcome::Rejected | Outcome::NoConnection | Outcome::NotSent))
     }
 
-    /// Returns whether the backend may still be at work on the attempt after its end.
+    /// Returns whether the backend may still be processing the attempt after its end.
     fn may_still_run(&self) -> bool {
         matches!(self.outcome, Some(Outcome::Timeout | Outcome::Reset | Outcome::Cancelled))
     }
@@ -64,7 +64,8 @@
     pub requests: HashMap<u64, ObservedRequest>,
     /// The endpoint list, by backend id.
     pub list: HashMap<u32, Endpoint>,
-    /// Draining backends whose idle connections must be closed, since their notification or last use.
+    /// The time of the notification or last use of each draining backend with idle connections that must be
+    /// closed, in seconds.
     pub unclosed_since: HashMap<u32, Time>,
     /// Descriptions of the violations so far.
     pub violations: Vec<String>,
@@ -87,7 +88,7 @@
         self.violations.push(violation.into());
     }
 
-    /// Returns the violation of the order of an ordering key, if sending this request now is one.
+    /// Returns the violation of the order of an ordering key that a send of this request at `now` would be.
     pub fn order_violation(&self, now: Time, id: u64) -> Option<&'static str> {
         let is_ordered = |request: &&ObservedRequest| {
             self.settings.class(request.class).ordered_by_key && request.key.is_some()
@@ -100,18 +101,19 @@
             if !earlier.is_finished || earlier.attempts.iter().any(Attempt::is_in_flight) {
                 return Some("order: an earlier request is not finished");
             }
-            let key_rests = |attempt: &Attempt| {
+            let blocks_key = |attempt: &Attempt| {
                 attempt.may_still_run() && now < attempt.ended_at + self.settings.key_rest_duration
             };
-            if earlier.attempts.iter().any(key_rests) {
+            if earlier.attempts.iter().any(blocks_key) {
                 return Some("order: the key has not rested");
             }
         }
         None
     }
 
-    /// Records a notification or use of a backend. Idle connections to a draining backend must be closed then.
-    pub fn backend_notified_or_used(&mut self, now: Time, backend: u32) {
+    /// Records a notification or use of a backend. Afterwards, idle connections to a draining backend must be
+    /// closed.
+    pub fn record_notification_or_use(&mut self, now: Time, backend: u32) {
         if self.list.get(&backend).is_some_and(|endpoint| endpoint.status == Status::Draining) {
             self.unclosed_since.insert(backend, now);
         } else {
@@ -155,13 +157,13 @@
 
     fn check_send_times(&mut self, timeout: Time, write_within: Time) {
         if !timeout.is_finite() || timeout <= 0.0 || write_within <= 0.0 || write_within > timeout {
-            self.record(format!("timeout {timeout}, to be written within {write_within}"));
+            self.record(format!("send with a timeout of {timeout} s and a write limit of {write_within} s"));
         }
     }
 
     fn check_send(&mut self, now: Time, id: RequestId, backend: BackendId, write_within: Time) {
         let Some(endpoint) = self.list.get(&backend.0).cloned() else {
-            return self.record(format!("sent to unknown {backend:?}"));
+            return self.record(format!("sent an attempt to unknown {backend:?}"));
         };
         if endpoint.status != Status::InService {
             self.record(format!("drain: sent to {backend:?}"));
@@ -170,7 +172,7 @@
             self.record(violation);
         }
         let Some(request) = self.requests.get_mut(&id.0) else {
-            return self.record(format!("sent unknown {id:?}"));
+            return self.record(format!("sent an attempt of unknown {id:?}"));
         };
         let violations = attempt_violations(&self.settings, request, &endpoint, now + write_within);
         request.attempts.push(Attempt {
@@ -185,7 +187,8 @@
         }
     }
 
-    /// Returns whether a retry by the client does no harm.
+    /// Returns whether the client may send the request again without effects beyond those of a single
+    /// request.
     fn client_may_retry(&self, id: u64) -> bool {
         self.requests.get(&id).is_some_and(|request| {
             let may_run_twice = matches!(
@@ -218,7 +221,8 @@
     }
 }
 
-/// Returns the violations of a further attempt at this endpoint, which is written by `written_by` in seconds.
+/// Returns the violations of a further attempt at this endpoint, whose write deadline is `written_by` in
+/// seconds.
 fn attempt_violations(
     settings: &Settings,
     request: &ObservedRequest,
@@ -245,7 +249,8 @@
                     IdempotencyGroup::Zone => first.zone == endpoint.zone,
                     IdempotencyGroup::Cell => first.cell == endpoint.cell,
                 };
-                // An attempt that waits for its connection must not be written later either.
+                // An attempt may wait for its connection, so the write deadline must lie within the window as
+                // well.
                 if !is_in_group || written_by > first.sent_at + window {
                     violations.push("retry outside the group or window of its key");
                 }
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences of events for a balancer whose actions the checker sees.
+//! Random legal sequences of events for a balancer whose actions are checked.
 
 use balancer::{
     Action, AttemptNumber, BackendId, Balancer, CellId, ClassIndex, Effect, EndedAttempt, Endpoint,
@@ -11,10 +11,11 @@
 use crate::common::balancer_harness::PendingTimer;
 use crate::common::fixtures::{endpoint, request_class, tenant};
 
-const BACKENDS: u32 = 7;
-/// The time after the last step in which every request must end, in seconds.
+const BACKEND_COUNT: u32 = 7;
+/// The time after the last step within which every request must end, in seconds.
 const FINAL_WAIT: Time = 5.0;
 
+/// The outcomes from which the outcome of an attempt is drawn.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Success,
     Outcome::Error,
@@ -26,16 +27,18 @@
     Outcome::NotSent,
 ];
 
+/// The statuses from which the status of a changed endpoint is drawn.
 const STATUSES: [Status; 3] = [Status::InService, Status::Draining, Status::Removed];
 
-/// A step of a random sequence. Indices are taken modulo the number of items to select from.
+/// A step of a random sequence. The indices of attempts and requests are taken modulo the number of attempts
+/// in flight and of requests so far.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A request arrives.
     Request { class: ClassIndex, tenant: TenantIndex, key: Option<u64>, timeout: Time },
     /// An attempt in flight ends.
     EndAttempt { attempt: usize, outcome: Outcome },
-    /// A client disconnects, also after the end of its request.
+    /// A client disconnects, possibly after the end of its request.
     Disconnect { request: usize },
     /// Time passes, and timers fire.
     Wait(Time),
@@ -56,7 +59,7 @@
     let end_attempt = (0..50usize, 0..8usize)
         .prop_map(|(attempt, outcome)| Step::EndAttempt { attempt, outcome: OUTCOMES[outcome] });
     let change_endpoint =
-        (1..=BACKENDS, 0..3usize, any::<bool>()).prop_map(|(backend, status, is_restarted)| {
+        (1..=BACKEND_COUNT, 0..3usize, any::<bool>()).prop_map(|(backend, status, is_restarted)| {
             Step::ChangeEndpoint { backend, status: STATUSES[status], is_restarted }
         });
     prop_oneof![
@@ -65,7 +68,7 @@
         1 => (0..50usize).prop_map(|request| Step::Disconnect { request }),
         8 => (0.0..0.3f64).prop_map(Step::Wait),
         2 => change_endpoint,
-        1 => (1..=BACKENDS).prop_map(|without| Step::FullList { without }),
+        1 => (1..=BACKEND_COUNT).prop_map(|without| Step::FullList { without }),
         1 => Just(Step::PollFailed),
     ]
 }
@@ -81,7 +84,7 @@
     pub tier: Tier,
 }
 
-/// Returns settings with classes of every effect, two of which keep the order of a key.
+/// Returns settings with classes of every effect. Two classes are ordered by key.
 pub fn settings(variant: SettingsVariant) -> Settings {
     let SettingsVariant { hedging_allowed, cancellation_allowed, tier } = variant;
     let class = |effect| RequestClass { latency_objective: 0.8, ..request_class(effect) };
@@ -115,7 +118,7 @@
     backend: u32,
 }
 
-/// A balancer on virtual time with its checker.
+/// A balancer on virtual time, with the checker of its actions.
 struct Simulation {
     balancer: Balancer,
     checker: Checker,
@@ -127,7 +130,7 @@
     last_request: u64,
 }
 
-/// Plays the steps, lets every request end, and returns the violations.
+/// Runs the steps, waits until every request must have ended, and returns the violations.
 pub fn violations_of(steps: &[Step], settings: Settings, seed: u64) -> Vec<String> {
     let mut simulation = Simulation {
         checker: Checker::new(settings.clone()),
@@ -135,14 +138,14 @@
         now: 0.0,
         timers: Vec::new(),
         in_flight: Vec::new(),
-        list: (1..=BACKENDS)
+        list: (1..=BACKEND_COUNT)
             .map(|id| Endpoint { cell: CellId(id % 3), zone: ZoneId(id % 2), ..endpoint(id) })
             .collect(),
         last_request: 0,
     };
     simulation.send_full_list();
     for step in steps {
-        simulation.play(step);
+        simulation.run_step(step);
     }
     simulation.wait(FINAL_WAIT);
     simulation.checker.check_all_finished();
@@ -153,7 +156,7 @@
 }
 
 impl Simulation {
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         match *step {
             Step::Request { class, tenant, key, timeout } => self.request(class, tenant, key, timeout),
             Step::EndAttempt { attempt, outcome } => self.end_attempt(attempt, outcome),
@@ -208,7 +211,7 @@
             return;
         }
         let InFlight { id, attempt, backend } = self.in_flight.remove(index % self.in_flight.len());
-        self.checker.backend_notified_or_used(self.now, backend);
+        self.checker.record_notification_or_use(self.now, backend);
         let request = self.checker.requests.get_mut(&id).unwrap();
         request.is_finished |= outcome == Outcome::Success;
         let request_finished = request.is_finished;
@@ -246,7 +249,7 @@
         self.now = end;
     }
 
-    /// Returns the index of the earliest timer, if that is due by `end`.
+    /// Returns the index of the earliest timer, if a timer is due by `end`.
     fn next_timer_until(&self, end: Time) -> Option<usize> {
         (0..self.timers.len())
             .filter(|index| self.timers[*index].due <= end)
@@ -259,7 +262,7 @@
         endpoint.started_at = started_at;
         let changed = endpoint.clone();
         self.checker.list.insert(backend, changed.clone());
-        self.checker.backend_notified_or_used(self.now, backend);
+        self.checker.record_notification_or_use(self.now, backend);
         self.handle(Event::Endpoints(EndpointUpdate::Changes(&[changed])));
     }
 
@@ -273,7 +276,7 @@
         self.send_as_full_list(&list);
     }
 
-    /// Sends a list as the full one: the checker regards the backends that the list lacks as removed.
+    /// Sends a full list to the balancer. The checker then regards absent backends as removed.
     fn send_as_full_list(&mut self, list: &[Endpoint]) {
         for endpoint in self.checker.list.values_mut() {
             endpoint.status = Status::Removed;
@@ -281,7 +284,7 @@
         self.checker.unclosed_since.clear();
         for endpoint in list {
             self.checker.list.insert(endpoint.id.0, endpoint.clone());
-            self.checker.backend_notified_or_used(self.now, endpoint.id.0);
+            self.checker.record_notification_or_use(self.now, endpoint.id.0);
         }
         self.handle(Event::Endpoints(EndpointUpdate::Full(list)));
     }
--- a/crates/balancer/tests/endpoint_churn.rs
+++ b/crates/balancer/tests/endpoint_churn.rs
@@ -1,5 +1,5 @@
-//! Backends that are replaced again and again: a removed backend is forgotten when the last attempt there has
-//! ended.
+//! Guards against unbounded growth of the endpoint table where deployments replace all backends again and
+//! again. The balancer drops a removed backend when the last attempt at the backend has ended.
 
 mod common;
 
@@ -9,14 +9,14 @@
 use common::fixtures::{endpoint, safe_settings};
 
 #[test]
-fn forgets_removed_backends_without_attempts_in_flight() {
+fn drops_removed_backends_without_attempts_in_flight() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     let first = SentAttempt::new(1, 1);
     assert_eq!(sends(&harness.request(1)), [first]);
 
     for id in 2..500 {
         harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(id), endpoint(1000 + id)])));
-        // Requests go to the listed backends meanwhile.
+        // Requests go to the listed backends only.
         harness.now += 0.01;
         let request = u64::from(id);
         let sent = harness.send(request);
@@ -27,7 +27,7 @@
     }
 
     assert!(harness.balancer.backends_known() <= 5, "{}", harness.balancer.backends_known());
-    // The backend of the first request is known until its attempt has ended.
+    // The backend of the first request stays known until its attempt has ended.
     assert!(harness.balancer.backends_known() > 2);
     harness.end_attempt(first, Outcome::Success, 1.0);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[])));
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings that change while the decision module runs: all at once, between two events, and without losing
-//! requests or estimates.
+//! Guards against the loss of requests, estimates or subset members when settings change while a balancer
+//! runs. All settings change at once, between two events.
 
 mod common;
 
@@ -28,7 +28,7 @@
     let timed_actions = harness.advance_to(start + 1.5);
     harness.handle(Event::ClientDisconnected(RequestId(id)));
     let retry_times = send_times(&timed_actions, start);
-    *retry_times.first().expect("a request that is alone is retried")
+    *retry_times.first().expect("the only open request is retried")
 }
 
 #[test]
@@ -39,8 +39,8 @@
     for id in 0..50 {
         harness.serve(id, 0.05);
     }
-    // The first retry follows soon after the expected latency of 0.05 s; in an unknown class it follows after 0.4 of
-    // the latency objective of 1 s, less a tenth at random.
+    // The first retry follows soon after the expected latency of 0.05 s. In a class without observations, it
+    // follows after 0.4 of the latency objective of 1 s, with a jitter of up to a tenth.
     assert!(time_to_first_retry(&mut harness, 100, ClassIndex(0)) < 0.2);
 
     let after = Settings { classes: vec![named_class("new", Effect::Safe), classes[0].clone()], ..before };
@@ -52,17 +52,21 @@
     }
 }
 
-/// A change of the settings between the arrival of a request and the end of its attempt.
+/// A change of the settings between the arrival of a request and the end of its first attempt.
 struct SettingsChange {
+    /// The settings on the arrival of the request.
     on_arrival: Settings,
+    /// The settings when the attempt ends.
     afterwards: Settings,
+    /// The outcome of the attempt.
     outcome: Outcome,
+    /// Whether the request is expected to be retried.
     is_retried: bool,
 }
 
 fn settings_changes() -> Vec<SettingsChange> {
     let idempotent = Effect::Idempotent { group: IdempotencyGroup::All, window: 5.0 };
-    let with = |effect, max_attempts| Settings {
+    let settings_with_class_a = |effect, max_attempts| Settings {
         classes: vec![named_class("a", effect)],
         max_attempts,
         ..safe_settings()
@@ -76,17 +80,37 @@
         is_retried,
     };
     vec![
-        change(with(idempotent, 4), with(Effect::Unsafe, 4), Outcome::Reset, true),
-        change(with(Effect::Unsafe, 4), with(Effect::Safe, 4), Outcome::Reset, false),
-        change(with(Effect::Safe, 4), with(Effect::Safe, 1), Outcome::Reset, true),
-        change(with(Effect::Safe, 1), with(Effect::Safe, 4), Outcome::Reset, false),
-        change(with(Effect::Safe, 4), without_class_a, Outcome::Reset, true),
-        change(with(Effect::Safe, 4), without_classes, Outcome::Timeout, true),
+        change(
+            settings_with_class_a(idempotent, 4),
+            settings_with_class_a(Effect::Unsafe, 4),
+            Outcome::Reset,
+            true,
+        ),
+        change(
+            settings_with_class_a(Effect::Unsafe, 4),
+            settings_with_class_a(Effect::Safe, 4),
+            Outcome::Reset,
+            false,
+        ),
+        change(
+            settings_with_class_a(Effect::Safe, 4),
+            settings_with_class_a(Effect::Safe, 1),
+            Outcome::Reset,
+            true,
+        ),
+        change(
+            settings_with_class_a(Effect::Safe, 1),
+            settings_with_class_a(Effect::Safe, 4),
+            Outcome::Reset,
+            false,
+        ),
+        change(settings_with_class_a(Effect::Safe, 4), without_class_a, Outcome::Reset, true),
+        change(settings_with_class_a(Effect::Safe, 4), without_classes, Outcome::Timeout, true),
     ]
 }
 
 #[test]
-fn ends_a_request_by_the_settings_in_force_on_its_arrival() {
+fn applies_the_settings_in_force_on_arrival_until_a_request_ends() {
     for SettingsChange { on_arrival, afterwards, outcome, is_retried } in settings_changes() {
         let mut harness = BalancerHarness::new(on_arrival, &[endpoint(1), endpoint(2)]);
         let sent = sends(&harness.handle(Event::Request(request_of_class(1, ClassIndex(0)))))[0];
@@ -103,7 +127,7 @@
 }
 
 #[test]
-fn ends_open_requests_of_tenants_that_are_moved_or_removed() {
+fn ends_open_requests_of_tenants_that_have_another_index_or_are_removed() {
     let mut settings = Settings {
         tier: Tier::ENTRY,
         tenants: vec![tenant("x", 1.0), tenant("y", 1.0)],
@@ -117,7 +141,7 @@
     };
     assert_eq!(sends(&send_for_tenant(&mut harness, 1, TenantIndex(0))).len(), 1);
 
-    // Open requests of tenants that are removed, or have another index, end like all others.
+    // Open requests end like all others even if their tenant is removed or has another index.
     settings.tenants = vec![tenant("z", 1.0), tenant("x", 1.0)];
     harness.handle(Event::Settings(&settings));
     assert_eq!(sends(&send_for_tenant(&mut harness, 2, TenantIndex(1))).len(), 1);
@@ -128,13 +152,15 @@
     assert_eq!(harness.balancer.open_requests(), 0);
 }
 
-fn subset(harness: &BalancerHarness) -> BTreeSet<BackendId> {
+fn subset_of(harness: &BalancerHarness) -> BTreeSet<BackendId> {
     harness.balancer.members().collect()
 }
 
-/// The numbers of backends and balancers.
+/// The size of a fleet.
 struct FleetSize {
+    /// The number of backends.
     backends: u32,
+    /// The number of balancers before the settings change.
     balancers: usize,
 }
 
@@ -148,30 +174,31 @@
 ];
 
 #[test]
-fn moves_few_members_and_leaves_no_backend_out_when_the_number_of_balancers_changes() {
+fn moves_few_members_and_covers_all_backends_when_the_number_of_balancers_changes() {
     for FleetSize { backends, balancers } in FLEET_SIZES {
         let list: Vec<_> = (0..backends).map(|index| endpoint(100 + 7 * index)).collect();
         let settings =
             |instance_index, instance_count| Settings { instance_index, instance_count, ..safe_settings() };
-        let start = |index, count| BalancerHarness::new(settings(index, count), &list);
-        let mut fleet: Vec<_> = (0..balancers).map(|index| start(index, balancers)).collect();
+        let start_balancer = |index, count| BalancerHarness::new(settings(index, count), &list);
+        let mut fleet: Vec<_> = (0..balancers).map(|index| start_balancer(index, balancers)).collect();
         for count in [balancers + 1, balancers, balancers - 1] {
-            let before: Vec<_> = fleet.iter().map(subset).collect();
+            let before: Vec<_> = fleet.iter().map(subset_of).collect();
 
             fleet.truncate(count);
             for (index, harness) in fleet.iter_mut().enumerate() {
                 harness.handle(Event::Settings(&settings(index, count)));
             }
-            fleet.extend((fleet.len()..count).map(|index| start(index, count)));
+            fleet.extend((fleet.len()..count).map(|index| start_balancer(index, count)));
 
-            let used: BTreeSet<_> = fleet.iter().flat_map(subset).collect();
+            let used: BTreeSet<_> = fleet.iter().flat_map(subset_of).collect();
             assert_eq!(used.len(), backends as usize, "{backends} listed, {count} balancers");
             let mut moved = 0;
             for (harness, subset_before) in fleet.iter().zip(&before) {
-                moved += subset_before.difference(&subset(harness)).count();
+                moved += subset_before.difference(&subset_of(harness)).count();
             }
             let members: usize = before.iter().map(BTreeSet::len).sum();
-            // Where subsets keep their size no member moves; else the subsets of a round overlap differently.
+            // No member moves if subsets keep their size. Otherwise the subsets of a round overlap
+            // differently.
             let same_size = fleet[0].balancer.members().count() == before[0].len();
             assert!(
                 moved * 3 <= members * 2 && (!same_size || moved == 0),
@@ -191,6 +218,6 @@
     for id in 0..200 {
         assert_eq!(unchanged.serve(id, 0.05), reloaded.serve(id, 0.05));
         assert!(reloaded.handle(Event::Settings(&settings)).is_empty());
-        assert_eq!(subset(&unchanged), subset(&reloaded));
+        assert_eq!(subset_of(&unchanged), subset_of(&reloaded));
     }
 }
--- a/crates/balancer/tests/slow_start/event_queue.rs
+++ b/crates/balancer/tests/slow_start/event_queue.rs
@@ -27,17 +27,18 @@
     pub event: SimulatedEvent,
 }
 
-/// The place of an event in the queue: events of the same nanosecond keep the order of their scheduling.
+/// The position of an event in the queue. Events of the same nanosecond keep the order in which they were
+/// scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueuePosition {
     nanoseconds: u64,
     sequence: usize,
 }
 
-/// Scheduled events, the earliest first.
+/// The scheduled events, ordered by time.
 #[derive(Debug, Default)]
 pub struct EventQueue {
-    events: BTreeMap<Place, ScheduledEvent>,
+    events: BTreeMap<QueuePosition, ScheduledEvent>,
     scheduled: usize,
 }
 
@@ -46,12 +47,12 @@
     pub fn schedule(&mut self, event: ScheduledEvent) {
         let nanoseconds = (event.at * NANOSECONDS_PER_SECOND) as u64;
         let at = nanoseconds as f64 / NANOSECONDS_PER_SECOND;
-        let place = Place { nanoseconds, sequence: self.scheduled };
+        let position = QueuePosition { nanoseconds, sequence: self.scheduled };
         self.scheduled += 1;
-        self.events.insert(place, ScheduledEvent { at, ..event });
+        self.events.insert(position, ScheduledEvent { at, ..event });
     }
 
-    /// Removes the earliest event, and returns the event.
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<ScheduledEvent> {
         self.events.pop_first().map(|(_, event)| event)
     }
--- a/crates/balancer/tests/slow_start/simulated_backends.rs
+++ b/crates/balancer/tests/slow_start/simulated_backends.rs
@@ -1,6 +1,6 @@
-//! The simulated backends: each of them serves every request, and reports the rate of the requests served.
+//! The simulated backends. Each backend serves every request, and reports the rate of its requests.
 
-use crate::fleet::{BACKENDS, Fleet, backend_index};
+use crate::fleet::{BACKEND_COUNT, Fleet, backend_index};
 use balancer::{BackendId, LoadReport, Time};
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -43,7 +43,7 @@
         Self {
             has_load_reports: fleet.has_load_reports,
             capacity: fleet.capacity,
-            reported_rates: vec![initial_rate; BACKENDS],
+            reported_rates: vec![initial_rate; BACKEND_COUNT],
         }
     }
 
--- a/crates/balancer/tests/slow_start/simulation.rs
+++ b/crates/balancer/tests/slow_start/simulation.rs
@@ -1,7 +1,7 @@
-//! A fleet on virtual time.
+//! The simulation of a fleet on virtual time.
 
 use crate::event_queue::{EventQueue, ScheduledEvent, SimulatedEvent};
-use crate::fleet::{Fleet, REQUEST_TIMEOUT, START_TIME, backend_index};
+use crate::fleet::{BACKEND_START_TIME, Fleet, REQUEST_TIMEOUT, backend_index};
 use crate::simulated_backends::SimulatedBackends;
 use balancer::{
     Action, AttemptNumber, BackendId, Balancer, EndedAttempt, EndpointUpdate, Event, Outcome, Request,
@@ -10,12 +10,12 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// The balancers start to receive requests within this time of their start, in seconds.
+/// The greatest time from the start of a balancer to the arrival of its first request, in seconds.
 const MAX_FIRST_ARRIVAL_DELAY: Time = 0.01;
-/// The distance between the seeds of the balancers of two simulations.
-const SEED_STEP: u64 = 1000;
+/// The difference between the seeds of the same balancer in consecutive simulations.
+const BALANCER_SEED_STEP: u64 = 1000;
 
-/// A fleet on virtual time.
+/// A simulated fleet on virtual time.
 pub struct Simulation {
     fleet: Fleet,
     random: SmallRng,
@@ -32,7 +32,7 @@
     pub fn new(fleet: Fleet, seed: u64) -> Self {
         let start = fleet.balancer_start_time();
         let new_balancer =
-            |index| Balancer::new(start, seed * SEED_STEP + index as u64, fleet.settings_of(index));
+            |index| Balancer::new(start, seed * BALANCER_SEED_STEP + index as u64, fleet.settings_of(index));
         let mut simulation = Self {
             fleet,
             random: SmallRng::seed_from_u64(seed),
@@ -54,14 +54,14 @@
 
     /// Runs until the slow start of the started backends ends.
     pub fn run(&mut self) {
-        let end = START_TIME + self.fleet.settings().slow_start_duration;
-        let mut are_notified = false;
+        let end = BACKEND_START_TIME + self.fleet.settings().slow_start_duration;
+        let mut has_notified_balancers = false;
         while let Some(scheduled) = self.queue.pop() {
             if scheduled.at > end {
                 break;
             }
-            if scheduled.at >= START_TIME && !are_notified {
-                are_notified = true;
+            if scheduled.at >= BACKEND_START_TIME && !has_notified_balancers {
+                has_notified_balancers = true;
                 self.notify_of_start(scheduled.at);
             }
             self.handle_event(scheduled);
@@ -73,11 +73,11 @@
         &self.sends_to_started
     }
 
-    /// Notifies all balancers of the backends that start.
+    /// Notifies all balancers of the backends that have started.
     fn notify_of_start(&mut self, now: Time) {
         let started = self.fleet.started_endpoints();
         for balancer in 0..self.balancers.len() {
-            self.pass(now, balancer, Event::Endpoints(EndpointUpdate::Changes(&started)));
+            self.handle_at_balancer(now, balancer, Event::Endpoints(EndpointUpdate::Changes(&started)));
         }
     }
 
@@ -97,25 +97,25 @@
                 Event::AttemptEnded(EndedAttempt { report, ..ended })
             }
         };
-        self.pass(now, balancer, event);
+        self.handle_at_balancer(now, balancer, event);
     }
 
-    /// Passes an event to a balancer, and performs the actions that the balancer returns.
-    fn pass(&mut self, now: Time, balancer: usize, event: Event<'_>) {
+    /// Handles an event at a balancer, and carries out the actions that the balancer returns.
+    fn handle_at_balancer(&mut self, now: Time, balancer: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         self.balancers[balancer].handle(now, event, &mut actions);
         for action in actions {
-            self.perform(now, balancer, &action);
+            self.perform_action(now, balancer, &action);
         }
     }
 
     fn schedule_next_arrival(&mut self, now: Time, balancer: usize) {
-        let gap = -(1.0 - self.random.random::<f64>()).ln() / self.fleet.request_rate(balancer);
-        self.queue.schedule(ScheduledEvent { at: now + gap, balancer, event: SimulatedEvent::Arrival });
+        let interval = -(1.0 - self.random.random::<f64>()).ln() / self.fleet.request_rate(balancer);
+        self.queue.schedule(ScheduledEvent { at: now + interval, balancer, event: SimulatedEvent::Arrival });
     }
 
-    /// Performs an action of a balancer.
-    fn perform(&mut self, now: Time, balancer: usize, action: &Action) {
+    /// Carries out an action of a balancer.
+    fn perform_action(&mut self, now: Time, balancer: usize, action: &Action) {
         match *action {
             Action::SetTimer { at, token } => {
                 self.queue.schedule(ScheduledEvent { at, balancer, event: SimulatedEvent::Timer(token) });
@@ -141,7 +141,7 @@
 
     fn record_send(&mut self, now: Time, backend: BackendId) {
         let sends = self.sends_to_started.get_mut(backend_index(backend));
-        if let Some(sends) = sends.filter(|_| now >= START_TIME) {
+        if let Some(sends) = sends.filter(|_| now >= BACKEND_START_TIME) {
             sends.push(now);
         }
     }
--- a/crates/balancer/tests/subset_cover/fleet.rs
+++ b/crates/balancer/tests/subset_cover/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of balancers before the same backends, and the changes that happen to it.
+//! A fleet of balancers with the same backends, and random changes of the fleet.
 
 use balancer::{
     Action, BackendId, Balancer, Endpoint, EndpointUpdate, Event, MaintenanceChange, Settings, Status, Time,
@@ -9,24 +9,24 @@
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The range of the number of balancers.
-pub const BALANCERS: std::ops::RangeInclusive<usize> = 1..=40;
-/// The range of the number of backends.
-pub const BACKENDS: std::ops::RangeInclusive<u32> = 1..=120;
-/// The range of the number of zones.
-const ZONES: std::ops::RangeInclusive<u32> = 1..=9;
-/// The cost of crossing zones where crossing has a price.
+/// The range from which the number of balancers is drawn.
+pub const BALANCER_COUNT_RANGE: std::ops::RangeInclusive<usize> = 1..=40;
+/// The range from which the number of backends at the start is drawn.
+pub const BACKEND_COUNT_RANGE: std::ops::RangeInclusive<u32> = 1..=120;
+/// The range from which the number of zones is drawn.
+const ZONE_COUNT_RANGE: std::ops::RangeInclusive<u32> = 1..=9;
+/// The cost of crossing zones in fleets with [`ZoneCrossing::Costly`].
 const CROSS_ZONE_COST: f64 = 0.05;
-/// The time between two changes, in seconds: longer than any slow start.
+/// The time between two changes, in seconds. It is longer than any slow start.
 const CHANGE_INTERVAL: Time = 60.0;
 
-/// Whether crossing zones has a price.
+/// Whether crossing zones has a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Crossing {
-    /// All zones are alike.
+pub enum ZoneCrossing {
+    /// A call to another zone has no cost.
     Free,
     /// A call to another zone has a cost.
-    Priced,
+    Costly,
 }
 
 /// The size of a fleet.
@@ -36,17 +36,17 @@
     pub balancers: usize,
     /// The number of backends at the start.
     pub backends: u32,
-    /// The number of zones, over which balancers and backends are drawn.
+    /// The number of zones. Each balancer and backend is in a random zone.
     pub zones: u32,
 }
 
 impl FleetSize {
-    /// Draws a size.
+    /// Draws a random size.
     pub fn draw(random: &mut SmallRng) -> Self {
         Self {
-            balancers: random.random_range(BALANCERS),
-            backends: random.random_range(BACKENDS),
-            zones: random.random_range(ZONES),
+            balancers: random.random_range(BALANCER_COUNT_RANGE),
+            backends: random.random_range(BACKEND_COUNT_RANGE),
+            zones: random.random_range(ZONE_COUNT_RANGE),
         }
     }
 }
@@ -60,9 +60,9 @@
     Removed(BackendId),
     /// A backend is listed as draining.
     Draining(BackendId),
-    /// Operators take a backend out of service.
+    /// Operators remove a backend from service.
     MaintenanceBegins(BackendId),
-    /// Operators put a backend back into service.
+    /// Operators return a backend to service.
     MaintenanceEnds(BackendId),
 }
 
@@ -85,10 +85,11 @@
     balancer: Balancer,
 }
 
-/// A fleet of balancers, all of which have been notified of the same list and settings.
+/// A fleet of balancers. All balancers have been notified of the same endpoint list and have the same
+/// settings except for their index and zone.
 pub struct Fleet {
     size: FleetSize,
-    crossing: Crossing,
+    crossing: ZoneCrossing,
     random: SmallRng,
     now: Time,
     balancers: Vec<FleetBalancer>,
@@ -98,8 +99,8 @@
 }
 
 impl Fleet {
-    /// Starts a fleet. The seed decides the zones and all changes.
-    pub fn start(seed: u64, size: FleetSize, crossing: Crossing) -> Self {
+    /// Starts a fleet. The seed determines the zones and all changes.
+    pub fn start(seed: u64, size: FleetSize, crossing: ZoneCrossing) -> Self {
         let mut fleet = Self {
             size,
             crossing,
@@ -140,7 +141,7 @@
         started.map(|balancer| balancer.members().collect()).collect()
     }
 
-    /// Draws a change of one backend, and notifies all balancers.
+    /// Makes a random change of one backend, and notifies all balancers.
     pub fn change_backend(&mut self) -> BackendChange {
         self.now += CHANGE_INTERVAL;
         let change = self.draw_backend_change();
@@ -169,46 +170,47 @@
         change
     }
 
-    /// Waits until all calls have ended that were in progress at the latest change, and notifies all balancers
-    /// of the same list again.
+    /// Advances the time until all calls that were open at the latest change have ended, and notifies all
+    /// balancers of the same list again.
     pub fn settle(&mut self) {
         self.now += CHANGE_INTERVAL;
-        let whole_list: Vec<Endpoint> = self.listed.values().cloned().collect();
-        self.notify_all(Event::Endpoints(EndpointUpdate::Full(&whole_list)));
+        let full_list: Vec<Endpoint> = self.listed.values().cloned().collect();
+        self.notify_all(Event::Endpoints(EndpointUpdate::Full(&full_list)));
     }
 
-    /// Changes the number of balancers to one in `BALANCERS`, and the settings of all balancers.
+    /// Changes the number of balancers to a random one in [`BALANCER_COUNT_RANGE`], and the settings of all
+    /// balancers.
     pub fn change_balancer_count(&mut self) {
-        let count = self.random.random_range(BALANCERS);
+        let count = self.random.random_range(BALANCER_COUNT_RANGE);
         self.resize(count);
     }
 
-    /// Introduces or removes the price of crossing zones.
-    pub fn toggle_crossing_price(&mut self) {
+    /// Adds the cost of crossing zones, or removes it.
+    pub fn toggle_cross_zone_cost(&mut self) {
         self.crossing = match self.crossing {
-            Crossing::Free => Crossing::Priced,
-            Crossing::Priced => Crossing::Free,
+            ZoneCrossing::Free => ZoneCrossing::Costly,
+            ZoneCrossing::Costly => ZoneCrossing::Free,
         };
         self.apply_settings();
     }
 
-    /// Restarts a balancer, which then knows the current list only.
-    pub fn restart_a_balancer(&mut self) {
+    /// Restarts a random balancer, which then has no state except the current list and maintenance.
+    pub fn restart_random_balancer(&mut self) {
         let index = self.random.random_range(0..self.balancers.len());
         self.balancers[index].balancer = self.start_balancer(index);
     }
 
     fn draw_backend_change(&mut self) -> BackendChange {
         let ids: Vec<BackendId> = self.listed.keys().copied().collect();
-        let drawn = *ids.choose(&mut self.random).unwrap_or(&BackendId(0));
+        let drawn_id = *ids.choose(&mut self.random).unwrap_or(&BackendId(0));
         let is_last = self.in_service().len() <= 1;
         let change = match self.random.random_range(0..8) {
             _ if is_last => BackendChange::Added(BackendId(self.next_backend)),
             0..=2 => BackendChange::Added(BackendId(self.next_backend)),
-            3 | 4 => BackendChange::Removed(drawn),
-            5 => BackendChange::Draining(drawn),
-            _ if self.in_maintenance.contains(&drawn) => BackendChange::MaintenanceEnds(drawn),
-            _ => BackendChange::MaintenanceBegins(drawn),
+            3 | 4 => BackendChange::Removed(drawn_id),
+            5 => BackendChange::Draining(drawn_id),
+            _ if self.in_maintenance.contains(&drawn_id) => BackendChange::MaintenanceEnds(drawn_id),
+            _ => BackendChange::MaintenanceBegins(drawn_id),
         };
         if let BackendChange::Removed(id) = change {
             self.in_maintenance.remove(&id);
@@ -224,20 +226,20 @@
         Endpoint { id, zone, ..Endpoint::default() }
     }
 
-    /// Changes one entry of the list. Some balancers get the changed entry, the others the whole list.
+    /// Changes one entry of the list. Some balancers get only the changed entry, the others the full list.
     fn update_list(&mut self, endpoint: Endpoint) {
         if endpoint.status == Status::Removed {
             self.listed.remove(&endpoint.id);
         } else {
             self.listed.insert(endpoint.id, endpoint.clone());
         }
-        let whole_list: Vec<Endpoint> = self.listed.values().cloned().collect();
+        let full_list: Vec<Endpoint> = self.listed.values().cloned().collect();
         let changes = [endpoint];
         for index in 0..self.balancers.len() {
             let update = if self.random.random() {
                 EndpointUpdate::Changes(&changes)
             } else {
-                EndpointUpdate::Full(&whole_list)
+                EndpointUpdate::Full(&full_list)
             };
             self.notify(index, Event::Endpoints(update));
         }
@@ -248,7 +250,7 @@
             instance_count: self.balancers.len(),
             instance_index: index,
             zone: self.balancers[index].zone,
-            cross_zone_cost: if self.crossing == Crossing::Priced { CROSS_ZONE_COST } else { 0.0 },
+            cross_zone_cost: if self.crossing == ZoneCrossing::Costly { CROSS_ZONE_COST } else { 0.0 },
             ..crate::common::fixtures::safe_settings()
         }
     }
@@ -266,7 +268,7 @@
         balancer
     }
 
-    /// Starts or ends balancers until there are `count`, and applies the settings of that number.
+    /// Starts or stops balancers until there are `count`, and applies the settings for this number.
     fn resize(&mut self, count: usize) {
         let running = count.min(self.balancers.len());
         self.balancers.truncate(count);
--- a/crates/balancer/tests/subset_cover/main.rs
+++ b/crates/balancer/tests/subset_cover/main.rs
@@ -1,16 +1,13 @@
-//! The subsets of a whole fleet: drawn fleets before drawn backends, through drawn changes of the endpoint
-//! list, of maintenance, of the settings and of the balancers themselves.
+//! Guards against backends in service that are in no subset, and get no requests until the endpoint list
+//! changes again. The tests make random changes of the endpoint list, maintenance, settings and balancers of
+//! random fleets, and check the subsets of the whole fleet.
 //!
-//! What happened: a sixth of the backends, at worst a third, were in no subset after a list had changed one
-//! backend at a time, and got no requests until it changed again. Each balancer was right by itself.
-//!
-//! Why: a balancer kept members that it had, so that its subset had no room for the backends that the changed
-//! list assigned to it, while the balancers that had these backends before dropped them. The balancers agreed on
-//! an assignment and each departed from it by its own history. Where crossing zones has a price, a balancer took
-//! its index among all balancers for its index among those of its zone.
-//!
-//! What showed it: 1,697 of the 3,600 changes below left a backend out, and a balancer lacked members that the
-//! same balancer had after a restart with the same list.
+//! A balancer that keeps all its members on a change has no room for the backends that the changed list
+//! assigns to it, while the balancers that had these backends before drop them. Each subset then depends on
+//! the history of its balancer, and differs from the subset after a restart with the same list. In 1,697 of
+//! the 3,600 changes of these tests, this left a backend out: a sixth of the backends, at worst a third,
+//! after a list had changed one backend at a time. If crossing zones has a cost, backends are also left out
+//! if a balancer uses its index among all balancers as its index among the balancers of its zone.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -18,22 +15,22 @@
 mod fleet;
 
 use balancer::BackendId;
-use fleet::{BackendChange, Crossing, Fleet, FleetSize};
+use fleet::{BackendChange, Fleet, FleetSize, ZoneCrossing};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of fleets that are drawn.
-const FLEETS: u64 = 60;
-/// The number of changes of each fleet.
-const CHANGES: usize = 30;
-/// The greatest number of members that a change of one backend moves, for each subset that has the backend.
+/// The number of fleets in each test.
+const FLEET_COUNT: u64 = 60;
+/// The number of changes that are made to each fleet.
+const CHANGES_PER_FLEET: usize = 30;
+/// The greatest number of members that a change of one backend may move, for each subset with the backend.
 const MAX_MOVES_PER_MEMBERSHIP: f64 = 2.0;
-/// The greatest number of subsets that a backend is in, over the mean of all backends.
-const MAX_MEMBERSHIPS_OVER_MEAN: f64 = 2.0;
+/// The greatest number of subsets that a backend may be in, as a multiple of the mean of all backends.
+const MAX_MEMBERSHIPS_TO_MEAN_RATIO: f64 = 2.0;
 
-/// Fleets whose backends were left out, with their seeds.
-const TRACED_FLEETS: [FleetSize; 6] = [
+/// The sizes of fleets in which backends were left out. The index of a size is the seed of the fleet.
+const REGRESSION_FLEET_SIZES: [FleetSize; 6] = [
     FleetSize { balancers: 7, backends: 30, zones: 1 },
     FleetSize { balancers: 12, backends: 60, zones: 1 },
     FleetSize { balancers: 20, backends: 20, zones: 1 },
@@ -52,35 +49,35 @@
 }
 
 /// Returns the backends in service that are in no subset.
-fn left_out(fleet: &Fleet) -> Vec<BackendId> {
+fn backends_without_subset(fleet: &Fleet) -> Vec<BackendId> {
     let memberships = memberships(&fleet.subsets());
     fleet.in_service().into_iter().filter(|id| !memberships.contains_key(id)).collect()
 }
 
-/// Returns the fleets that are drawn, and those that were traced, each with its seed.
-fn fleets(crossing: Crossing) -> impl Iterator<Item = (u64, Fleet)> {
-    (0..FLEETS).map(move |seed| {
-        let size = match TRACED_FLEETS.get(seed as usize) {
-            Some(traced) => *traced,
+/// Returns fleets with the sizes of [`REGRESSION_FLEET_SIZES`] and with random sizes, each with its seed.
+fn seeded_fleets(crossing: ZoneCrossing) -> impl Iterator<Item = (u64, Fleet)> {
+    (0..FLEET_COUNT).map(move |seed| {
+        let size = match REGRESSION_FLEET_SIZES.get(seed as usize) {
+            Some(regression_size) => *regression_size,
             None => FleetSize::draw(&mut SmallRng::seed_from_u64(seed)),
         };
         (seed, Fleet::start(seed, size, crossing))
     })
 }
 
-/// Makes one of all kinds of changes to a fleet.
-fn change(fleet: &mut Fleet, random: &mut SmallRng) -> String {
+/// Makes a random change of any kind to a fleet. Returns a description of the change.
+fn make_random_change(fleet: &mut Fleet, random: &mut SmallRng) -> String {
     match random.random_range(0..10) {
         0 => {
             fleet.change_balancer_count();
             format!("{} balancers", fleet.balancers())
         }
         1 => {
-            fleet.toggle_crossing_price();
-            "price of crossing".to_string()
+            fleet.toggle_cross_zone_cost();
+            "cost of crossing zones".to_string()
         }
         2 => {
-            fleet.restart_a_balancer();
+            fleet.restart_random_balancer();
             "restart".to_string()
         }
         _ => format!("{:?}", fleet.change_backend()),
@@ -89,16 +86,16 @@
 
 #[test]
 fn every_backend_in_service_is_in_a_subset_after_each_change() {
-    let mut breaches = Vec::new();
-    for crossing in [Crossing::Free, Crossing::Priced] {
-        for (seed, mut fleet) in fleets(crossing) {
+    let mut violations = Vec::new();
+    for crossing in [ZoneCrossing::Free, ZoneCrossing::Costly] {
+        for (seed, mut fleet) in seeded_fleets(crossing) {
             let random = &mut SmallRng::seed_from_u64(seed);
-            for step in 0..CHANGES {
-                let changed = change(&mut fleet, random);
-                let left_out = left_out(&fleet);
+            for step in 0..CHANGES_PER_FLEET {
+                let changed = make_random_change(&mut fleet, random);
+                let left_out = backends_without_subset(&fleet);
                 if !left_out.is_empty() {
                     let balancers = fleet.balancers();
-                    breaches.push(format!(
+                    violations.push(format!(
                         "{crossing:?} seed {seed} step {step}, {changed}, {balancers} balancers: {left_out:?}"
                     ));
                 }
@@ -106,16 +103,16 @@
         }
     }
 
-    assert!(breaches.is_empty(), "{} breaches, first {:#?}", breaches.len(), &breaches[..1]);
+    assert!(violations.is_empty(), "{} violations, first {:#?}", violations.len(), &violations[..1]);
 }
 
 #[test]
 fn a_balancer_has_all_members_that_it_would_have_after_a_restart() {
-    for crossing in [Crossing::Free, Crossing::Priced] {
-        for (seed, mut fleet) in fleets(crossing) {
+    for crossing in [ZoneCrossing::Free, ZoneCrossing::Costly] {
+        for (seed, mut fleet) in seeded_fleets(crossing) {
             let random = &mut SmallRng::seed_from_u64(seed);
-            for step in 0..CHANGES {
-                let changed = change(&mut fleet, random);
+            for step in 0..CHANGES_PER_FLEET {
+                let changed = make_random_change(&mut fleet, random);
 
                 let after_start = fleet.subsets_after_start();
 
@@ -131,12 +128,13 @@
     }
 }
 
-/// Asserts that no backend is in more subsets than `MAX_MEMBERSHIPS_OVER_MEAN` permits, after each change.
-fn assert_even(crossing: Crossing) {
-    for (seed, mut fleet) in fleets(crossing) {
-        for step in 0..CHANGES {
+/// Asserts after each change that no backend is in more subsets than [`MAX_MEMBERSHIPS_TO_MEAN_RATIO`]
+/// permits.
+fn assert_even_memberships(crossing: ZoneCrossing) {
+    for (seed, mut fleet) in seeded_fleets(crossing) {
+        for step in 0..CHANGES_PER_FLEET {
             let changed = fleet.change_backend();
-            // A member that is no longer assigned stays until its calls have ended.
+            // A member that is no longer assigned stays in the subset until its calls have ended.
             fleet.settle();
 
             let memberships = memberships(&fleet.subsets());
@@ -145,7 +143,7 @@
             let mean = sum as f64 / fleet.in_service().len() as f64;
             let most = *memberships.values().max().unwrap();
             assert!(
-                most as f64 <= (MAX_MEMBERSHIPS_OVER_MEAN * mean).ceil(),
+                most as f64 <= (MAX_MEMBERSHIPS_TO_MEAN_RATIO * mean).ceil(),
                 "seed {seed} step {step}, {changed:?}: {most} of {mean:.2}, {} balancers, {} backends",
                 fleet.balancers(),
                 memberships.len()
@@ -156,22 +154,22 @@
 
 #[test]
 fn no_backend_is_in_more_than_twice_as_many_subsets_as_the_mean() {
-    assert_even(Crossing::Free);
+    assert_even_memberships(ZoneCrossing::Free);
 }
 
 #[test]
 fn no_backend_is_in_more_than_twice_as_many_subsets_as_the_mean_where_crossing_zones_has_a_price() {
-    assert_even(Crossing::Priced);
+    assert_even_memberships(ZoneCrossing::Costly);
 }
 
-/// The members that changes of one backend move, over all subsets.
+/// The numbers of members that subsets gained and lost by changes of one backend.
 #[derive(Debug, Default)]
 struct Moves {
-    /// Members that subsets gained.
+    /// The number of members that subsets gained.
     gained: usize,
-    /// Members that subsets lost.
+    /// The number of members that subsets lost.
     lost: usize,
-    /// Subsets that had the backend before the change or have it afterwards.
+    /// The number of subsets that had the changed backend before or after the change.
     memberships: usize,
 }
 
@@ -185,7 +183,7 @@
         }
     }
 
-    fn assert_few(&self, description: &str) {
+    fn assert_within_limit(&self, description: &str) {
         let most = MAX_MOVES_PER_MEMBERSHIP * self.memberships as f64;
         assert!(self.gained as f64 <= most, "{description}: {self:?}");
         assert!(self.lost as f64 <= most, "{description}: {self:?}");
@@ -193,22 +191,22 @@
 }
 
 #[test]
-fn a_change_of_one_backend_moves_two_members_for_each_of_its_subsets_at_most() {
-    for crossing in [Crossing::Free, Crossing::Priced] {
-        let mut of_all = Moves::default();
-        for (seed, mut fleet) in fleets(crossing) {
-            let mut of_fleet = Moves::default();
-            for _ in 0..CHANGES {
+fn a_change_of_one_backend_moves_at_most_two_members_for_each_of_its_subsets() {
+    for crossing in [ZoneCrossing::Free, ZoneCrossing::Costly] {
+        let mut moves_of_all_fleets = Moves::default();
+        for (seed, mut fleet) in seeded_fleets(crossing) {
+            let mut moves_of_fleet = Moves::default();
+            for _ in 0..CHANGES_PER_FLEET {
                 let before = fleet.subsets();
                 let change = fleet.change_backend();
                 let after = fleet.subsets();
-                of_fleet.add(change, &before, &after);
-                of_all.add(change, &before, &after);
+                moves_of_fleet.add(change, &before, &after);
+                moves_of_all_fleets.add(change, &before, &after);
             }
-            if let Some(size) = TRACED_FLEETS.get(seed as usize) {
-                of_fleet.assert_few(&format!("{crossing:?} {size:?}"));
+            if let Some(size) = REGRESSION_FLEET_SIZES.get(seed as usize) {
+                moves_of_fleet.assert_within_limit(&format!("{crossing:?} {size:?}"));
             }
         }
-        of_all.assert_few(&format!("{crossing:?}"));
+        moves_of_all_fleets.assert_within_limit(&format!("{crossing:?}"));
     }
 }
--- a/crates/balancer/tests/support/assertions.rs
+++ b/crates/balancer/tests/support/assertions.rs
@@ -1,10 +1,10 @@
-//! Assertions about real numbers.
+//! Assertions on floating-point numbers.
 
-/// The greatest difference of two real numbers that count as equal.
-const TOLERANCE: f64 = 1e-9;
+/// The greatest absolute difference between two numbers that count as equal.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// Asserts that two real numbers are equal but for rounding.
+/// Asserts that two numbers are equal except for rounding.
 #[track_caller]
 pub fn assert_close(actual: f64, expected: f64) {
-    assert!((actual - expected).abs() < TOLERANCE, "{actual} is not {expected}");
+    assert!((actual - expected).abs() < ROUNDING_TOLERANCE, "{actual} is not {expected}");
 }
--- a/crates/balancer/tests/support/backend_map.rs
+++ b/crates/balancer/tests/support/backend_map.rs
@@ -1,9 +1,9 @@
-//! The map of backends to values, and the search for an index in a list.
+//! The map from backends to values, and the search for an index in a list.
 
 use crate::support::{BackendIndex, BackendMap};
 
-/// Returns a map of as many backends as there are values.
-fn map_of(values: &[u32]) -> BackendMap<u32> {
+/// Returns a map with one backend for each value, in the order of the values.
+fn map_with_values(values: &[u32]) -> BackendMap<u32> {
     let mut map = BackendMap::default();
     for value in values {
         map.insert(map.next_index(), *value);
@@ -13,7 +13,7 @@
 
 #[test]
 fn keeps_values_in_the_order_of_their_indices() {
-    let map = map_of(&[10, 20, 30]);
+    let map = map_with_values(&[10, 20, 30]);
 
     let indices: Vec<BackendIndex> = map.indices().collect();
     let values: Vec<u32> = map.values().copied().collect();
@@ -25,7 +25,7 @@
 
 #[test]
 fn replaces_the_value_of_a_backend_that_is_in_the_map() {
-    let mut map = map_of(&[10, 20]);
+    let mut map = map_with_values(&[10, 20]);
     let next = map.next_index();
     let first = map.indices().next().expect("the map has a backend");
 
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn finds_an_index_at_each_place_of_a_list_and_no_other_index() {
-    // One place more than two blocks of the comparison have.
-    let map = map_of(&[0; 66]);
+fn finds_an_index_at_each_position_of_a_list_and_no_absent_index() {
+    // The searched list has all indices but the last one: one more than two comparison blocks.
+    let map = map_with_values(&[0; 66]);
     let indices: Vec<BackendIndex> = map.indices().collect();
     let (absent, list) = indices.split_last().expect("the map has backends");
 
--- a/crates/balancer/tests/support/decaying_rate.rs
+++ b/crates/balancer/tests/support/decaying_rate.rs
@@ -7,7 +7,7 @@
 const TIME_CONSTANT: f64 = 10.0;
 
 /// Returns a rate after ten events per second from time 0 to `seconds`.
-fn rate_after(seconds: u32) -> DecayingRate {
+fn rate_of_ten_events_per_second(seconds: u32) -> DecayingRate {
     let mut rate = DecayingRate::starting_at(0.0);
     for event in 1..=10 * seconds {
         rate.record(0.1 * f64::from(event), TIME_CONSTANT);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_rate_is_zero_before_any_time_has_passed() {
+fn rate_is_zero_before_any_time_has_passed() {
     let mut rate = DecayingRate::starting_at(5.0);
 
     rate.record(5.0, TIME_CONSTANT);
@@ -26,17 +26,17 @@
 }
 
 #[test]
-fn the_rate_is_that_of_the_events_before_and_after_the_window_has_filled() {
+fn rate_equals_the_event_rate_before_and_after_the_window_has_filled() {
     for seconds in [1, 5, 100] {
-        let rate = rate_after(seconds).per_second();
+        let rate = rate_of_ten_events_per_second(seconds).per_second();
 
         assert!((rate - 10.0).abs() < 0.5, "{rate} after {seconds} s");
     }
 }
 
 #[test]
-fn the_window_approaches_the_time_constant() {
-    let spans = [10, 20, 1000].map(|seconds| rate_after(seconds).span());
+fn span_approaches_the_time_constant() {
+    let spans = [10, 20, 1000].map(|seconds| rate_of_ten_events_per_second(seconds).span());
 
     assert_close(spans[0], TIME_CONSTANT * (1.0 - (-1f64).exp()));
     assert_close(spans[1], TIME_CONSTANT * (1.0 - (-2f64).exp()));
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn the_rate_falls_by_a_factor_of_e_in_a_time_constant_without_events() {
-    let mut rate = rate_after(1000);
+fn rate_falls_by_a_factor_of_e_in_one_time_constant_without_events() {
+    let mut rate = rate_of_ten_events_per_second(1000);
     let before = rate.per_second();
 
     rate.decay(1000.0 + TIME_CONSTANT, TIME_CONSTANT);
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_decay_to_an_earlier_time_keeps_the_rate() {
-    let mut rate = rate_after(100);
+    let mut rate = rate_of_ten_events_per_second(100);
     let before = rate.per_second();
 
     rate.decay(99.0, TIME_CONSTANT);
--- a/crates/balancer/tests/support/latency_estimate.rs
+++ b/crates/balancer/tests/support/latency_estimate.rs
@@ -1,4 +1,4 @@
-//! The running estimate of a latency.
+//! The estimate of the mean and the deviation of a latency.
 
 use super::assertions::assert_close;
 use crate::support::LatencyEstimate;
@@ -21,12 +21,12 @@
 
     assert_close(estimate.samples(), 2.0);
     assert_close(estimate.mean(), 1.25);
-    // The first sample deviates from a mean of 0 by 1, as does the second one from the mean of 1.
+    // The first sample differs by 1 from the initial mean of 0, and the second one by 1 from the mean of 1.
     assert_close(estimate.deviation(), 1.0);
 }
 
 #[test]
-fn equal_samples_leave_no_deviation() {
+fn deviation_of_equal_samples_approaches_zero() {
     let mut estimate = LatencyEstimate::default();
 
     for _ in 0..200 {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_sample_with_a_weight_of_zero_is_counted_only() {
+fn counts_a_sample_of_zero_weight_without_changing_the_mean() {
     let mut estimate = LatencyEstimate::default();
     estimate.record(1.0, 1.0);
 
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Each data structure and estimator by itself. The files are part of the crate, as the types are private to
-//! the crate.
+//! Unit tests of each data structure and estimator. They are compiled into the crate, as the types are
+//! private to the crate.
 
 pub mod assertions;
 mod backend_map;
--- a/crates/balancer/tests/support/smoothed_mean.rs
+++ b/crates/balancer/tests/support/smoothed_mean.rs
@@ -1,10 +1,10 @@
-//! The mean of samples of equal weight.
+//! The mean of positive samples that does not depend on their times.
 
 use super::assertions::assert_close;
 use crate::support::SmoothedMean;
 
 #[test]
-fn there_is_no_mean_before_the_first_sample() {
+fn has_no_mean_before_the_first_sample() {
     assert_eq!(SmoothedMean::default().get(), None);
 }
 
