--- a/crates/balancer/tests/common/balancer_harness.rs
+++ b/crates/balancer/tests/common/balancer_harness.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// The timeout of requests whose timeout does not matter to the test, in seconds.
-const DEFAULT_TIMEOUT: Time = 2.0;
+const DEFAULT_REQUEST_TIMEOUT: Time = 2.0;
 
 /// A timer that a balancer has set.
 #[derive(Clone, Copy, Debug)]
@@ -70,7 +70,7 @@
 
     /// Handles the arrival of a request of the first class.
     pub fn request(&mut self, id: u64) -> Vec<Action> {
-        self.request_with_timeout(id, DEFAULT_TIMEOUT)
+        self.request_with_timeout(id, DEFAULT_REQUEST_TIMEOUT)
     }
 
     /// Handles the arrival of a request of the first class with this timeout in seconds.
--- a/crates/balancer/tests/concerns/fleet_assignment.rs
+++ b/crates/balancer/tests/concerns/fleet_assignment.rs
@@ -21,7 +21,7 @@
 }
 
 /// Assigns `count` backends to `balancers` balancers.
-fn assign(count: u32, balancers: usize, min_members: usize) -> FleetAssignment {
+fn assign_backends(count: u32, balancers: usize, min_members: usize) -> FleetAssignment {
     let shape = FleetShape { balancers, min_members: min_members as f64 };
     FleetAssignment::new(assignable_backends(count), shape)
 }
@@ -38,7 +38,7 @@
 #[test]
 fn assigns_each_backend_to_one_balancer_if_subsets_have_no_least_size() {
     for balancers in 1..30 {
-        let assignment = assign(40, balancers, 0);
+        let assignment = assign_backends(40, balancers, 0);
 
         let memberships = memberships(&assignment, balancers);
 
@@ -50,7 +50,7 @@
 #[test]
 fn assigns_the_least_number_of_members_or_all_backends_to_each_balancer() {
     for (count, min_members) in [(1, 3), (2, 3), (3, 3), (4, 3), (50, 3), (50, 49)] {
-        let assignment = assign(count, 20, min_members);
+        let assignment = assign_backends(count, 20, min_members);
 
         for balancer in 0..20 {
             let members = assignment.members(balancer, 0).len();
@@ -61,7 +61,7 @@
 
 #[test]
 fn extends_the_assigned_members_of_a_balancer_to_the_target_size_or_to_all_backends() {
-    let assignment = assign(30, 10, 3);
+    let assignment = assign_backends(30, 10, 3);
 
     let assigned = assignment.members(4, 0);
     let extended = assignment.members(4, 12);
@@ -73,7 +73,7 @@
 
 #[test]
 fn returns_the_ratio_of_the_memberships_of_a_member_to_the_mean() {
-    let assignment = assign(17, 12, 3);
+    let assignment = assign_backends(17, 12, 3);
 
     let memberships = memberships(&assignment, 12);
 
@@ -86,8 +86,8 @@
 
 #[test]
 fn assigns_no_members_if_the_balancer_does_not_exist_or_there_are_no_backends() {
-    assert!(assign(5, 3, 2).members(3, 0).is_empty());
-    assert!(assign(0, 3, 2).members(0, 4).is_empty());
+    assert!(assign_backends(5, 3, 2).members(3, 0).is_empty());
+    assert!(assign_backends(0, 3, 2).members(0, 4).is_empty());
 }
 
 #[test]
--- a/crates/balancer/tests/concerns/load_reports.rs
+++ b/crates/balancer/tests/concerns/load_reports.rs
@@ -21,8 +21,8 @@
 
 #[test]
 fn returns_the_service_time_of_a_backend_relative_to_the_mean_of_the_fleet() {
-    let [fast, slow, silent] = backend_indices();
-    let mut reports = reports_without_samples(&[fast, slow, silent]);
+    let [fast, slow, without_reports] = backend_indices();
+    let mut reports = reports_without_samples(&[fast, slow, without_reports]);
 
     for _ in 0..1000 {
         reports.record(fast, WarmUpState::Warm, load_report(Some(0.1), None));
@@ -33,7 +33,7 @@
     let slow_ratio = reports.relative_service_time(slow);
     assert_close(slow_ratio / fast_ratio, 3.0);
     assert!((slow_ratio - 1.5).abs() < 0.02, "{slow_ratio}");
-    assert_close(reports.relative_service_time(silent), 1.0);
+    assert_close(reports.relative_service_time(without_reports), 1.0);
 }
 
 #[test]
--- a/crates/balancer/tests/concerns/maintenance.rs
+++ b/crates/balancer/tests/concerns/maintenance.rs
@@ -4,12 +4,15 @@
 use crate::decisions::maintenance::{Maintenance, PriorUse};
 use crate::interface::{BackendId, Time};
 
+/// The backend that is in maintenance.
 const BACKEND: BackendId = BackendId(1);
+/// A backend that is not in maintenance unless a test begins its maintenance.
 const OTHER_BACKEND: BackendId = BackendId(2);
 /// The time at which the maintenance begins, in seconds.
 const MAINTENANCE_BEGIN: Time = 10.0;
 /// The time at which the maintenance ends, in seconds.
 const MAINTENANCE_END: Time = 20.0;
+/// The duration of slow start, in seconds.
 const SLOW_START_DURATION: Time = 5.0;
 
 /// Returns the state in which [`BACKEND`], which was used before, is in maintenance.
--- a/crates/balancer/tests/concerns/ordered_keys.rs
+++ b/crates/balancer/tests/concerns/ordered_keys.rs
@@ -24,7 +24,7 @@
 
 /// Returns the state at `now`, in which [`ORDERING_KEY`] has no calls and is blocked until 5 s, and calls of
 /// [`PRUNE_THRESHOLD_QUEUES`] other keys have arrived.
-fn keys_after_block(now: Time) -> OrderedKeys {
+fn keys_with_blocked_key(now: Time) -> OrderedKeys {
     let [ended, other] = call_keys();
     let mut keys = OrderedKeys::default();
     keys.enqueue(ORDERING_KEY, ended, 0.0);
@@ -43,11 +43,11 @@
     for call in [first, second, third] {
         keys.enqueue(ORDERING_KEY, call, 0.0);
     }
-    let answered = call_with_attempt(Some(Outcome::Success));
+    let answered_call = call_with_attempt(Some(Outcome::Success));
 
     let at_first = next_call_key(&keys);
     keys.remove(ORDERING_KEY, second, &safe_call(2));
-    keys.remove(ORDERING_KEY, first, &answered);
+    keys.remove(ORDERING_KEY, first, &answered_call);
 
     assert_eq!(at_first, Some(first));
     assert_eq!(next_call_key(&keys), Some(third));
@@ -89,7 +89,7 @@
 #[test]
 fn keeps_a_blocked_key_when_idle_queues_are_removed() {
     let [call] = call_keys();
-    let mut keys = keys_after_block(4.9);
+    let mut keys = keys_with_blocked_key(4.9);
 
     keys.enqueue(ORDERING_KEY, call, 4.9);
 
@@ -99,7 +99,7 @@
 #[test]
 fn removes_a_key_that_is_no_longer_blocked_if_there_are_many_queues() {
     let [call] = call_keys();
-    let mut keys = keys_after_block(5.0);
+    let mut keys = keys_with_blocked_key(5.0);
 
     keys.enqueue(ORDERING_KEY, call, 5.0);
 
--- a/crates/balancer/tests/concerns/overload.rs
+++ b/crates/balancer/tests/concerns/overload.rs
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn threshold_falls_by_four_deviations_for_each_deviation_of_mean_excess_beyond_the_tolerated() {
+fn threshold_falls_by_four_deviations_for_each_deviation_beyond_the_tolerated_mean_excess() {
     // After this time, the mean excess is half of a lasting excess.
     let half_life = 0.15 * RATE_TIME_CONSTANT * 2f64.ln();
-    let level = |excess: f64| {
+    let level_at_half_life = |excess: f64| {
         let mut detector = OverloadDetector::starting_at(0.0);
         detector.update(sample_with_excess(excess), half_life, RATE_TIME_CONSTANT)
     };
 
-    let with_threshold_of_one_and_a_half = level(1.8);
-    let with_threshold_of_half = level(2.4);
+    let with_threshold_of_one_and_a_half = level_at_half_life(1.8);
+    let with_threshold_of_half = level_at_half_life(2.4);
 
     assert_close(with_threshold_of_one_and_a_half, 1.8 / 1.5 - 1.0);
     assert_close(with_threshold_of_half, 1.0);
--- a/crates/balancer/tests/concerns/quotas.rs
+++ b/crates/balancer/tests/concerns/quotas.rs
@@ -20,7 +20,7 @@
 }
 
 /// Consumes the remaining quota of the first tenant at `now`. Returns the number of requests within quota.
-fn exhaust(quotas: &mut Quotas, now: Time) -> usize {
+fn exhaust_quota(quotas: &mut Quotas, now: Time) -> usize {
     let mut requests = 0;
     while quotas.status(FIRST_TENANT, now) == QuotaStatus::Within {
         quotas.consume(FIRST_TENANT);
@@ -33,9 +33,9 @@
 fn allows_a_burst_of_the_quota_of_one_second_and_then_the_quota_per_second() {
     let mut quotas = quotas_of_one_tenant(4.0, 1);
 
-    let at_once = exhaust(&mut quotas, 0.0);
-    let after_half_a_second = exhaust(&mut quotas, 0.5);
-    let after_an_hour = exhaust(&mut quotas, 3600.0);
+    let at_once = exhaust_quota(&mut quotas, 0.0);
+    let after_half_a_second = exhaust_quota(&mut quotas, 0.5);
+    let after_an_hour = exhaust_quota(&mut quotas, 3600.0);
 
     assert_eq!([at_once, after_half_a_second, after_an_hour], [4, 2, 4]);
 }
@@ -44,16 +44,16 @@
 fn divides_the_quota_evenly_among_the_balancers() {
     let mut quotas = quotas_of_one_tenant(12.0, 4);
 
-    assert_eq!(exhaust(&mut quotas, 0.0), 3);
+    assert_eq!(exhaust_quota(&mut quotas, 0.0), 3);
 }
 
 #[test]
 fn allows_a_burst_of_one_request_if_the_quota_is_less_than_one_per_second() {
     let mut quotas = quotas_of_one_tenant(0.5, 1);
 
-    let at_once = exhaust(&mut quotas, 0.0);
-    let before_the_next = exhaust(&mut quotas, 1.5);
-    let at_the_next = exhaust(&mut quotas, 2.0);
+    let at_once = exhaust_quota(&mut quotas, 0.0);
+    let before_the_next = exhaust_quota(&mut quotas, 1.5);
+    let at_the_next = exhaust_quota(&mut quotas, 2.0);
 
     assert_eq!([at_once, before_the_next, at_the_next], [1, 0, 1]);
 }
@@ -70,7 +70,7 @@
 #[test]
 fn a_request_without_a_tenant_is_within_quota_even_if_every_tenant_has_exceeded_its_quota() {
     let mut quotas = quotas_of_one_tenant(1.0, 1);
-    exhaust(&mut quotas, 0.0);
+    exhaust_quota(&mut quotas, 0.0);
 
     quotas.consume(None);
 
@@ -81,7 +81,7 @@
 #[test]
 fn keeps_the_remaining_quota_of_a_tenant_when_settings_change() {
     let mut quotas = quotas_of_one_tenant(2.0, 1);
-    exhaust(&mut quotas, 0.0);
+    exhaust_quota(&mut quotas, 0.0);
     let tenants = vec![tenant("new", 2.0), tenant("tenant", 2.0)];
     let settings = Settings { tenants, ..Settings::default() };
 
--- a/crates/balancer/tests/concerns/retransmission.rs
+++ b/crates/balancer/tests/concerns/retransmission.rs
@@ -15,7 +15,7 @@
 const SENDS_PER_SECOND: f64 = 20.0;
 
 /// Returns an estimate from samples with the weights of a plain mean.
-fn estimate_of(latencies: &[Time]) -> LatencyEstimate {
+fn estimate_from_latencies(latencies: &[Time]) -> LatencyEstimate {
     let mut estimate = LatencyEstimate::default();
     for (index, latency) in latencies.iter().enumerate() {
         estimate.record(*latency, 1.0 / (index + 1) as f64);
@@ -70,7 +70,7 @@
 
 #[test]
 fn t1_is_the_mean_latency_plus_four_mean_deviations() {
-    let latency = estimate_of(&[0.1, 0.2, 0.1, 0.2]);
+    let latency = estimate_from_latencies(&[0.1, 0.2, 0.1, 0.2]);
 
     let t1 = first_interval(&latency, 100.0, TIMER_RESOLUTION);
 
@@ -80,8 +80,8 @@
 #[test]
 fn t1_leaves_time_for_a_retry_and_is_at_least_the_timer_resolution() {
     let unknown = LatencyEstimate::default();
-    let slow = estimate_of(&[5.0]);
-    let instant = estimate_of(&[0.0]);
+    let slow = estimate_from_latencies(&[5.0]);
+    let instant = estimate_from_latencies(&[0.0]);
 
     assert_close(first_interval(&unknown, 2.0, TIMER_RESOLUTION), 0.8);
     assert_close(first_interval(&slow, 2.0, TIMER_RESOLUTION), 0.8);
--- a/crates/balancer/tests/concerns/slow_start.rs
+++ b/crates/balancer/tests/concerns/slow_start.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_backend_has_no_budget_when_it_is_added_nor_after_a_reset() {
+fn a_backend_has_no_budget_when_it_is_added_or_reset() {
     let mut backend = WarmingBackend::added_at(BACKEND_START);
     let when_added = backend.exhaust_budget(REPORTED_WARM_RATE, BACKEND_START);
 
--- a/crates/balancer/tests/concerns/timer.rs
+++ b/crates/balancer/tests/concerns/timer.rs
@@ -20,13 +20,13 @@
 }
 
 /// Returns all timers of a call.
-fn timers_of(key: CallKey) -> [Timer; 3] {
+fn timers_of_call(key: CallKey) -> [Timer; 3] {
     [Timer::Retry(key), Timer::Deadline(key), Timer::QueueWait(key)]
 }
 
 #[test]
 fn a_token_converts_back_to_its_timer() {
-    let call_timers = call_keys().into_iter().flat_map(timers_of);
+    let call_timers = call_keys().into_iter().flat_map(timers_of_call);
 
     for timer in call_timers.chain([Timer::EndpointPoll]) {
         let token = TimerToken::from(timer);
@@ -49,7 +49,7 @@
 fn a_token_converts_back_to_its_timer_after_any_number_of_slot_reuses() {
     for reuses in [0, 1, 1 << 29, 1 << 30, (1 << 31) - 1] {
         for slot in [1, 1 << 20, (1 << 31) - 1] {
-            for timer in timers_of(key_after_reuses(reuses, slot)) {
+            for timer in timers_of_call(key_after_reuses(reuses, slot)) {
                 assert_eq!(Timer::from(TimerToken::from(timer)), timer, "{reuses} reuses of slot {slot}");
             }
         }
@@ -58,7 +58,7 @@
 
 #[test]
 fn tokens_of_different_timers_differ_even_if_slots_of_ended_calls_are_reused() {
-    let call_timers: Vec<Timer> = call_keys().into_iter().flat_map(timers_of).collect();
+    let call_timers: Vec<Timer> = call_keys().into_iter().flat_map(timers_of_call).collect();
     let timers = call_timers.iter().copied().chain([Timer::EndpointPoll]);
 
     let tokens: BTreeSet<TimerToken> = timers.map(TimerToken::from).collect();
@@ -73,5 +73,5 @@
 
     let is_greater = |timer: Timer| TimerToken::from(timer) > poll;
 
-    assert!(call_keys().into_iter().flat_map(timers_of).all(is_greater));
+    assert!(call_keys().into_iter().flat_map(timers_of_call).all(is_greater));
 }
--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -84,7 +84,7 @@
     }
 
     /// Records a violation.
-    pub fn record(&mut self, violation: impl Into<String>) {
+    pub fn record_violation(&mut self, violation: impl Into<String>) {
         self.violations.push(violation.into());
     }
 
@@ -126,7 +126,7 @@
         let limit = self.settings.idle_close_limit.unwrap_or(f64::INFINITY);
         if self.unclosed_since.values().any(|since| now > since + limit) {
             self.unclosed_since.clear();
-            self.record("drain: connections left open");
+            self.record_violation("drain: connections left open");
         }
     }
 
@@ -142,37 +142,41 @@
             }
             Action::Reject { id, .. } => {
                 if !self.client_may_retry(id.0) {
-                    self.record(format!("rejected {id:?}, which may have run"));
+                    self.record_violation(format!("rejected {id:?}, which may have run"));
                 }
                 self.check_final_response(now, id.0);
             }
             Action::Fail { id } => self.check_final_response(now, id.0),
             Action::Cancel { .. } if !self.settings.cancellation_allowed => {
-                self.record("cancellation is not allowed");
+                self.record_violation("cancellation is not allowed");
+            }
+            Action::SetTimer { at, .. } if !at.is_finite() => {
+                self.record_violation("timer without a finite time")
             }
-            Action::SetTimer { at, .. } if !at.is_finite() => self.record("timer without a finite time"),
             _ => {}
         }
     }
 
     fn check_send_times(&mut self, timeout: Time, write_within: Time) {
         if !timeout.is_finite() || timeout <= 0.0 || write_within <= 0.0 || write_within > timeout {
-            self.record(format!("send with a timeout of {timeout} s and a write limit of {write_within} s"));
+            self.record_violation(format!(
+                "send with a timeout of {timeout} s and a write limit of {write_within} s"
+            ));
         }
     }
 
     fn check_send(&mut self, now: Time, id: RequestId, backend: BackendId, write_within: Time) {
         let Some(endpoint) = self.list.get(&backend.0).cloned() else {
-            return self.record(format!("sent an attempt to unknown {backend:?}"));
+            return self.record_violation(format!("sent an attempt to unknown {backend:?}"));
         };
         if endpoint.status != Status::InService {
-            self.record(format!("drain: sent to {backend:?}"));
+            self.record_violation(format!("drain: sent to {backend:?}"));
         }
         if let Some(violation) = self.order_violation(now, id.0) {
-            self.record(violation);
+            self.record_violation(violation);
         }
         let Some(request) = self.requests.get_mut(&id.0) else {
-            return self.record(format!("sent an attempt of unknown {id:?}"));
+            return self.record_violation(format!("sent an attempt of unknown {id:?}"));
         };
         let violations = attempt_violations(&self.settings, request, &endpoint, now + write_within);
         request.attempts.push(Attempt {
@@ -183,7 +187,7 @@
             ended_at: 0.0,
         });
         for violation in violations {
-            self.record(violation);
+            self.record_violation(violation);
         }
     }
 
@@ -204,10 +208,10 @@
             Some(request) if !request.is_finished => {
                 request.is_finished = true;
                 if now > request.deadline {
-                    self.record(format!("{id} has a late final response"));
+                    self.record_violation(format!("{id} has a late final response"));
                 }
             }
-            _ => self.record(format!("{id} has a second final response, or is unknown")),
+            _ => self.record_violation(format!("{id} has a second final response, or is unknown")),
         }
     }
 
@@ -216,7 +220,7 @@
         let is_open = |(_, request): &(&u64, &ObservedRequest)| !request.is_finished;
         let open_ids: Vec<u64> = self.requests.iter().filter(is_open).map(|(id, _)| *id).collect();
         for id in open_ids {
-            self.record(format!("{id} has no final response"));
+            self.record_violation(format!("{id} has no final response"));
         }
     }
 }
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -16,7 +16,7 @@
 const FINAL_WAIT: Time = 5.0;
 
 /// The outcomes from which the outcome of an attempt is drawn.
-const OUTCOMES: [Outcome; 8] = [
+const DRAWN_OUTCOMES: [Outcome; 8] = [
     Outcome::Success,
     Outcome::Error,
     Outcome::Rejected,
@@ -28,7 +28,7 @@
 ];
 
 /// The statuses from which the status of a changed endpoint is drawn.
-const STATUSES: [Status; 3] = [Status::InService, Status::Draining, Status::Removed];
+const DRAWN_STATUSES: [Status; 3] = [Status::InService, Status::Draining, Status::Removed];
 
 /// A step of a random sequence. The indices of attempts and requests are taken modulo the number of attempts
 /// in flight and of requests so far.
@@ -45,7 +45,7 @@
     /// An endpoint changes.
     ChangeEndpoint { backend: u32, status: Status, is_restarted: bool },
     /// A full list without one backend arrives.
-    FullList { without: u32 },
+    FullList { absent_backend: u32 },
     /// A poll of the endpoint list fails.
     PollFailed,
 }
@@ -57,10 +57,10 @@
         Step::Request { class: ClassIndex(class), tenant: TenantIndex(tenant), key, timeout }
     });
     let end_attempt = (0..50usize, 0..8usize)
-        .prop_map(|(attempt, outcome)| Step::EndAttempt { attempt, outcome: OUTCOMES[outcome] });
+        .prop_map(|(attempt, outcome)| Step::EndAttempt { attempt, outcome: DRAWN_OUTCOMES[outcome] });
     let change_endpoint =
         (1..=BACKEND_COUNT, 0..3usize, any::<bool>()).prop_map(|(backend, status, is_restarted)| {
-            Step::ChangeEndpoint { backend, status: STATUSES[status], is_restarted }
+            Step::ChangeEndpoint { backend, status: DRAWN_STATUSES[status], is_restarted }
         });
     prop_oneof![
         6 => request,
@@ -68,7 +68,7 @@
         1 => (0..50usize).prop_map(|request| Step::Disconnect { request }),
         8 => (0.0..0.3f64).prop_map(Step::Wait),
         2 => change_endpoint,
-        1 => (1..=BACKEND_COUNT).prop_map(|without| Step::FullList { without }),
+        1 => (1..=BACKEND_COUNT).prop_map(|absent_backend| Step::FullList { absent_backend }),
         1 => Just(Step::PollFailed),
     ]
 }
@@ -150,7 +150,7 @@
     simulation.wait(FINAL_WAIT);
     simulation.checker.check_all_finished();
     if simulation.balancer.open_requests() > 0 {
-        simulation.checker.record("finished requests are still open in the balancer");
+        simulation.checker.record_violation("finished requests are still open in the balancer");
     }
     simulation.checker.violations
 }
@@ -166,7 +166,7 @@
                 let started_at = is_restarted.then_some(self.now);
                 self.change_endpoint(backend, status, started_at);
             }
-            Step::FullList { without } => self.send_full_list_without(without),
+            Step::FullList { absent_backend } => self.send_full_list_without(absent_backend),
             Step::PollFailed => self.handle(Event::Endpoints(EndpointUpdate::Failed)),
         }
     }
--- a/crates/balancer/tests/slow_start/warm_up_load.rs
+++ b/crates/balancer/tests/slow_start/warm_up_load.rs
@@ -29,7 +29,7 @@
         let capacity_while_warming_up = mean_capacity * settings.slow_start_duration;
         let mut load = Self::default();
         for sends in sends_to_started {
-            load.worst_window = load.worst_window.max(worst_window(fleet, sends));
+            load.worst_window = load.worst_window.max(worst_window_load(fleet, sends));
             let used = sends.len() as f64 / capacity_while_warming_up;
             load.used_capacity += used / fleet.started_backends as f64;
         }
@@ -39,7 +39,7 @@
 
 /// Returns the number of requests in the worst overload window of a backend, as a fraction of the number that
 /// overloads the backend.
-fn worst_window(fleet: &Fleet, sends: &[Time]) -> f64 {
+fn worst_window_load(fleet: &Fleet, sends: &[Time]) -> f64 {
     let settings = fleet.settings();
     let mut worst = 0.0_f64;
     for (index, start) in sends.iter().enumerate() {
--- a/crates/balancer/tests/subset_cover/fleet.rs
+++ b/crates/balancer/tests/subset_cover/fleet.rs
@@ -85,8 +85,7 @@
     balancer: Balancer,
 }
 
-/// A fleet of balancers. All balancers have been notified of the same endpoint list and have the same
-/// settings except for their index and zone.
+/// A fleet of balancers. All balancers have been notified of the same endpoint list and settings.
 pub struct Fleet {
     size: FleetSize,
     crossing: ZoneCrossing,
@@ -172,14 +171,13 @@
 
     /// Advances the time until all calls that were open at the latest change have ended, and notifies all
     /// balancers of the same list again.
-    pub fn settle(&mut self) {
+    pub fn wait_for_open_calls(&mut self) {
         self.now += CHANGE_INTERVAL;
         let full_list: Vec<Endpoint> = self.listed.values().cloned().collect();
         self.notify_all(Event::Endpoints(EndpointUpdate::Full(&full_list)));
     }
 
-    /// Changes the number of balancers to a random one in [`BALANCER_COUNT_RANGE`], and the settings of all
-    /// balancers.
+    /// Draws the number of balancers again, and changes the settings of all balancers accordingly.
     pub fn change_balancer_count(&mut self) {
         let count = self.random.random_range(BALANCER_COUNT_RANGE);
         self.resize(count);
--- a/crates/balancer/tests/subset_cover/main.rs
+++ b/crates/balancer/tests/subset_cover/main.rs
@@ -135,7 +135,7 @@
         for step in 0..CHANGES_PER_FLEET {
             let changed = fleet.change_backend();
             // A member that is no longer assigned stays in the subset until its calls have ended.
-            fleet.settle();
+            fleet.wait_for_open_calls();
 
             let memberships = memberships(&fleet.subsets());
 
@@ -174,7 +174,12 @@
 }
 
 impl Moves {
-    fn add(&mut self, change: BackendChange, before: &[BTreeSet<BackendId>], after: &[BTreeSet<BackendId>]) {
+    fn record_change(
+        &mut self,
+        change: BackendChange,
+        before: &[BTreeSet<BackendId>],
+        after: &[BTreeSet<BackendId>],
+    ) {
         for (before, after) in before.iter().zip(after) {
             self.gained += after.difference(before).count();
             self.lost += before.difference(after).count();
@@ -200,8 +205,8 @@
                 let before = fleet.subsets();
                 let change = fleet.change_backend();
                 let after = fleet.subsets();
-                moves_of_fleet.add(change, &before, &after);
-                moves_of_all_fleets.add(change, &before, &after);
+                moves_of_fleet.record_change(change, &before, &after);
+                moves_of_all_fleets.record_change(change, &before, &after);
             }
             if let Some(size) = REGRESSION_FLEET_SIZES.get(seed as usize) {
                 moves_of_fleet.assert_within_limit(&format!("{crossing:?} {size:?}"));
