--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -151,7 +151,7 @@
                 self.record_violation("cancellation is not allowed");
             }
             Action::SetTimer { at, .. } if !at.is_finite() => {
-                self.record_violation("timer without a finite time")
+                self.record_violation("timer without a finite time");
             }
             _ => {}
         }
