--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -11,6 +11,7 @@
 use crate::common::balancer_harness::PendingTimer;
 use crate::common::fixtures::{endpoint, request_class, tenant};
 
+/// The number of backends, whose ids start at 1.
 const BACKEND_COUNT: u32 = 7;
 /// The time after the last step within which every request must end, in seconds.
 const FINAL_WAIT: Time = 5.0;
