--- a/crates/balancer/tests/subset_cover/main.rs
+++ b/crates/balancer/tests/subset_cover/main.rs
@@ -6,9 +6,9 @@
 //! assigns to it, while the balancers that had these backends before drop them. Each subset then depends on
 //! the history of its balancer, and differs from the subset after a restart with the same list. If crossing
 //! zones has a cost, backends are also left out if a balancer uses its index among all balancers as its index
-//! among the balancers of its zone. With both faults, 1,697 of the 3,600 changes of these tests left a backend
-//! out. A sixth of the backends, at worst a third, were in no subset after a list had changed one backend at a
-//! time.
+//! among the balancers of its zone. With both faults, 1,697 of the 3,600 changes of these tests left a
+//! backend out. A sixth of the backends, at worst a third, were in no subset after a list had changed one
+//! backend at a time.
 
 #[path = "../common/mod.rs"]
 mod common;
