--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -20,7 +20,7 @@
 
         let mut rejected = 0;
         for id in 1000..1200 {
-            assert!(!is_rejected(&harness.request(id), id), "the request is queued for a while");
+            assert!(!is_rejected(&harness.request(id), id), "the request is queued, not rejected on arrival");
             rejected += rejections(&harness.actions_until(harness.now + 0.005));
         }
 
@@ -42,7 +42,7 @@
 }
 
 /// An attempt without a response so far.
-struct Unanswered {
+struct AttemptInFlight {
     attempt: SentAttempt,
     sent_at: Time,
 }
@@ -57,7 +57,7 @@
 
     // Rejections by class and tenant.
     let mut rejected = [[0; 2]; 2];
-    let mut in_flight = VecDeque::<Unanswered>::new();
+    let mut in_flight = VecDeque::<AttemptInFlight>::new();
     for round in 0..4000u64 {
         let id = RequestId(round);
         let (class, tenant) = (class_of(id), Some(tenant_of(id)));
@@ -65,7 +65,7 @@
         let mut actions = harness.handle(Event::Request(request));
         // The backends respond to all requests at first, later to seven in ten.
         if (round < 500 || round % 10 < 7)
-            && let Some(Unanswered { attempt, sent_at }) = in_flight.pop_front()
+            && let Some(AttemptInFlight { attempt, sent_at }) = in_flight.pop_front()
         {
             let duration = (harness.now - sent_at).max(0.001);
             actions.extend(harness.end_attempt(attempt, Outcome::Success, duration));
@@ -73,7 +73,7 @@
         actions.extend(harness.actions_until(harness.now + 0.005));
         actions.extend(harness.end_cancelled_attempts(&actions.clone()));
         let sent_at = harness.now;
-        in_flight.extend(sends(&actions).into_iter().map(|attempt| Unanswered { attempt, sent_at }));
+        in_flight.extend(sends(&actions).into_iter().map(|attempt| AttemptInFlight { attempt, sent_at }));
         for action in &actions {
             if let Action::Reject { id, .. } = action {
                 rejected[class_of(*id).0][tenant_of(*id).0] += usize::from(id.0 > 500);
@@ -87,15 +87,15 @@
 
 #[test]
 fn rejects_a_request_whose_timeout_is_far_below_the_expected_latency() {
-    // Guards against work for requests whose client gives up before it is done.
+    // Guards against attempts that serve no client: the client gives up before the attempt ends.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
     for id in 0..30 {
         harness.serve(id, 0.1);
     }
 
-    let far_below = harness.request_with_timeout(100, 0.05);
-    let little_below = harness.request_with_timeout(101, 0.09);
+    let actions_far_below = harness.request_with_timeout(100, 0.05);
+    let actions_slightly_below = harness.request_with_timeout(101, 0.09);
 
-    assert!(is_rejected(&far_below, 100));
-    assert!(!is_rejected(&little_below, 101));
+    assert!(is_rejected(&actions_far_below, 100));
+    assert!(!is_rejected(&actions_slightly_below, 101));
 }
--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -5,7 +5,7 @@
 use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
 use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId, Settings, Tier};
 
-/// Creates a balancer before two backends.
+/// Creates a balancer with two backends.
 fn harness_with_two_backends(settings: Settings) -> BalancerHarness {
     BalancerHarness::new(settings, &[endpoint(1), endpoint(2)])
 }
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn takes_no_action_but_the_cancellation_after_a_disconnect() {
+fn only_cancels_the_attempt_after_a_disconnect() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
     harness.request(1);
 
@@ -115,9 +115,10 @@
     for mut settings in settings_with_and_without_cancellation() {
         settings.classes[0].ordered_by_key = true;
         let mut harness = harness_with_two_backends(settings);
-        let with_key = |id| Request { id: RequestId(id), timeout: 2.0, key: Some(7), ..Request::default() };
-        let sent = sends(&harness.handle(Event::Request(with_key(9))))[0];
-        assert!(harness.handle(Event::Request(with_key(1))).is_empty());
+        let keyed_request =
+            |id| Request { id: RequestId(id), timeout: 2.0, key: Some(7), ..Request::default() };
+        let sent = sends(&harness.handle(Event::Request(keyed_request(9))))[0];
+        assert!(harness.handle(Event::Request(keyed_request(1))).is_empty());
 
         assert!(harness.handle(Event::ClientDisconnected(RequestId(1))).is_empty());
 
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn does_not_forward_a_request_queued_at_the_entry_after_a_disconnect() {
+fn does_not_forward_a_request_queued_at_the_entry_tier_after_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
         let settings = Settings { tier: Tier::ENTRY, ..settings };
         let mut harness = harness_with_two_backends(settings);
--- a/crates/balancer/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -1,4 +1,4 @@
-//! Settings with zeros, and determinism.
+//! Settings whose values are zero, and the determinism of the actions.
 
 use crate::common::actions::{is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
@@ -41,7 +41,10 @@
         let request =
             Request { id: RequestId(id), tenant: Some(TenantIndex(0)), timeout: 1.0, ..Request::default() };
         let actions = harness.handle(Event::Request(request));
-        assert!(is_rejected(&actions, id), "no latency objective and no weight: nothing to wait for");
+        assert!(
+            is_rejected(&actions, id),
+            "rejected at once, as the latency objective and the priority weight are zero"
+        );
     }
     harness.handle(Event::Endpoints(EndpointUpdate::Failed));
 
@@ -51,7 +54,7 @@
 
 #[test]
 fn serves_a_class_without_a_latency_objective() {
-    // Guards against rates over a window of length zero, which are not a number.
+    // Guards against rates over a window of length zero: the division yields NaN.
     let mut settings = safe_settings();
     settings.quantum = 0.0;
     settings.classes[0].latency_objective = 0.0;
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -14,7 +14,7 @@
 
         harness.end_attempt(sent, Outcome::Rejected, 0.1);
 
-        // Neither the retry is sent, though there is no other backend, nor a new request.
+        // Neither a retry nor a new request is sent, although there is no other backend.
         assert_eq!(harness.sends_until(0.9), []);
         let actions = harness.request(2);
         assert_eq!(sends(&actions), []);
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn sends_nothing_to_a_backend_that_a_full_list_lacks() {
+fn sends_nothing_to_a_backend_that_is_absent_from_a_full_list() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
 
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(2)])));
@@ -31,7 +31,7 @@
         assert_eq!(
             sends(&harness.request(id)),
             [SentAttempt::new(id, 2)],
-            "a backend that a full list lacks is removed"
+            "a backend that is absent from a full list is removed"
         );
     }
 }
@@ -50,7 +50,7 @@
     harness.advance_to(0.1);
     assert!(
         harness.end_attempt(sent, Outcome::Success, 0.1).contains(&close),
-        "the connection that was in use at the notification"
+        "the connection was in use at the notification and is idle now"
     );
 }
 
@@ -62,7 +62,7 @@
     assert_eq!(
         harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[draining]))),
         [],
-        "only where the settings ask for it"
+        "the settings contain no limit for idle connections"
     );
 }
 
@@ -85,31 +85,31 @@
         harness.handle(Event::Endpoints(EndpointUpdate::Failed));
         let mut polls = harness.advance_to(start + 2.0 * settings.endpoint_poll_limit);
         polls.retain(|timed| timed.action == Action::WatchEndpoints);
-        assert_eq!(polls.len(), 1, "one poll after each failure");
+        assert_eq!(polls.len(), 1, "one poll follows each failure");
         let delay = polls[0].at - start;
         assert!(delay > 0.0 && delay < 1.5 * settings.endpoint_poll_limit, "{delay}");
         if round > 3 {
-            assert!(delay > last_delay * 0.3, "delays don't shrink beyond their jitter");
+            assert!(delay > last_delay * 0.3, "the delay falls only within the range of the jitter");
         }
         last_delay = delay;
-        assert!(harness.send(round).backend <= BackendId(3), "the last list is cached");
+        assert!(harness.send(round).backend <= BackendId(3), "the last list stays in use");
     }
 }
 
 #[test]
-fn polls_at_different_times_in_balancers_that_started_together() {
-    let first_poll = |seed| {
+fn first_polls_of_balancers_that_started_together_are_spread() {
+    let first_poll_time = |seed| {
         let mut harness = BalancerHarness::with_seed(seed, polling_settings(), &endpoints(3));
         harness.advance_to(10.0)[0].at
     };
-    let mut first_polls: Vec<Time> = (0..20).map(first_poll).collect();
+    let mut first_poll_times: Vec<Time> = (0..20).map(first_poll_time).collect();
 
-    first_polls.sort_by(f64::total_cmp);
-    assert!(first_polls[19] - first_polls[0] > 2.0);
+    first_poll_times.sort_by(f64::total_cmp);
+    assert!(first_poll_times[19] - first_poll_times[0] > 2.0);
 }
 
 /// Values of `endpoint_poll_limit`, in seconds.
-const POLL_LIMITS: [Time; 3] = [1.0, 10.0, 60.0];
+const ENDPOINT_POLL_LIMITS: [Time; 3] = [1.0, 10.0, 60.0];
 
 /// Creates a balancer whose first poll is in progress.
 fn harness_with_first_poll(seed: u64, endpoint_poll_limit: Time) -> BalancerHarness {
@@ -121,13 +121,14 @@
 
 #[test]
 fn repeats_a_failed_poll_soon_however_long_the_poll_limit() {
-    for poll_limit in POLL_LIMITS {
+    for poll_limit in ENDPOINT_POLL_LIMITS {
         for seed in 0..20 {
             let mut harness = harness_with_first_poll(seed, poll_limit);
 
             harness.handle(Event::Endpoints(EndpointUpdate::Failed));
 
-            // A missed event counts as notified 6 s after the watch went silent, 2.3 s before this.
+            // The watch stopped delivering events 2.3 s before this failure. A change that the balancer
+            // missed counts as notified 6 s after the watch stopped.
             assert!(
                 harness.actions_until(poll_limit + 1.6).contains(&Action::WatchEndpoints),
                 "{poll_limit}"
@@ -143,12 +144,12 @@
 
 #[test]
 fn polls_a_third_time_within_6_s_when_two_polls_fail_slowly() {
-    for poll_limit in POLL_LIMITS {
+    for poll_limit in ENDPOINT_POLL_LIMITS {
         for seed in 0..200 {
             let mut harness = harness_with_first_poll(seed, poll_limit);
-            // Polls that fail at once before the poll that gets no response as discovery returns.
+            // A number of polls fail at once. The next poll gets no response while discovery returns.
             for failed_at_once in 0..10_u32 {
-                let first = harness.now;
+                let first_start = harness.now;
                 for _ in 0..failed_at_once {
                     fail_poll_and_await_next(&mut harness);
                 }
@@ -163,10 +164,10 @@
 
                 let elapsed = harness.now - start;
                 assert!(elapsed < 5.25, "{poll_limit}, seed {seed}, {failed_at_once} failed: {elapsed}");
-                // The first repeated poll follows soon, the others a second apart.
+                // After the first repeated poll, polls start 1 s apart on average and at least 0.5 s apart.
                 assert!(
-                    start - first >= 0.5 * f64::from(failed_at_once.saturating_sub(1)),
-                    "{start} {first}"
+                    start - first_start >= 0.5 * f64::from(failed_at_once.saturating_sub(1)),
+                    "{start} {first_start}"
                 );
                 harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[])));
                 harness.advance_to(harness.now + poll_limit);
@@ -183,7 +184,7 @@
 }
 
 #[test]
-fn repeats_failed_polls_at_different_times_in_balancers_that_fail_together() {
+fn repeated_polls_of_balancers_that_failed_together_are_spread() {
     let repeat_times = |seed| {
         let mut harness = harness_with_first_poll(seed, Settings::default().endpoint_poll_limit);
         [0, 1].map(|_| {
@@ -195,7 +196,7 @@
 
     for repeat in 0..2 {
         times.sort_by(|left, right| left[repeat].total_cmp(&right[repeat]));
-        // Any third of the balancers is spread over more than a twentieth of a second.
+        // The polls of any 67 of the 200 balancers, a third, are spread over more than 0.05 s.
         let shortest_spread = times
             .windows(67)
             .map(|window| window[66][repeat] - window[0][repeat])
--- a/crates/balancer/tests/decisions/final_response.rs
+++ b/crates/balancer/tests/decisions/final_response.rs
@@ -5,8 +5,8 @@
 use crate::common::fixtures::{endpoints, safe_settings, settings_with_effect};
 use balancer::{Action, AttemptNumber, Effect, Event, IdempotencyGroup, Outcome, RequestId, Settings, Time};
 
-/// The outcomes of an attempt without a response for the client.
-const FAILURES: [Outcome; 6] = [
+/// The outcomes with which an attempt ends without a response for the client.
+const FAILED_OUTCOMES: [Outcome; 6] = [
     Outcome::Error,
     Outcome::Rejected,
     Outcome::Timeout,
@@ -15,28 +15,29 @@
     Outcome::NotSent,
 ];
 
-/// The failures with which an attempt cannot have run.
-const FAILURES_BEFORE_RUNNING: [Outcome; 3] = [Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent];
+/// The outcomes after which the backend cannot have processed the attempt.
+const UNPROCESSED_OUTCOMES: [Outcome; 3] = [Outcome::Rejected, Outcome::NoConnection, Outcome::NotSent];
 
-/// The outcomes of the last attempt after which a client may retry a request.
-struct ClientRetries {
+/// The conditions under which a client may retry a request.
+struct ClientRetryCase {
+    /// The effect of the request's class.
     effect: Effect,
+    /// The outcomes of the last attempt after which the client may retry.
     allowed_after: &'static [Outcome],
 }
 
 #[test]
 fn rejects_after_the_last_attempt_only_if_the_client_may_retry() {
     let idempotent = |group| Effect::Idempotent { group, window: 5.0 };
-    // The outcomes after which the client may retry a request of an effect.
     let cases = [
-        ClientRetries { effect: Effect::Safe, allowed_after: &FAILURES },
-        ClientRetries { effect: idempotent(IdempotencyGroup::All), allowed_after: &FAILURES },
-        ClientRetries { effect: idempotent(IdempotencyGroup::Zone), allowed_after: &FAILURES_BEFORE_RUNNING },
-        ClientRetries { effect: idempotent(IdempotencyGroup::Cell), allowed_after: &FAILURES_BEFORE_RUNNING },
-        ClientRetries { effect: Effect::Unsafe, allowed_after: &FAILURES_BEFORE_RUNNING },
+        ClientRetryCase { effect: Effect::Safe, allowed_after: &FAILED_OUTCOMES },
+        ClientRetryCase { effect: idempotent(IdempotencyGroup::All), allowed_after: &FAILED_OUTCOMES },
+        ClientRetryCase { effect: idempotent(IdempotencyGroup::Zone), allowed_after: &UNPROCESSED_OUTCOMES },
+        ClientRetryCase { effect: idempotent(IdempotencyGroup::Cell), allowed_after: &UNPROCESSED_OUTCOMES },
+        ClientRetryCase { effect: Effect::Unsafe, allowed_after: &UNPROCESSED_OUTCOMES },
     ];
-    for ClientRetries { effect, allowed_after } in cases {
-        for outcome in FAILURES {
+    for ClientRetryCase { effect, allowed_after } in cases {
+        for outcome in FAILED_OUTCOMES {
             let retry_allowed = allowed_after.contains(&outcome);
             let settings = Settings { max_attempts: 1, ..settings_with_effect(effect) };
             let mut harness = BalancerHarness::new(settings, &endpoints(3));
@@ -47,7 +48,7 @@
 
             assert_eq!(is_rejected(&actions, 1), retry_allowed, "{effect:?} {outcome:?}");
             assert_eq!(is_failed(&actions, 1), !retry_allowed, "{effect:?} {outcome:?}");
-            assert_eq!(harness.advance_to(5.0), [], "nothing after the final response");
+            assert_eq!(harness.advance_to(5.0), [], "no action follows the final response");
         }
     }
 }
@@ -69,7 +70,7 @@
     assert_eq!(response_times.len(), 1);
     assert!(response_times[0] < 1.5 && response_times[0] > 1.4);
     assert_eq!(harness.balancer.open_requests(), 0);
-    // A late outcome of the finished request is counted and causes no action.
+    // The late outcome of an attempt of the finished request is recorded and causes no action.
     assert_eq!(harness.end_attempt(sent, Outcome::Timeout, 1.5), []);
 }
 
@@ -89,11 +90,11 @@
 fn rejects_a_request_whose_timeout_is_not_positive() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(3));
 
-    let without_time = harness.request_with_timeout(1, 0.0);
-    let overdue = harness.request_with_timeout(2, -1.0);
+    let actions_with_zero_timeout = harness.request_with_timeout(1, 0.0);
+    let actions_with_negative_timeout = harness.request_with_timeout(2, -1.0);
 
-    assert!(is_rejected(&without_time, 1));
-    assert!(is_rejected(&overdue, 2));
+    assert!(is_rejected(&actions_with_zero_timeout, 1));
+    assert!(is_rejected(&actions_with_negative_timeout, 2));
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/idle_backends.rs
+++ b/crates/balancer/tests/decisions/idle_backends.rs
@@ -1,13 +1,13 @@
-//! Backends that all answer alike, with little to do.
+//! Placement among idle backends with the same latency.
 //!
-//! What happened: of 800 requests at four idle backends with the same latency, one backend got 765 to 770.
+//! Guards against one of several idle backends getting nearly all requests: 765 to 770 of 800 requests at
+//! four backends. A retry timer that fired just before the response recorded the wait so far as the latency
+//! of the backend, which then appeared slightly faster than the others. Placement excludes backends with more
+//! than the mean load, so that only this backend remained.
 //!
-//! Why: a retry timer that fires just before the response counted the wait so far as the latency of the backend,
-//! which then looked a little faster than the others. Placement drops whatever has more than the mean load, so that
-//! this backend alone was left to choose.
-//!
-//! What showed it: the same counts at latencies of 0.01, 0.05 and 0.2 s, one at a time or with pauses, and even
-//! shares at 0.5 s, where T1 fires long before the response and the hedged attempts reach all backends.
+//! The counts were the same at latencies of 0.01, 0.05 and 0.2 s, with and without pauses between requests.
+//! The shares were even at 0.5 s, as T1 expires long before the response and hedged attempts reach all
+//! backends.
 
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings};
@@ -15,16 +15,16 @@
 use std::collections::BTreeMap;
 
 /// The number of backends.
-const BACKENDS: u32 = 4;
+const BACKEND_COUNT: u32 = 4;
 /// The number of requests.
-const REQUESTS: u64 = 800;
+const REQUEST_COUNT: u64 = 800;
 
 /// Returns the number of first attempts at each backend, where every response takes `latency` seconds and the
-/// next request comes after a pause of that many seconds.
-fn first_attempts(latency: Time, pause: Time, seed: u64) -> BTreeMap<BackendId, u64> {
-    let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(BACKENDS));
+/// next request arrives `pause` seconds after the response.
+fn first_attempts_by_backend(latency: Time, pause: Time, seed: u64) -> BTreeMap<BackendId, u64> {
+    let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(BACKEND_COUNT));
     let mut attempts = BTreeMap::new();
-    for id in 0..REQUESTS {
+    for id in 0..REQUEST_COUNT {
         *attempts.entry(harness.serve(id, latency)).or_default() += 1;
         harness.advance_to(harness.now + pause);
     }
@@ -33,14 +33,18 @@
 
 #[test]
 fn backends_with_the_same_latency_get_even_shares_when_idle() {
-    let even_share = REQUESTS / u64::from(BACKENDS);
+    let even_share = REQUEST_COUNT / u64::from(BACKEND_COUNT);
     for latency in [0.01, 0.05, 0.2, 0.5] {
         for pause in [0.0, 0.02, 1.0] {
             for seed in 0..3 {
-                let attempts = first_attempts(latency, pause, seed);
+                let attempts = first_attempts_by_backend(latency, pause, seed);
 
                 let shares: Vec<u64> = attempts.into_values().collect();
-                assert_eq!(shares.len() as u32, BACKENDS, "latency {latency}, pause {pause}: {shares:?}");
+                assert_eq!(
+                    shares.len() as u32,
+                    BACKEND_COUNT,
+                    "latency {latency}, pause {pause}: {shares:?}"
+                );
                 assert!(
                     shares.iter().all(|share| (even_share / 2..=2 * even_share).contains(share)),
                     "latency {latency}, pause {pause}, seed {seed}: {shares:?}"
--- a/crates/balancer/tests/decisions/load_reports.rs
+++ b/crates/balancer/tests/decisions/load_reports.rs
@@ -32,7 +32,7 @@
         harness.end_attempt(attempt, Outcome::Success, 0.05);
     }
 
-    assert!((50..80).contains(&health_checks), "one for a few sends: {health_checks}");
+    assert!((50..80).contains(&health_checks), "{health_checks} health checks for 200 sends");
     assert!(sent[0] > 3 * sent[1], "{sent:?}");
 }
 
@@ -81,28 +81,28 @@
 
 #[test]
 fn prefers_the_backend_whose_responses_report_the_shorter_service_time() {
-    let with_shorter_time = sent_to_first_backend([Some(0.02), Some(0.08)]);
-    let with_longer_time = sent_to_first_backend([Some(0.08), Some(0.02)]);
+    let sent_with_shorter_time = sent_to_first_backend([Some(0.02), Some(0.08)]);
+    let sent_with_longer_time = sent_to_first_backend([Some(0.08), Some(0.02)]);
 
-    assert!(with_shorter_time > 190, "{with_shorter_time} of 200");
-    assert!(with_longer_time < 10, "{with_longer_time} of 200");
+    assert!(sent_with_shorter_time > 190, "{sent_with_shorter_time} of 200");
+    assert!(sent_with_longer_time < 10, "{sent_with_longer_time} of 200");
 }
 
 #[test]
 fn ignores_service_times_that_are_not_positive() {
-    let without_report = sent_to_first_backend([Some(0.02), None]);
+    let sent_without_report = sent_to_first_backend([Some(0.02), None]);
 
-    let with_zero = sent_to_first_backend([Some(0.02), Some(0.0)]);
-    let with_negative_time = sent_to_first_backend([Some(0.02), Some(-1.0)]);
+    let sent_with_zero = sent_to_first_backend([Some(0.02), Some(0.0)]);
+    let sent_with_negative_time = sent_to_first_backend([Some(0.02), Some(-1.0)]);
 
-    assert_eq!(with_zero, without_report);
-    assert_eq!(with_negative_time, without_report);
+    assert_eq!(sent_with_zero, sent_without_report);
+    assert_eq!(sent_with_negative_time, sent_without_report);
 }
 
 #[test]
 fn ignores_the_report_of_a_backend_that_is_not_listed() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
-    let mut other = BalancerHarness::new(safe_settings(), &endpoints(2));
+    let mut reference_harness = BalancerHarness::new(safe_settings(), &endpoints(2));
 
     let event = Event::HealthCheckEnded {
         backend: BackendId(3),
@@ -114,7 +114,7 @@
     assert_eq!(actions, []);
     assert_eq!(harness.balancer.backends_known(), 2);
     for id in 0..50 {
-        assert_eq!(harness.serve(id, 0.05), other.serve(id, 0.05));
+        assert_eq!(harness.serve(id, 0.05), reference_harness.serve(id, 0.05));
     }
 }
 
@@ -135,31 +135,31 @@
         harness.end_attempt(sends(&actions)[0], Outcome::Success, response_time(id));
     }
 
-    // One health check for three sends, of the four members one after the other.
+    // Every third send triggers a health check. The checks visit the four members in turn.
     assert_eq!(checks_by_backend, (1..=4).map(|id| (BackendId(id), 10)).collect());
 }
 
 #[test]
-fn failed_health_checks_without_a_report_change_no_preference() {
+fn failed_health_checks_without_a_report_do_not_affect_placement() {
     let settings = Settings { health_checks_for_load_reports: true, ..safe_settings() };
-    let mut with_failed_checks = BalancerHarness::new(settings.clone(), &endpoints(2));
-    let mut with_pending_checks = BalancerHarness::new(settings, &endpoints(2));
+    let mut harness_with_failed_checks = BalancerHarness::new(settings.clone(), &endpoints(2));
+    let mut harness_with_pending_checks = BalancerHarness::new(settings, &endpoints(2));
 
     let mut failed_checks = 0;
     for id in 0..200 {
-        let actions = with_failed_checks.request(id);
+        let actions = harness_with_failed_checks.request(id);
         for action in &actions {
             if let Action::HealthCheck(backend) = *action {
                 let outcome = Outcome::Timeout;
-                with_failed_checks.handle(Event::HealthCheckEnded { backend, outcome, report: None });
+                harness_with_failed_checks.handle(Event::HealthCheckEnded { backend, outcome, report: None });
                 failed_checks += 1;
             }
         }
         let sent = sends(&actions)[0];
-        with_failed_checks.advance_to(with_failed_checks.now + response_time(id));
-        with_failed_checks.end_attempt(sent, Outcome::Success, response_time(id));
+        harness_with_failed_checks.advance_to(harness_with_failed_checks.now + response_time(id));
+        harness_with_failed_checks.end_attempt(sent, Outcome::Success, response_time(id));
 
-        assert_eq!(sent.backend, with_pending_checks.serve(id, response_time(id)), "request {id}");
+        assert_eq!(sent.backend, harness_with_pending_checks.serve(id, response_time(id)), "request {id}");
     }
     assert!(failed_checks > 50, "{failed_checks}");
 }
--- a/crates/balancer/tests/decisions/maintenance.rs
+++ b/crates/balancer/tests/decisions/maintenance.rs
@@ -36,17 +36,17 @@
     sent.into_iter().map(|attempt| attempt.backend).collect()
 }
 
-fn count_of_first_backend(backends: &[BackendId]) -> usize {
+fn count_sent_to_first_backend(backends: &[BackendId]) -> usize {
     backends.iter().filter(|backend| **backend == BackendId(1)).count()
 }
 
 #[test]
-fn sends_nothing_to_a_backend_in_maintenance_whatever_the_list_says() {
+fn sends_nothing_to_a_backend_in_maintenance_whatever_the_endpoint_list_contains() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1), endpoint(2)]);
     harness.serve(1, 0.01);
 
     assert_eq!(start_maintenance(&mut harness, 1), [Action::CloseIdleConnections(BackendId(1))]);
-    assert_eq!(start_maintenance(&mut harness, 1), [], "once is enough");
+    assert_eq!(start_maintenance(&mut harness, 1), [], "the backend is in maintenance already");
 
     assert_eq!(harness.balancer.backends_listed(), 2);
     assert_eq!(harness.balancer.backends_avoided(), 1);
@@ -64,7 +64,7 @@
             assert_eq!(harness.serve(id, 0.01), BackendId(2), "{update:?}");
         }
     }
-    // A retry is not sent to the backend in maintenance either, though there is no other backend.
+    // A retry is not sent to the backend in maintenance either, although there is no other backend.
     let sent = SentAttempt::new(1000, 2);
     assert_eq!(sends(&harness.request(1000)), [sent]);
     let mut actions = harness.end_attempt(sent, Outcome::Reset, 0.01);
@@ -89,29 +89,30 @@
     Settings { slow_start_duration: 20.0, slow_start_initial_capacity: 0.1, ..safe_settings() }
 }
 
-/// The start that the endpoint list shows of a backend that returns from maintenance, in seconds, and whether
-/// the backend is in slow start then.
-struct Return {
+/// A backend that returns from maintenance.
+struct ReturningBackend {
+    /// The start time of the backend in the endpoint list at its return, in seconds.
     started_at: Option<Time>,
+    /// Whether slow start follows the maintenance.
     warms_up: bool,
 }
 
 #[test]
 fn slow_start_follows_maintenance_unless_the_backend_restarted_before_its_end() {
-    // The list shows no start, one from before the maintenance, or one during it.
-    let returns = [
-        Return { started_at: None, warms_up: true },
-        Return { started_at: Some(-60.0), warms_up: true },
-        Return { started_at: Some(2.5), warms_up: false },
+    // The list has no start time, one before the maintenance, or one during the maintenance.
+    let returning_backends = [
+        ReturningBackend { started_at: None, warms_up: true },
+        ReturningBackend { started_at: Some(-60.0), warms_up: true },
+        ReturningBackend { started_at: Some(2.5), warms_up: false },
     ];
-    for Return { started_at, warms_up } in returns {
+    for ReturningBackend { started_at, warms_up } in returning_backends {
         let started_before = started_at.filter(|time| *time < 0.0);
         let list = [Endpoint { started_at: started_before, ..endpoint(1) }, endpoint(2)];
         let mut harness = BalancerHarness::new(slow_start_settings(), &list);
-        let before = count_of_first_backend(&send_rounds(&mut harness, 0..20));
+        let sent_before = count_sent_to_first_backend(&send_rounds(&mut harness, 0..20));
         start_maintenance(&mut harness, 1);
-        let meanwhile = count_of_first_backend(&send_rounds(&mut harness, 20..220));
-        assert_eq!(meanwhile, 0);
+        let sent_during = count_sent_to_first_backend(&send_rounds(&mut harness, 20..220));
+        assert_eq!(sent_during, 0);
         let list = [Endpoint { started_at, ..endpoint(1) }, endpoint(2)];
         harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
 
@@ -119,29 +120,36 @@
         end_maintenance(&mut harness, 1);
         end_maintenance(&mut harness, 1);
 
-        let after = count_of_first_backend(&send_rounds(&mut harness, 220..240));
-        assert!(after > 0, "the backend is used within two seconds");
-        assert_eq!(3 * after < before, warms_up, "{after} against {before}, started {started_at:?}");
+        let sent_after = count_sent_to_first_backend(&send_rounds(&mut harness, 220..240));
+        assert!(sent_after > 0, "the backend gets requests within 2 s");
+        assert_eq!(
+            3 * sent_after < sent_before,
+            warms_up,
+            "{sent_after} requests after and {sent_before} before, started {started_at:?}"
+        );
     }
 }
 
-/// A member in maintenance, and a backend that is removed meanwhile.
-struct MemberAndRemoved {
+/// A member in maintenance, and a backend that is removed during the maintenance.
+struct MemberAndRemovedBackend {
     member: BackendId,
     removed: BackendId,
 }
 
-/// Returns each pair of a member and a listed backend.
-fn pairs_with_removed(members: &BTreeSet<BackendId>, list: &[Endpoint]) -> Vec<MemberAndRemoved> {
-    let with_member =
-        |member| list.iter().map(move |endpoint| MemberAndRemoved { member, removed: endpoint.id });
-    members.iter().flat_map(|member| with_member(*member)).collect()
+/// Returns every pair of a member and a backend of the list.
+fn pairs_of_member_and_removed(
+    members: &BTreeSet<BackendId>,
+    list: &[Endpoint],
+) -> Vec<MemberAndRemovedBackend> {
+    let pairs_of_member =
+        |member| list.iter().map(move |endpoint| MemberAndRemovedBackend { member, removed: endpoint.id });
+    members.iter().flat_map(|member| pairs_of_member(*member)).collect()
 }
 
 #[test]
-fn uses_a_member_again_after_its_maintenance_whatever_was_listed_meanwhile() {
-    // Twelve backends, four to each of three balancers. During the maintenance of a member one of the
-    // backends is removed, and others are added.
+fn uses_a_member_again_after_its_maintenance_whatever_backend_was_removed_meanwhile() {
+    // Each of three balancers has four of the twelve backends as members. During the maintenance of a member,
+    // one of the backends is removed.
     let list = endpoints(12);
     for instance_index in 0..3 {
         let settings =
@@ -149,7 +157,7 @@
         let mut harness = BalancerHarness::new(settings.clone(), &list);
         let members: BTreeSet<BackendId> = send_rounds(&mut harness, 0..20).into_iter().collect();
         assert!(members.len() < 12, "{members:?}");
-        for MemberAndRemoved { member, removed } in pairs_with_removed(&members, &list) {
+        for MemberAndRemovedBackend { member, removed } in pairs_of_member_and_removed(&members, &list) {
             let mut harness = BalancerHarness::new(settings.clone(), &list);
             send_rounds(&mut harness, 0..20);
             start_maintenance(&mut harness, member.0);
@@ -158,18 +166,19 @@
             harness.handle(Event::Endpoints(EndpointUpdate::Full(&others)));
             send_rounds(&mut harness, 20..40);
             end_maintenance(&mut harness, member.0);
-            // The member is listed after the maintenance even if removed meanwhile, and new backends with it.
-            let listed_anew = (20..24).map(endpoint).chain([endpoint(member.0)]);
+            // After the maintenance, four backends are added, and the member is listed even if it was
+            // removed.
+            let added = (20..24).map(endpoint).chain([endpoint(member.0)]);
             let others = others.iter().filter(|endpoint| endpoint.id != member).cloned();
-            let list_after: Vec<Endpoint> = others.chain(listed_anew).collect();
+            let list_after: Vec<Endpoint> = others.chain(added).collect();
             harness.handle(Event::Endpoints(EndpointUpdate::Full(&list_after)));
 
-            let after = send_rounds(&mut harness, 40..80);
+            let backends_after = send_rounds(&mut harness, 40..80);
 
-            let mut after = after.into_iter();
+            let mut backends_after = backends_after.into_iter();
             assert!(
-                after.any(|backend| backend == member),
-                "{member:?} at {instance_index}, {removed:?} removed"
+                backends_after.any(|backend| backend == member),
+                "balancer {instance_index} sends nothing to {member:?} after {removed:?} was removed"
             );
         }
     }
@@ -177,7 +186,7 @@
 
 #[test]
 fn uses_a_substitute_of_warming_members_again_after_its_maintenance() {
-    // The members of this balancer, one of many, are warming up, so that substitutes are used.
+    // All members of the subset are warming up, so that the balancer also sends requests to substitutes.
     let settings = Settings {
         instance_count: 20,
         slow_start_duration: 2.0,
@@ -199,21 +208,21 @@
     send_rounds(&mut harness, 60..90);
     end_maintenance(&mut harness, substitute.0);
 
-    let mut after = send_rounds(&mut harness, 90..130).into_iter();
-    assert!(after.any(|backend| backend == substitute), "{substitute:?}, members {members:?}");
+    let mut backends_after = send_rounds(&mut harness, 90..130).into_iter();
+    assert!(backends_after.any(|backend| backend == substitute), "{substitute:?}, members {members:?}");
 }
 
 #[test]
 fn ignores_the_end_of_a_maintenance_that_never_started() {
     let mut harness = BalancerHarness::new(slow_start_settings(), &[endpoint(1), endpoint(2)]);
-    let mut other = BalancerHarness::new(slow_start_settings(), &[endpoint(1), endpoint(2)]);
+    let mut reference_harness = BalancerHarness::new(slow_start_settings(), &[endpoint(1), endpoint(2)]);
 
     assert_eq!(end_maintenance(&mut harness, 1), []);
 
     for round in 0..20 {
         assert_eq!(
-            count_of_first_backend(&send_rounds(&mut harness, round..round + 1)),
-            count_of_first_backend(&send_rounds(&mut other, round..round + 1))
+            count_sent_to_first_backend(&send_rounds(&mut harness, round..round + 1)),
+            count_sent_to_first_backend(&send_rounds(&mut reference_harness, round..round + 1))
         );
     }
 }
--- a/crates/balancer/tests/decisions/ordered_keys.rs
+++ b/crates/balancer/tests/decisions/ordered_keys.rs
@@ -1,11 +1,11 @@
-//! Ordering keys: in classes that keep the order, one request of a key runs at a time.
+//! Ordering keys: in a class that is ordered by key, the requests of a key are dispatched one at a time.
 
 use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, settings_with_effect};
 use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId};
 
-/// Creates a balancer with a class of unsafe requests that keeps the order of a key. A key rests for 0.2 s
+/// Creates a balancer with a class of unsafe requests that is ordered by key. A key is blocked for 0.2 s
 /// after an attempt without a response.
 fn harness_with_ordered_class() -> BalancerHarness {
     let mut settings = settings_with_effect(Effect::Unsafe);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn runs_requests_of_a_key_one_at_a_time_in_order_of_arrival() {
+fn dispatches_requests_of_a_key_one_at_a_time_in_order_of_arrival() {
     let mut harness = harness_with_ordered_class();
     let first = sends(&request_with_key(&mut harness, 1, 7))[0];
     assert_eq!(sends(&request_with_key(&mut harness, 2, 7)), []);
@@ -40,7 +40,8 @@
     let next = sends(&harness.end_attempt(first, Outcome::Success, 0.1));
 
     assert_eq!(request_ids(&next), [RequestId(2)], "in the order of arrival");
-    // The client of request 2 disconnects. The cancelled attempt occupies the key, which then rests.
+    // The client of request 2 disconnects. The cancelled attempt blocks the key until its end and for 0.2 s
+    // after that.
     assert!(
         harness
             .handle(Event::ClientDisconnected(RequestId(2)))
@@ -48,7 +49,7 @@
     );
     assert_eq!(harness.sends_until(0.4), []);
     assert_eq!(sends(&harness.end_attempt(next[0], Outcome::Cancelled, 0.3)), []);
-    assert_eq!(harness.sends_until(0.59), [], "the key rests");
+    assert_eq!(harness.sends_until(0.59), [], "the key is still blocked");
     assert_eq!(request_ids(&harness.sends_until(0.62)), [RequestId(3)]);
 }
 
@@ -60,14 +61,15 @@
 
     let actions = harness.actions_until(3.0);
 
-    assert!(is_failed(&actions, 1), "the first request may have run");
+    assert!(is_failed(&actions, 1), "the backend may have processed the first request");
     assert!(is_rejected(&actions, 2), "the queued request was never sent");
     assert_eq!(sends(&actions), []);
 }
 
 #[test]
 fn rejects_at_once_a_request_whose_deadline_is_too_near_for_the_queue_of_its_key() {
-    // Behind many requests that take 0.2 s each, a request with 2 s left would only lengthen the queue.
+    // Each request takes 0.2 s. Behind many others, a request with a timeout of 2 s would wait in the queue
+    // beyond its deadline.
     let mut harness = harness_with_ordered_class();
     for id in 0..60 {
         harness.serve(id, 0.2);
--- a/crates/balancer/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -7,14 +7,14 @@
 /// The backend that fails or never responds.
 const OUTLIER: BackendId = BackendId(1);
 
-/// Creates a balancer before two backends, with a single attempt for each request.
+/// Creates a balancer with two backends and a single attempt for each request.
 fn harness_with_one_attempt() -> BalancerHarness {
     BalancerHarness::new(Settings { max_attempts: 1, ..safe_settings() }, &endpoints(2))
 }
 
 #[test]
 fn avoids_a_backend_that_fails_fast_and_returns_to_it_later() {
-    // By the requests in flight alone, a backend that fails fast looks idle.
+    // A backend that fails fast has few requests in flight, so that it appears idle.
     let mut harness = harness_with_one_attempt();
     let mut sent_to_outlier = 0;
     for id in 0..200 {
@@ -61,17 +61,15 @@
     assert!(sent_to_outlier <= 5, "{sent_to_outlier} of 40 were sent to the backend that never responds");
 }
 
-/// What happened: `stats` gave one ejected backend although none was in maintenance any more and none was slow.
+/// Guards against an ejected backend in `stats` although no backend is slow or in maintenance.
 ///
-/// Why: a backend that has returned from maintenance counts as having the expected latency. Beside a backend that
-/// was slow for its first responses only, and whose relative latency had fallen below 0.4, that was more than
-/// 2.5 times that of the best.
-///
-/// What showed it: on a busy machine the first responses of a test's backend were slow, and
-/// `a_maintenance_record_of_the_old_version_is_in_force_from_the_start` failed once at a load of 15; with a wait of
-/// 0.3 s in the first two responses it failed always.
+/// A backend that has returned from maintenance counts as having the expected latency. When only the first
+/// responses of the other backend were slow, the relative latency of that backend fell below 0.4, and the
+/// expected latency was more than 2.5 times as high. The first responses are slow on a busy machine: a test
+/// of the proxy's maintenance record failed once at a load of 15, and always when the first two responses
+/// took 0.3 s.
 #[test]
-fn a_backend_with_the_expected_latency_is_no_outlier_however_fast_the_best_is() {
+fn a_backend_with_the_expected_latency_is_no_outlier_however_fast_the_best_backend_is() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
     let returning = BackendId(1);
     harness.handle(Event::Maintenance { backend: returning, change: MaintenanceChange::Begins });
--- a/crates/balancer/tests/decisions/overload_level.rs
+++ b/crates/balancer/tests/decisions/overload_level.rs
@@ -1,5 +1,6 @@
-//! The overload level of a balancer: how far the requests in flight exceed those that the send rate and the
-//! expected latency explain. At the entry tier the level decides which requests are queued.
+//! The overload level of a balancer: the excess of the requests in flight over the number expected from the
+//! send rate and the expected latency. At the entry tier, the overload level determines which requests are
+//! queued.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -18,20 +19,20 @@
     ids.map(|id| sends(&harness.request(id)).len()).sum()
 }
 
-/// An attempt that is going to succeed.
-struct InFlight {
+/// An attempt in flight, which succeeds at a fixed time.
+struct AttemptInFlight {
     attempt: SentAttempt,
     ends_at: Time,
     duration: Time,
 }
 
-/// Simulates one of two balancers of the entry tier before four backends of equal response times. After 40 s
-/// at the initial rate, in requests per second, requests arrive twice as fast for 5 s. Returns the number of
-/// requests at the doubled rate that were not sent at once.
+/// Simulates one of two balancers of the entry tier, with four backends of equal response times. After 40 s
+/// at `initial_rate`, in requests per second, requests arrive at the doubled rate for 5 s. Returns the number
+/// of requests at the doubled rate that were not sent at once.
 fn queued_when_traffic_doubles(initial_rate: f64) -> usize {
     const RESPONSE_TIME: Time = 0.24;
     let mut harness = BalancerHarness::new(entry_settings(2), &endpoints(4));
-    let mut in_flight = VecDeque::<InFlight>::new();
+    let mut in_flight = VecDeque::<AttemptInFlight>::new();
     let mut queued = 0;
     let initial_requests = (40.0 * initial_rate) as u64;
     let doubled_requests = (10.0 * initial_rate) as u64;
@@ -41,27 +42,27 @@
         let mut actions = harness.request(id);
         queued += usize::from(is_doubled && sends(&actions).is_empty());
         while in_flight.front().is_some_and(|attempt| attempt.ends_at <= next) {
-            let InFlight { attempt, ends_at, duration } = in_flight.pop_front().unwrap();
+            let AttemptInFlight { attempt, ends_at, duration } = in_flight.pop_front().unwrap();
             actions.extend(harness.actions_until(ends_at));
             actions.extend(harness.end_attempt(attempt, Outcome::Success, duration));
         }
         actions.extend(harness.actions_until(next));
         let ends_at = harness.now + RESPONSE_TIME;
         let sent = sends(&actions).into_iter();
-        in_flight.extend(sent.map(|attempt| InFlight { attempt, ends_at, duration: RESPONSE_TIME }));
+        in_flight.extend(sent.map(|attempt| AttemptInFlight { attempt, ends_at, duration: RESPONSE_TIME }));
     }
     queued
 }
 
 #[test]
 fn admits_doubled_traffic_of_a_few_requests_per_backend() {
-    // A stopped balancer leaves its requests to the other one: 7 are in flight at each backend then.
+    // The rate of a balancer doubles when the other one stops. 7 requests are then in flight at each backend.
     let queued = queued_when_traffic_doubles(28.0);
 
     assert_eq!(queued, 0);
 }
 
-/// Returns settings with which a backend that is warming up gets next to no requests.
+/// Returns settings with which a backend that is warming up gets almost no requests.
 fn long_slow_start_settings(instance_count: usize) -> Settings {
     Settings {
         slow_start_duration: 1000.0,
@@ -76,7 +77,7 @@
     let mut harness = BalancerHarness::new(long_slow_start_settings(4), &list);
     let members: BTreeSet<BackendId> = (0..200).map(|id| harness.serve(id, 0.05)).collect();
     assert!(members.len() < 12, "{members:?}");
-    // All members are warming up from now on, so that substitutes get nearly every request.
+    // All members are warming up from now on, so that nearly all requests go to substitutes.
     for endpoint in list.iter_mut().filter(|endpoint| members.contains(&endpoint.id)) {
         endpoint.started_at = Some(harness.now);
     }
@@ -84,11 +85,11 @@
 
     let sent = admitted_at_once(&mut harness, 1000..1200);
 
-    assert!(sent < 60, "{sent} of 200 requests sent, without any response");
+    assert!(sent < 60, "{sent} of 200 requests were sent without any response");
 }
 
 #[test]
-fn sheds_load_when_all_members_but_those_warming_up_are_overloaded() {
+fn sheds_load_when_all_members_that_are_not_warming_up_are_overloaded() {
     let mut list = endpoints(6);
     let mut harness = BalancerHarness::new(long_slow_start_settings(1), &list);
     for id in 0..200 {
@@ -98,19 +99,20 @@
         endpoint.started_at = Some(harness.now);
     }
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
-    // The unchanged half responds sixteen times slower; the other half gets next to no requests.
+    // The half that is not warming up responds sixteen times slower; the other half gets almost no requests.
     for id in 300..315 {
         harness.serve(id, 0.8);
     }
 
     let sent = admitted_at_once(&mut harness, 1000..1200);
 
-    assert!(sent < 100, "{sent} of 200 requests sent, without any response");
+    assert!(sent < 100, "{sent} of 200 requests were sent without any response");
 }
 
-/// Returns the number of forty requests arriving together that a balancer sends at once, after a hundred
-/// served requests and these notifications of the processes that serve its clients.
-fn admitted_after(notifications: &[ServingProcesses]) -> usize {
+/// Returns the number of requests that a balancer sends at once when 40 requests arrive together. The
+/// balancer has served 100 requests, and then received these notifications of the processes that serve its
+/// clients.
+fn admitted_after_notifications(notifications: &[ServingProcesses]) -> usize {
     let mut harness = BalancerHarness::new(entry_settings(1), &[endpoint(1), endpoint(2)]);
     for id in 0..100 {
         harness.serve(id, 0.1);
@@ -123,19 +125,22 @@
 
 #[test]
 fn admits_half_as_many_requests_while_a_second_process_runs() {
-    let alone = admitted_after(&[]);
-    assert!((10..40).contains(&alone), "{alone}");
+    let with_one_process = admitted_after_notifications(&[]);
+    assert!((10..40).contains(&with_one_process), "{with_one_process}");
 
-    let half = admitted_after(&[ServingProcesses::Two]);
+    let with_two_processes = admitted_after_notifications(&[ServingProcesses::Two]);
 
-    assert!(2 * half <= alone + 1 && half > 0, "{half} beside another, {alone} alone");
-    let in_turn = [ServingProcesses::Two, ServingProcesses::Two, ServingProcesses::One];
-    assert_eq!(admitted_after(&in_turn), alone);
+    assert!(
+        2 * with_two_processes <= with_one_process + 1 && with_two_processes > 0,
+        "{with_two_processes} with two processes, {with_one_process} with one"
+    );
+    let after_second_process = [ServingProcesses::Two, ServingProcesses::Two, ServingProcesses::One];
+    assert_eq!(admitted_after_notifications(&after_second_process), with_one_process);
 }
 
 #[test]
 fn sheds_little_load_when_most_backends_hang() {
-    // Guards against requests stuck at a few outliers that pass for an overload of all backends.
+    // Guards against requests at hung outliers that count as an overload of all backends.
     let settings = Settings { tier: Tier::ENTRY, hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(8));
     for id in 0..60 {
@@ -157,19 +162,19 @@
     assert!(rejected < 60, "{rejected} of 300");
 }
 
-/// Sends a hundred requests a second. Responses follow after 0.05 s or 0.2 s for 5 s, then stop for 0.4 s.
-/// Returns the attempts in flight then.
-fn stop_responding_under_load(harness: &mut BalancerHarness) -> VecDeque<InFlight> {
-    let mut in_flight = VecDeque::<InFlight>::new();
+/// Sends 100 requests per second. Responses follow after 0.05 s or 0.2 s for the first 5 s, and then stop for
+/// 0.4 s. Returns the attempts in flight at the end.
+fn stop_responding_under_load(harness: &mut BalancerHarness) -> VecDeque<AttemptInFlight> {
+    let mut in_flight = VecDeque::<AttemptInFlight>::new();
     for request in 0..540 {
         let duration = if request % 2 == 0 { 0.05 } else { 0.2 };
         let ends_at = harness.now + duration;
         let sent = sends(&harness.request(request));
-        in_flight.extend(sent.into_iter().map(|attempt| InFlight { attempt, ends_at, duration }));
+        in_flight.extend(sent.into_iter().map(|attempt| AttemptInFlight { attempt, ends_at, duration }));
         harness.advance_to(harness.now + 0.01);
         in_flight.make_contiguous().sort_by(|left, right| left.ends_at.total_cmp(&right.ends_at));
         while request < 500 && in_flight.front().is_some_and(|attempt| attempt.ends_at <= harness.now) {
-            let InFlight { attempt, duration, .. } = in_flight.pop_front().unwrap();
+            let AttemptInFlight { attempt, duration, .. } = in_flight.pop_front().unwrap();
             let actions = harness.end_attempt(attempt, Outcome::Success, duration);
             harness.end_cancelled_attempts(&actions);
         }
@@ -181,7 +186,7 @@
 fn retries_failed_connections_with_the_same_probability_under_overload() {
     let mut harness = BalancerHarness::new(entry_settings(1), &endpoints(3));
     let in_flight = stop_responding_under_load(&mut harness);
-    assert!(sends(&harness.request(1000)).is_empty(), "under overload a request is queued at the entry");
+    assert!(sends(&harness.request(1000)).is_empty(), "under overload a request is queued at the entry tier");
 
     let unconnected: Vec<_> = in_flight.iter().rev().take(10).map(|in_flight| in_flight.attempt).collect();
     for attempt in &unconnected {
@@ -193,7 +198,7 @@
     assert!(retried >= 8, "{retried} of 10 retried");
 }
 
-/// Creates a balancer of the entry tier before these backends that has served requests in a short time.
+/// Creates a balancer of the entry tier that has served requests with short response times at its backends.
 fn harness_after_short_responses(backends: u32) -> BalancerHarness {
     let mut harness = BalancerHarness::new(entry_settings(1), &endpoints(backends));
     for id in 0..200 {
@@ -206,12 +211,15 @@
 fn admits_nine_requests_in_flight_at_each_backend_however_short_the_expected_latency() {
     for backends in [2, 3, 5] {
         let mut harness = harness_after_short_responses(backends);
-        let without_overload = 9 * backends as usize;
+        let in_flight_without_overload = 9 * backends as usize;
 
         let admitted = admitted_at_once(&mut harness, 1000..1400);
 
-        assert!(admitted > without_overload, "{admitted} at {backends} backends");
-        assert!(admitted <= without_overload + 5 * backends as usize, "{admitted} at {backends} backends");
+        assert!(admitted > in_flight_without_overload, "{admitted} at {backends} backends");
+        assert!(
+            admitted <= in_flight_without_overload + 5 * backends as usize,
+            "{admitted} at {backends} backends"
+        );
     }
 }
 
@@ -241,7 +249,7 @@
     let mut harness = harness_after_short_responses(2);
     let sent = admitted_at_once(&mut harness, 1000..1200);
     let start = harness.now;
-    // The timeout is 1 s, the latency objective, as late responses have no priority weight.
+    // The effective timeout is the latency objective of 1 s, as late responses have no priority weight.
     let mut actions = harness.advance_to(start + 0.24);
     assert_eq!(rejections_among(&actions), 0);
 
--- a/crates/balancer/tests/decisions/placement.rs
+++ b/crates/balancer/tests/decisions/placement.rs
@@ -34,19 +34,19 @@
 }
 
 #[test]
-fn crosses_zones_only_when_the_own_zone_is_much_busier_and_crossing_has_a_cost() {
-    // Guards against paying for crossings that gain nothing, and against a zone that is given
-    // more traffic than its own backends can carry.
+fn crosses_zones_at_a_cost_only_when_the_own_zone_is_much_busier() {
+    // Guards against attempts in another zone that cost more than they gain, and against sending a zone more
+    // traffic than its backends can serve.
     let settings = Settings { cross_zone_cost: 0.2, zone: OWN_ZONE, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints_in_two_zones());
     for id in 0..40 {
-        assert_eq!(zone_of(harness.serve(id, 0.05)), OWN_ZONE, "idle backends of the own zone");
+        assert_eq!(zone_of(harness.serve(id, 0.05)), OWN_ZONE, "the backends of the own zone are idle");
     }
 
     let sent = (100..140).flat_map(|id| sends(&harness.request(id)));
     let crossed = sent.filter(|attempt| zone_of(attempt.backend) != OWN_ZONE).count();
 
-    assert!((1..20).contains(&crossed), "{crossed}");
+    assert!((1..20).contains(&crossed), "{crossed} of 40 requests crossed zones");
 }
 
 #[test]
@@ -56,7 +56,7 @@
 
     let crossed = (0..40).filter(|id| zone_of(harness.serve(*id, 0.05)) != OWN_ZONE).count();
 
-    assert!(crossed > 5, "no cost, no preference: {crossed}");
+    assert!(crossed > 5, "{crossed} of 40 requests crossed zones");
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/retransmission.rs
+++ b/crates/balancer/tests/decisions/retransmission.rs
@@ -9,8 +9,8 @@
 };
 
 #[test]
-fn always_retries_a_request_that_is_alone() {
-    // Regression: a balancer with little traffic did not retry, as its send rate times T1 is far below one.
+fn always_retries_the_only_request_of_a_balancer() {
+    // Regression: a balancer with little traffic did not retry, as its send rate times T1 is far below 1.
     for seed in 0..300 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(4));
         harness.advance_to(0.5);
@@ -23,7 +23,7 @@
 
 #[test]
 fn retries_with_the_least_probability_when_many_requests_are_unanswered() {
-    // By Little's law the few requests a second of this burst explain far fewer unanswered requests.
+    // By Little's law, the send rate of this burst corresponds to far fewer unanswered requests.
     let mut retries = 0;
     let mut timers_fired = 0;
     for seed in 0..200 {
@@ -32,7 +32,8 @@
             harness.request_with_timeout(id, 100.0);
             harness.now += 0.1;
         }
-        // When these timers fire, 40 requests wait where 10 a second are sent: far beyond T1.
+        // When these timers fire, 40 requests are unanswered at a send rate of 10 per second. The mean wait
+        // is far longer than T1.
         harness.timers.retain(|timer| timer.due > 3.9);
         timers_fired += harness.timers.iter().filter(|timer| timer.due < 4.4).count();
         retries += send_times(&harness.advance_to(4.4), 0.0).len();
@@ -40,24 +41,24 @@
 
     let retried_fraction = retries as f64 / timers_fired as f64;
     assert!(retried_fraction < 0.5, "{retried_fraction}");
-    assert!(retried_fraction > 0.0, "p never falls to zero");
+    assert!(retried_fraction > 0.0, "the retry probability never falls to zero");
 }
 
 #[test]
-fn first_timer_follows_the_latency_objective_without_earlier_responses() {
-    // A safe request with a latency objective of 1 s: T1 is 0.4 s, spread by a tenth.
+fn first_retry_timer_follows_from_the_latency_objective_without_earlier_responses() {
+    // With a latency objective of 1 s, T1 is 0.4 s, with a jitter of 10%.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(8));
 
     harness.request(1);
     let times = send_times(&harness.advance_to(2.0), 0.0);
 
-    assert_eq!(times.len(), 1, "3 x T1 is beyond the latency objective: {times:?}");
+    assert_eq!(times.len(), 1, "the second timer, at 3 T1, is beyond the latency objective: {times:?}");
     assert!((0.36..=0.44).contains(&times[0]));
 }
 
 #[test]
-fn retry_timers_double() {
-    // After short responses T1 is short.
+fn intervals_of_retry_timers_double() {
+    // Short response times make T1 short.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(8));
     for id in 0..50 {
         harness.serve(100 + id, 0.05);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn retries_at_another_backend() {
+fn sends_a_retry_to_another_backend() {
     for seed in 0..20 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(6));
 
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn does_not_hedge_while_the_backend_responds_to_later_requests() {
+fn does_not_hedge_at_the_first_timer_when_the_backend_has_responded_to_a_later_request() {
     // Guards against doubling the work of requests that merely take long.
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     harness.request(1);
@@ -113,8 +114,8 @@
 
 #[test]
 fn hedges_at_the_second_timer_a_request_overtaken_by_a_later_response() {
-    // Guards against requests that wait for their whole timeout at a backend that sent one more
-    // response and then hung, or on a connection that is stuck.
+    // Guards against requests that wait for their whole timeout at a backend that sent one more response and
+    // then hung, or on a connection that is stalled.
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     for id in 100..200 {
         harness.serve(id, 0.05);
@@ -127,7 +128,7 @@
     harness.end_attempt(later, Outcome::Success, 0.03);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[endpoint(2)])));
 
-    // T1 is a little over 0.05 s: one timer passes, the next sends the hedged request.
+    // T1 is slightly over 0.05 s. The first timer sends nothing, and the second one sends the hedged attempt.
     assert_eq!(harness.sends_until(sent_at + 0.1), []);
     assert_eq!(harness.sends_until(sent_at + 0.3), [SentAttempt::new(1, 2)]);
 }
@@ -175,7 +176,11 @@
 
         let actions = harness.end_attempt(sent, outcome, 0.1);
 
-        assert_eq!(is_failed(&actions, 1), retries == 0, "nothing to wait for");
+        assert_eq!(
+            is_failed(&actions, 1),
+            retries == 0,
+            "{outcome:?}: a request that may not be retried fails at once"
+        );
         assert_eq!(harness.sends_until(0.5).len(), retries, "{outcome:?}");
     }
 }
@@ -186,17 +191,16 @@
 
     harness.request(1);
 
-    assert_eq!(harness.sends_until(0.9), [], "the first attempt may be running");
+    assert_eq!(harness.sends_until(0.9), [], "the backend may be processing the first attempt");
 }
 
-/// Creates a balancer with a class of idempotent requests, before two zones of two cells with two backends
-/// each.
+/// Creates a balancer with a class of idempotent requests. Each of two zones has two cells with two backends.
 fn idempotent_harness(seed: u64, group: IdempotencyGroup, window: Time) -> BalancerHarness {
-    let in_cell_and_zone = |id| {
+    let endpoint_in_cell_and_zone = |id| {
         let backend = BackendId(id);
         Endpoint { cell: cell_of(backend), zone: zone_of(backend), ..endpoint(id) }
     };
-    let endpoints: Vec<_> = (1..=8).map(in_cell_and_zone).collect();
+    let endpoints: Vec<_> = (1..=8).map(endpoint_in_cell_and_zone).collect();
     let settings = settings_with_effect(Effect::Idempotent { group, window });
     BalancerHarness::with_seed(seed, settings, &endpoints)
 }
@@ -217,7 +221,11 @@
         let first = harness.send(1);
         let retries = harness.sends_until(0.5);
 
-        assert_eq!(retries.len(), 1, "the other member of the cell, in the subset or not");
+        assert_eq!(
+            retries.len(),
+            1,
+            "the retry goes to the other backend of the cell, even outside the subset"
+        );
         assert_eq!(cell_of(retries[0].backend), cell_of(first.backend));
     }
 }
@@ -229,7 +237,7 @@
 
         harness.request(1);
 
-        assert_eq!(harness.sends_until(0.9), [], "the cell has forgotten the key");
+        assert_eq!(harness.sends_until(0.9), [], "the backends of the cell no longer detect a repeat");
     }
 }
 
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Changes the endpoint list: this backend has just started.
+/// Passes on an endpoint list in which this backend has just started.
 fn restart(backend: BackendId, harness: &mut BalancerHarness, list: &mut [Endpoint]) {
     let endpoint = list.iter_mut().find(|endpoint| endpoint.id == backend).unwrap();
     endpoint.started_at = Some(harness.now);
@@ -24,7 +24,7 @@
 
 #[test]
 fn sends_a_backend_that_is_warming_up_a_fraction_of_the_requests_of_the_others() {
-    // Many balancers with little traffic stay, each on its own, far below the overload multiple.
+    // The traffic of each of these many balancers is far below the overload multiple.
     let settings = slow_start_settings(100, 0.2);
     let mut list = endpoints(4);
     let mut sent_to_warming = 0;
@@ -50,9 +50,9 @@
     let sent_to_each_other = sent_to_others as f64 / 3.0;
     assert!(
         (sent_to_warming as f64) < 0.8 * sent_to_each_other,
-        "{sent_to_warming} against {sent_to_each_other}: a fifth to a third, times the margin"
+        "{sent_to_warming} against {sent_to_each_other}: the capacity is a fifth to a third, less a margin"
     );
-    assert!(sent_to_warming > 0, "without requests a backend might stay in slow start");
+    assert!(sent_to_warming > 0, "a backend without requests might stay in slow start");
 }
 
 #[test]
@@ -77,14 +77,15 @@
         harness.advance_to(harness.now + 0.05);
     }
 
-    // 20 a second at three backends with a tenth of their capacity: 3 x 0.1 x 6.7 each overloads them.
+    // The 20 requests per second are 6.7 per backend. At a tenth of the capacity, three times 0.1 x 6.7 per
+    // second overloads a backend.
     assert!(sent <= 9, "{sent}");
 }
 
 #[test]
 fn does_not_raise_the_budget_of_a_backend_that_is_warming_up_under_overload() {
-    // Guards against budgets that follow what is sent: with clients that retry without pause the
-    // budget was four times what the backends could do, and one was overloaded.
+    // Guards against budgets that follow the send rate. With clients that retried without pause, the budget
+    // was four times the capacity of the backends, and one of the backends was overloaded.
     let settings = Settings { slow_start_overload_multiple: 2.0, ..slow_start_settings(1, 0.1) };
     let mut list = endpoints(4);
     let mut harness = BalancerHarness::new(settings, &list);
@@ -95,7 +96,7 @@
         if id == 1000 {
             restart(BackendId(1), &mut harness, &mut list);
         }
-        // A hundred a second arrive, and ten of them get a response.
+        // Of 100 requests that arrive per second, 10 get a response.
         if let Some(sent) = sent_on_arrival.first().filter(|_| id % 10 == 0) {
             harness.end_attempt(*sent, Outcome::Success, 0.05);
         }
@@ -107,14 +108,16 @@
         }
     }
 
-    // For ten seconds 2.5 a second come to each backend, and this one can serve a tenth to a half of them.
+    // Over 10 s, each backend could get 2.5 requests per second. This one can serve a tenth to a half of
+    // them.
     assert!(sent_to_warming <= 12, "{sent_to_warming}");
 }
 
 #[test]
-fn does_not_spend_saved_budgets_at_once_when_all_other_members_fail() {
-    // Guards against budgets that balancers with little traffic save up to a whole request: when the
-    // other members failed, all of them spent it within a second, and the backend was overloaded.
+fn does_not_spend_accumulated_budgets_at_once_when_all_other_members_fail() {
+    // Guards against budgets that accumulate to a whole request in balancers with little traffic. When the
+    // other members failed, all balancers spent their budgets within a second, and the backend was
+    // overloaded.
     let settings = Settings { slow_start_overload_multiple: 2.0, ..slow_start_settings(100, 0.1) };
     let mut sent_at_once = 0;
     for seed in 0..200 {
@@ -127,7 +130,7 @@
         let warming = harness.balancer.members().next().unwrap();
         restart(warming, &mut harness, &mut list);
         harness.advance_to(harness.now + 10.0);
-        // Now every other backend fails, and only the one that is warming up is left.
+        // All other backends are removed, so that only the backend that is warming up remains.
         for endpoint in list.iter_mut().filter(|endpoint| endpoint.id != warming) {
             endpoint.status = Status::Removed;
         }
@@ -136,26 +139,27 @@
         sent_at_once += sends(&harness.request(1000)).len();
     }
 
-    // Two a second over a few members, with half of the capacity and a budget of 0.8 of that for a second.
+    // Each balancer sends 2 requests per second to a few members. The backend has half of its capacity, and
+    // the budget is 0.8 of that for a second.
     assert!(sent_at_once <= 130, "{sent_at_once} of 200");
 }
 
-/// The numbers of requests of one balancer, by their backends.
+/// The number of requests that one balancer sent to each backend.
 struct Distribution {
-    /// Requests sent to each of the backends that are not warming up.
-    sent_to_others: Vec<u64>,
-    /// Requests that were not sent at once.
+    /// The number of requests sent to each backend that was not replaced.
+    sent_to_unchanged: Vec<u64>,
+    /// The number of requests that were not sent at once.
     unsent: usize,
 }
 
 /// The number of balancers.
 const INSTANCE_COUNT: usize = 17;
-/// The number of backends that are not replaced, of sixteen.
-const UNCHANGED_BACKENDS: usize = 6;
-/// The requests that arrive at each balancer after the replacement.
-const REQUESTS_AFTER_REPLACEMENT: u64 = 12;
+/// The number of backends that are not replaced; ten of sixteen are replaced.
+const UNCHANGED_BACKEND_COUNT: usize = 6;
+/// The number of requests that arrive at each balancer after the replacement.
+const REQUEST_COUNT_AFTER_REPLACEMENT: u64 = 12;
 
-/// Returns the distribution of the requests of one balancer that arrive after most backends were replaced.
+/// Returns the distribution of the requests that arrive at one balancer after most backends were replaced.
 fn distribute_after_replacement(instance_index: usize) -> Distribution {
     let settings = Settings {
         instance_count: INSTANCE_COUNT,
@@ -168,15 +172,15 @@
     for id in 0..100 {
         harness.serve(id, 0.08);
     }
-    let mut list = endpoints(UNCHANGED_BACKENDS as u32);
+    let mut list = endpoints(UNCHANGED_BACKEND_COUNT as u32);
     list.extend((101..=110).map(|id| Endpoint { started_at: Some(harness.now), ..endpoint(id) }));
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
 
-    let mut distribution = Distribution { sent_to_others: vec![0; UNCHANGED_BACKENDS], unsent: 0 };
-    for id in 200..200 + REQUESTS_AFTER_REPLACEMENT {
+    let mut distribution = Distribution { sent_to_unchanged: vec![0; UNCHANGED_BACKEND_COUNT], unsent: 0 };
+    for id in 200..200 + REQUEST_COUNT_AFTER_REPLACEMENT {
         match sends(&harness.request(id)).first() {
             Some(attempt) => {
-                if let Some(sent) = distribution.sent_to_others.get_mut(attempt.backend.0 as usize - 1) {
+                if let Some(sent) = distribution.sent_to_unchanged.get_mut(attempt.backend.0 as usize - 1) {
                     *sent += 1;
                 }
             }
@@ -188,25 +192,25 @@
 
 #[test]
 fn spreads_requests_over_all_unchanged_backends_when_members_are_warming_up() {
-    let mut sent_by_all = vec![0; UNCHANGED_BACKENDS];
+    let mut sent_by_all = vec![0; UNCHANGED_BACKEND_COUNT];
     let mut unsent = 0;
     let mut most_to_one_backend = 0;
 
     for instance_index in 0..INSTANCE_COUNT {
         let distribution = distribute_after_replacement(instance_index);
         unsent += distribution.unsent;
-        most_to_one_backend = most_to_one_backend.max(*distribution.sent_to_others.iter().max().unwrap());
-        for (total, sent) in sent_by_all.iter_mut().zip(distribution.sent_to_others) {
+        most_to_one_backend = most_to_one_backend.max(*distribution.sent_to_unchanged.iter().max().unwrap());
+        for (total, sent) in sent_by_all.iter_mut().zip(distribution.sent_to_unchanged) {
             *total += sent;
         }
     }
 
-    assert_eq!(unsent, 0, "requests that found no backend, with six unchanged ones");
+    assert_eq!(unsent, 0, "requests were not sent at once, although six backends are not warming up");
     assert!(
-        most_to_one_backend <= REQUESTS_AFTER_REPLACEMENT / 2,
-        "{most_to_one_backend} requests of a balancer went to one backend"
+        most_to_one_backend <= REQUEST_COUNT_AFTER_REPLACEMENT / 2,
+        "a balancer sent {most_to_one_backend} requests to one backend"
     );
-    let mean = sent_by_all.iter().sum::<u64>() as f64 / UNCHANGED_BACKENDS as f64;
+    let mean = sent_by_all.iter().sum::<u64>() as f64 / UNCHANGED_BACKEND_COUNT as f64;
     assert!(
         sent_by_all.iter().all(|sent| (0.6 * mean..1.6 * mean).contains(&(*sent as f64))),
         "{sent_by_all:?}"
--- a/crates/balancer/tests/decisions/streamed_bodies.rs
+++ b/crates/balancer/tests/decisions/streamed_bodies.rs
@@ -15,48 +15,53 @@
 fn starts_the_timeout_of_a_streamed_request_when_the_body_has_been_received() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1), endpoint(2)]);
     send_streamed_request(&mut harness, 1);
-    assert!(harness.advance_to(30.0).is_empty(), "neither hedged nor ended while the body comes");
+    assert!(harness.advance_to(30.0).is_empty(), "neither hedged nor ended while the body is being received");
 
     harness.handle(Event::BodyReceived(RequestId(1)));
     harness.handle(Event::BodyReceived(RequestId(1)));
 
-    assert!(harness.sends_until(30.5).is_empty(), "the body can't be streamed to two backends");
+    assert!(harness.sends_until(30.5).is_empty(), "the body cannot be streamed to two backends");
     let actions = harness.actions_until(32.0);
     assert!(is_rejected(&actions, 1), "{actions:?}");
 }
 
-/// Settings, and whether the body has been consumed when the first attempt fails.
-struct StreamedRetry {
-    consumed: bool,
+/// A streamed request whose first attempt fails.
+struct StreamedRetryCase {
+    /// Whether the body has been consumed when the attempt fails.
+    body_consumed: bool,
     settings: Settings,
 }
 
 #[test]
 fn retries_a_streamed_request_only_until_its_body_is_consumed() {
     let cases = [
-        StreamedRetry { consumed: false, settings: safe_settings() },
-        StreamedRetry { consumed: true, settings: safe_settings() },
-        StreamedRetry { consumed: true, settings: settings_with_effect(Effect::Unsafe) },
+        StreamedRetryCase { body_consumed: false, settings: safe_settings() },
+        StreamedRetryCase { body_consumed: true, settings: safe_settings() },
+        StreamedRetryCase { body_consumed: true, settings: settings_with_effect(Effect::Unsafe) },
     ];
-    for StreamedRetry { consumed, settings } in cases {
+    for StreamedRetryCase { body_consumed, settings } in cases {
         let mut harness = BalancerHarness::new(settings, &[endpoint(1), endpoint(2)]);
         let sent = send_streamed_request(&mut harness, 1);
-        if consumed {
+        if body_consumed {
             harness.handle(Event::BodyConsumed(RequestId(1)));
         }
 
         let mut actions = harness.end_attempt(sent, Outcome::NoConnection, 0.01);
 
-        assert_eq!(is_rejected(&actions, 1), consumed, "at once, if at all");
+        assert_eq!(
+            is_rejected(&actions, 1),
+            body_consumed,
+            "a request whose body is consumed is rejected at once"
+        );
         actions.extend(harness.actions_until(3.0));
-        assert_eq!(sends(&actions).len(), usize::from(!consumed));
+        assert_eq!(sends(&actions).len(), usize::from(!body_consumed));
         assert!(!is_failed(&actions, 1));
     }
 }
 
 #[test]
 fn does_not_count_slowly_streamed_bodies_as_overload() {
-    // With forty bodies in transfer, the entry tier has to admit all other requests.
+    // While 40 bodies are in transfer, the entry tier has to send all other requests at once.
     let settings = Settings { tier: Tier::ENTRY, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &[endpoint(1), endpoint(2)]);
     for id in 0..100 {
--- a/crates/balancer/tests/decisions/subset_assignment.rs
+++ b/crates/balancer/tests/decisions/subset_assignment.rs
@@ -7,7 +7,7 @@
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Tier, Time};
 
-/// Returns the backends of 60 requests with the ids from `first_id` on, none of which gets a response.
+/// Sends 60 requests with the ids from `first_id` on, and returns their backends. No request gets a response.
 fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<BackendId> {
     let sent = (first_id..first_id + 60).flat_map(|id| sends(&harness.request(id)));
     sent.map(|attempt| attempt.backend).collect()
@@ -39,12 +39,12 @@
     sent_at: Time,
 }
 
-/// Returns the size of the subset of a balancer with these settings, one of fifty before forty backends, with
-/// eight requests in flight on average.
+/// Returns the size of the subset of one of 50 balancers with these settings. The balancers have 40 backends,
+/// and this balancer has eight requests in flight on average.
 fn busy_subset_size(settings: Settings) -> usize {
     let settings = Settings { instance_count: 50, ..settings };
     let mut harness = BalancerHarness::new(settings, &endpoints(40));
-    // The requests arrive for longer than rates are remembered.
+    // The requests arrive for longer than the time constant of the send rate.
     let mut in_flight = VecDeque::new();
     for id in 0..600 {
         let sent_at = harness.now;
@@ -64,15 +64,18 @@
 
 #[test]
 fn keeps_the_subset_of_a_busy_balancer_small_where_connections_have_a_cost() {
-    // Guards against connections to so many members that all together exceed what backends accept:
-    // connections then fail to backends that run and respond to others.
-    let free = busy_subset_size(safe_settings());
-    let costly = busy_subset_size(Settings { connections_have_cost: true, ..safe_settings() });
+    // Guards against subsets so large that all balancers together open more connections than a backend
+    // accepts. Connections then fail although the backend runs and responds to other balancers.
+    let size_without_cost = busy_subset_size(safe_settings());
+    let size_with_cost = busy_subset_size(Settings { connections_have_cost: true, ..safe_settings() });
 
-    assert!(free > 2 * costly, "{free} and {costly}");
+    assert!(
+        size_without_cost > 2 * size_with_cost,
+        "{size_without_cost} without a cost, {size_with_cost} with a cost"
+    );
 }
 
-/// The numbers of balancers and backends.
+/// The numbers of balancers and backends of a fleet.
 struct FleetSize {
     instance_count: usize,
     backends: u32,
@@ -88,7 +91,7 @@
 
 #[test]
 fn assigns_every_backend_to_a_subset() {
-    // Guards against random subsets of a few balancers that leave backends out.
+    // Guards against random subsets, which leave backends out where there are few balancers.
     for FleetSize { instance_count, backends } in COVERED_FLEETS {
         let mut used = BTreeSet::new();
         for instance_index in 0..instance_count {
@@ -98,7 +101,7 @@
             used.extend(backends_used(&mut harness, 0));
         }
 
-        assert_eq!(used.len() as u32, backends, "{instance_count} over {backends}");
+        assert_eq!(used.len() as u32, backends, "{instance_count} balancers, {backends} backends");
     }
 }
 
@@ -107,7 +110,7 @@
     harness.balancer.members().collect()
 }
 
-/// Starts all balancers of a fleet before these backends.
+/// Starts all balancers of a fleet with this endpoint list.
 fn start_fleet(instance_count: usize, list: &[Endpoint]) -> Vec<BalancerHarness> {
     let start = |instance_index| {
         let settings = Settings { instance_count, instance_index, ..safe_settings() };
@@ -138,12 +141,18 @@
 
         let memberships = memberships(&fleet);
 
-        assert_eq!(memberships.len(), backends as usize, "{instance_count} over {backends}");
+        assert_eq!(memberships.len(), backends as usize, "{instance_count} balancers, {backends} backends");
         let least = *memberships.values().min().unwrap();
         let most = *memberships.values().max().unwrap();
         let mean = memberships.values().sum::<usize>() as f64 / f64::from(backends);
-        assert!(least as f64 >= 0.5 * mean.floor(), "{least} of {mean}: {instance_count} over {backends}");
-        assert!(most as f64 <= 1.5 * mean.ceil(), "{most} of {mean}: {instance_count} over {backends}");
+        assert!(
+            least as f64 >= 0.5 * mean.floor(),
+            "least {least}, mean {mean}: {instance_count} balancers, {backends} backends"
+        );
+        assert!(
+            most as f64 <= 1.5 * mean.ceil(),
+            "most {most}, mean {mean}: {instance_count} balancers, {backends} backends"
+        );
     }
 }
 
@@ -153,16 +162,16 @@
     let list = endpoints(30);
     let reversed: Vec<_> = list.iter().rev().cloned().collect();
 
-    let one = BalancerHarness::with_seed(1, settings.clone(), &list);
+    let reference = BalancerHarness::with_seed(1, settings.clone(), &list);
     let with_other_seed = BalancerHarness::with_seed(2, settings.clone(), &list);
     let with_other_order = BalancerHarness::with_seed(1, settings, &reversed);
 
-    assert_eq!(subset(&one), subset(&with_other_seed));
-    assert_eq!(subset(&one), subset(&with_other_order));
+    assert_eq!(subset(&reference), subset(&with_other_seed));
+    assert_eq!(subset(&reference), subset(&with_other_order));
 }
 
 #[test]
-fn assigns_three_members_at_the_entry_tier_and_two_below_where_few_cover_all_backends() {
+fn assigns_three_members_at_the_entry_tier_and_two_below_where_few_members_cover_all_backends() {
     for (tier, members) in [(Tier::ENTRY, 3), (Tier(1), 2), (Tier(2), 2)] {
         let settings = Settings { tier, instance_count: 50, ..safe_settings() };
         let harness = BalancerHarness::new(settings, &endpoints(40));
@@ -194,7 +203,7 @@
 }
 
 #[test]
-fn moves_at_most_one_member_of_a_subset_when_a_backend_is_added() {
+fn replaces_at_most_one_member_of_a_subset_when_a_backend_is_added() {
     let list = endpoints(30);
     for added in 31..41 {
         let mut fleet = start_fleet(12, &list);
@@ -209,8 +218,8 @@
             let removed = before.difference(&after).count();
             assert!(removed <= 1, "{added} added: {after:?} after {before:?}");
         }
-        let of_added = memberships(&fleet)[&BackendId(added)];
-        assert!(of_added > 0, "{added} is in no subset");
+        let memberships_of_added = memberships(&fleet)[&BackendId(added)];
+        assert!(memberships_of_added > 0, "{added} is in no subset");
     }
 }
 
@@ -221,8 +230,8 @@
     backends.filter(|backend| !memberships.contains_key(backend)).collect()
 }
 
-/// Passes a full list to all balancers, and returns a description of the backends that are left out.
-fn left_out_after(fleet: &mut [BalancerHarness], list: &[Endpoint]) -> Option<String> {
+/// Passes a full list to all balancers. Returns a description if backends are left out of all subsets.
+fn describe_left_out_after(fleet: &mut [BalancerHarness], list: &[Endpoint]) -> Option<String> {
     for harness in fleet.iter_mut() {
         harness.handle(Event::Endpoints(EndpointUpdate::Full(list)));
     }
@@ -233,20 +242,20 @@
 
 #[test]
 fn leaves_no_backend_out_when_backends_are_added_and_removed_one_after_the_other() {
-    let mut breaches = Vec::new();
+    let mut failures = Vec::new();
     for FleetSize { instance_count, backends } in COVERED_FLEETS {
         let mut list = endpoints(backends);
         let mut fleet = start_fleet(instance_count, &list);
 
         for added in 1..=5 {
             list.push(endpoint(backends + added));
-            breaches.extend(left_out_after(&mut fleet, &list));
+            failures.extend(describe_left_out_after(&mut fleet, &list));
         }
         for _removed in 1..=10 {
             list.remove(0);
-            breaches.extend(left_out_after(&mut fleet, &list));
+            failures.extend(describe_left_out_after(&mut fleet, &list));
         }
     }
 
-    assert!(breaches.is_empty(), "{breaches:#?}");
+    assert!(failures.is_empty(), "{failures:#?}");
 }
