--- a/crates/balancer/tests/replay/attempts.rs
+++ b/crates/balancer/tests/replay/attempts.rs
@@ -1,6 +1,6 @@
 //! The requests of a simulation, and their attempts.
 
-use crate::agenda::Occurrence;
+use crate::event_queue::SimulationEvent;
 use crate::simulated_backends::AttemptEnd;
 use crate::simulation::{OpenRequest, Simulation};
 use balancer::{
@@ -9,18 +9,18 @@
 };
 use rand::Rng;
 
-/// The number of ordering keys in use.
-const ORDERING_KEYS: u64 = 6;
+/// The number of different ordering keys.
+const ORDERING_KEY_COUNT: u64 = 6;
 /// The fraction of attempts that are written at once on an idle connection.
-const WRITTEN_AT_ONCE: f64 = 0.6;
+const WRITTEN_AT_ONCE_FRACTION: f64 = 0.6;
 /// The fraction of attempts whose connection is never established.
-const NEVER_CONNECTED: f64 = 0.02;
+const NEVER_CONNECTED_FRACTION: f64 = 0.02;
 /// The longest time until a connection is established, in seconds.
 const MAX_CONNECT_DURATION: Time = 0.03;
 /// The longest duration of a streamed body, in seconds.
 const MAX_BODY_DURATION: Time = 0.2;
-/// The fraction of error responses that are passed on to the client.
-const FINAL_ERRORS: f64 = 0.4;
+/// The fraction of error responses that are forwarded to the client.
+const FINAL_ERROR_FRACTION: f64 = 0.4;
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
@@ -32,44 +32,44 @@
 }
 
 impl Simulation<'_> {
-    fn is_drawn(&mut self, probability: f64) -> bool {
+    fn draw_bool(&mut self, probability: f64) -> bool {
         self.random.random::<f64>() < probability
     }
 
-    /// Handles the arrival of a request, and plans the next arrival.
-    pub(crate) fn request_arrives(&mut self) {
+    /// Handles the arrival of a request, and schedules the next arrival.
+    pub(crate) fn handle_arrival(&mut self) {
         let until_next = 2.0 * self.random.random::<f64>() / self.rate;
         if self.now + until_next < self.scenario.duration {
-            self.agenda.add(self.now + until_next, Occurrence::Arrival);
+            self.event_queue.add(self.now + until_next, SimulationEvent::Arrival);
         }
-        self.last_request += 1;
-        let id = RequestId(self.last_request);
+        self.last_request_id += 1;
+        let id = RequestId(self.last_request_id);
         let traffic = self.scenario.traffic;
         let class = ClassIndex(self.random.random_range(0..self.settings.classes.len()));
         let tenants = self.settings.tenants.len();
         let tenant = (tenants > 0).then(|| TenantIndex(self.random.random_range(0..tenants)));
-        let key = self.is_drawn(0.9).then(|| self.random.random_range(0..ORDERING_KEYS));
+        let key = self.draw_bool(0.9).then(|| self.random.random_range(0..ORDERING_KEY_COUNT));
         let timeout_fraction =
-            traffic.least_timeout + (1.0 - traffic.least_timeout) * self.random.random::<f64>();
+            traffic.min_timeout_fraction + (1.0 - traffic.min_timeout_fraction) * self.random.random::<f64>();
         let timeout = timeout_fraction * self.settings.class(class).max_timeout;
-        let streaming_body = self.is_drawn(traffic.streamed);
-        let body_duration = if streaming_body { self.plan_body(id) } else { 0.0 };
+        let streaming_body = self.draw_bool(traffic.streamed_fraction);
+        let body_duration = if streaming_body { self.schedule_body(id) } else { 0.0 };
         let body_received_at = self.now + body_duration;
         self.requests.insert(id, OpenRequest { body_received_at, timeout, attempts: 0 });
-        if self.is_drawn(traffic.disconnecting) {
+        if self.draw_bool(traffic.disconnecting_fraction) {
             let until_disconnect = timeout * self.random.random::<f64>();
-            self.agenda.add(self.now + until_disconnect, Occurrence::ClientDisconnects(id));
+            self.event_queue.add(self.now + until_disconnect, SimulationEvent::ClientDisconnects(id));
         }
         self.handle(Event::Request(Request { id, class, tenant, key, timeout, streaming_body }));
     }
 
-    /// Plans the transfer of the body of a request, and returns the duration in seconds.
-    fn plan_body(&mut self, id: RequestId) -> Time {
+    /// Schedules the transfer of the body of a request, and returns the duration in seconds.
+    fn schedule_body(&mut self, id: RequestId) -> Time {
         let duration = MAX_BODY_DURATION * self.random.random::<f64>();
-        if self.is_drawn(0.5) {
-            self.agenda.add(self.now + 0.5 * duration, Occurrence::BodyConsumed(id));
+        if self.draw_bool(0.5) {
+            self.event_queue.add(self.now + 0.5 * duration, SimulationEvent::BodyConsumed(id));
         }
-        self.agenda.add(self.now + duration, Occurrence::BodyReceived(id));
+        self.event_queue.add(self.now + duration, SimulationEvent::BodyReceived(id));
         duration
     }
 
@@ -95,7 +95,7 @@
             ends_at = self.now + write_within;
         }
         let attempt = AttemptId { request, number };
-        self.plan_response(attempt, end, ends_at);
+        self.schedule_response(attempt, end, ends_at);
         let written_at = self.now + connect_duration;
         let open = OpenAttempt { backend, sent_at: self.now, written_at, outcome: end.outcome };
         self.attempts.insert(attempt, open);
@@ -103,40 +103,41 @@
 
     fn draw_connect_duration(&mut self) -> Time {
         let draw: f64 = self.random.random();
-        if draw < WRITTEN_AT_ONCE {
+        if draw < WRITTEN_AT_ONCE_FRACTION {
             0.0
-        } else if draw > 1.0 - NEVER_CONNECTED {
+        } else if draw > 1.0 - NEVER_CONNECTED_FRACTION {
             Time::INFINITY
         } else {
             MAX_CONNECT_DURATION * self.random.random::<f64>()
         }
     }
 
-    fn plan_response(&mut self, attempt: AttemptId, end: AttemptEnd, ends_at: Time) {
-        let is_streamed = self.is_drawn(self.scenario.traffic.streamed);
+    fn schedule_response(&mut self, attempt: AttemptId, end: AttemptEnd, ends_at: Time) {
+        let is_streamed = self.draw_bool(self.scenario.traffic.streamed_fraction);
         if is_streamed && end.outcome == Outcome::Success {
             let starts_at = ends_at - 0.3 * end.duration;
-            self.agenda.add(starts_at, Occurrence::ResponseStarts(attempt));
+            self.event_queue.add(starts_at, SimulationEvent::ResponseStarts(attempt));
         }
-        self.agenda.add(ends_at, Occurrence::AttemptEnds(attempt));
+        self.event_queue.add(ends_at, SimulationEvent::AttemptEnds(attempt));
     }
 
-    pub(crate) fn response_starts(&mut self, attempt: AttemptId) {
+    pub(crate) fn handle_response_start(&mut self, attempt: AttemptId) {
         let AttemptId { request, number } = attempt;
         if self.attempts.contains_key(&attempt) && self.requests.remove(&request).is_some() {
             self.handle(Event::ResponseStarted { id: request, attempt: number });
         }
     }
 
-    pub(crate) fn attempt_ends(&mut self, attempt: AttemptId) {
+    pub(crate) fn handle_attempt_end(&mut self, attempt: AttemptId) {
         let Some(ended) = self.attempts.remove(&attempt) else { return };
         self.backends.end_attempt(ended.backend);
-        let is_answered = matches!(ended.outcome, Outcome::Success | Outcome::Error);
-        let is_final = ended.outcome == Outcome::Success || is_answered && self.is_drawn(FINAL_ERRORS);
+        let has_response = matches!(ended.outcome, Outcome::Success | Outcome::Error);
+        let is_final =
+            ended.outcome == Outcome::Success || has_response && self.draw_bool(FINAL_ERROR_FRACTION);
         if is_final {
             self.requests.remove(&attempt.request);
         }
-        let reports = is_answered && !self.settings.health_checks_for_load_reports;
+        let reports = has_response && !self.settings.health_checks_for_load_reports;
         let report = if reports { self.backends.report(ended.backend, &mut self.random) } else { None };
         self.handle(Event::AttemptEnded(EndedAttempt {
             id: attempt.request,
@@ -150,20 +151,20 @@
     }
 
     pub(crate) fn cancel(&mut self, attempt: AttemptId) {
-        self.end_early(attempt, Outcome::Cancelled);
+        self.schedule_end_now(attempt, Outcome::Cancelled);
     }
 
-    /// Ends an attempt unless all of the request has been written.
+    /// Ends an attempt unless the request has been written completely.
     pub(crate) fn withdraw(&mut self, attempt: AttemptId) {
         if self.attempts.get(&attempt).is_some_and(|open| self.now < open.written_at) {
-            self.end_early(attempt, Outcome::NotSent);
+            self.schedule_end_now(attempt, Outcome::NotSent);
         }
     }
 
-    fn end_early(&mut self, attempt: AttemptId, outcome: Outcome) {
+    fn schedule_end_now(&mut self, attempt: AttemptId, outcome: Outcome) {
         if let Some(open) = self.attempts.get_mut(&attempt) {
             open.outcome = outcome;
-            self.agenda.add(self.now, Occurrence::AttemptEnds(attempt));
+            self.event_queue.add(self.now, SimulationEvent::AttemptEnds(attempt));
         }
     }
 }
--- a/crates/balancer/tests/replay/coverage.rs
+++ b/crates/balancer/tests/replay/coverage.rs
@@ -1,9 +1,9 @@
-//! Counts the kinds of events, actions and outcomes that occur.
+//! Counts the events, actions and outcomes of each kind.
 
 use balancer::{Action, EndpointUpdate, Event, MaintenanceChange, Outcome, ServingProcesses};
 use std::collections::BTreeMap;
 
-/// All kinds of events, actions and outcomes of attempts that have to occur.
+/// All kinds of events, actions and outcomes of attempts. The scenarios have to contain each of them.
 const KINDS: [&str; 37] = [
     "Request",
     "BodyReceived",
@@ -76,7 +76,7 @@
     }
 
     fn add(&mut self, kind: &'static str) {
-        assert!(KINDS.contains(&kind), "{kind} is missing from the kinds that have to occur");
+        assert!(KINDS.contains(&kind), "{kind} is missing from the list of kinds");
         *self.occurrences.entry(kind).or_default() += 1;
     }
 }
--- a/crates/balancer/tests/replay/digest.rs
+++ b/crates/balancer/tests/replay/digest.rs
@@ -1,4 +1,4 @@
-//! A digest of actions that is the same for all compilers and releases: 64-bit FNV-1a.
+//! A digest of actions that is independent of compiler and release: 64-bit FNV-1a.
 
 use balancer::{Action, Time};
 
--- a/crates/balancer/tests/replay/recording.rs
+++ b/crates/balancer/tests/replay/recording.rs
@@ -5,16 +5,19 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// The number of hexadecimal digits of the short digest after each event. A running digest differs for good
-/// from the first difference on, so that 8 bits name the event of the difference in 255 of 256 cases, and the
-/// next event in most others.
+/// The number of hexadecimal digits of the short digest after each event. Running digests that differ after
+/// an event also differ after all later events. The 8 bits therefore identify the first event that differs in
+/// 255 of 256 cases, and the event after that in most other cases.
 const DIGITS_PER_EVENT: usize = 2;
+/// The number of events whose short digests are on one line.
 const EVENTS_PER_LINE: usize = 64;
 
 /// The digests of one scenario.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct RecordedDigests {
+    /// The digest after the last event.
     whole: u64,
+    /// The short digest after each event.
     after_events: Vec<u8>,
 }
 
@@ -34,8 +37,8 @@
     }
 }
 
-/// Returns the path of the file.
-pub fn path_of_recording() -> PathBuf {
+/// Returns the path of the file of recorded digests.
+pub fn recording_path() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/replay/digests.txt")
 }
 
@@ -49,12 +52,12 @@
             text.push_str(&format!(" {line}\n"));
         }
     }
-    fs::write(path_of_recording(), text).expect("the recording can be written");
+    fs::write(recording_path(), text).expect("the file of recorded digests can be written");
 }
 
 /// Reads the digests of all scenarios, by their names.
 pub fn read() -> BTreeMap<String, RecordedDigests> {
-    let text = fs::read_to_string(path_of_recording()).expect("the recording can be read");
+    let text = fs::read_to_string(recording_path()).expect("the file of recorded digests can be read");
     let mut scenarios = BTreeMap::new();
     let mut lines = text.lines().peekable();
     while let Some(line) = lines.next() {
--- a/crates/balancer/tests/replay/scenario.rs
+++ b/crates/balancer/tests/replay/scenario.rs
@@ -7,7 +7,7 @@
 pub enum Behaviour {
     /// The backend serves requests.
     Serves {
-        /// The service time, as a multiple of the service time of the traffic.
+        /// The mean service time, as a multiple of the service time of the traffic.
         latency_factor: f64,
     },
     /// The backend accepts requests, and never responds.
@@ -19,7 +19,7 @@
 /// A change at a fixed time of a scenario.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// Requests arrive at this rate from now on, in requests a second.
+    /// Requests arrive at this rate from now on, in requests per second.
     Rate(f64),
     /// The behaviour of a backend changes.
     Behaviour(BackendId, Behaviour),
@@ -33,7 +33,7 @@
     DiscoveryFails,
     /// Discovery works again.
     DiscoveryRecovers,
-    /// Operators remove a backend from service, or put it back.
+    /// Operators start or end the maintenance of a backend.
     Maintenance(BackendId, MaintenanceChange),
     /// A second process begins to run.
     SecondProcessBegins,
@@ -46,18 +46,18 @@
 /// The arriving requests of a scenario.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Requests a second at first.
+    /// The initial rate, in requests per second.
     pub rate: f64,
-    /// The mean time that a request takes an idle backend, in seconds.
+    /// The mean time in which an idle backend serves a request, in seconds.
     pub service_time: Time,
     /// The fraction of requests whose body is streamed.
-    pub streamed: f64,
+    pub streamed_fraction: f64,
     /// The fraction of requests whose client disconnects before the deadline.
-    pub disconnecting: f64,
-    /// The fraction of attempts that fail at backends that serve.
-    pub failing: f64,
-    /// The least timeout of a request, as a fraction of the longest of its class.
-    pub least_timeout: f64,
+    pub disconnecting_fraction: f64,
+    /// The fraction of attempts that fail at backends that serve requests.
+    pub failing_fraction: f64,
+    /// The least timeout of a request, as a fraction of the longest timeout of its class.
+    pub min_timeout_fraction: f64,
 }
 
 impl Default for Traffic {
@@ -65,10 +65,10 @@
         Self {
             rate: 60.0,
             service_time: 0.02,
-            streamed: 0.0,
-            disconnecting: 0.01,
-            failing: 0.02,
-            least_timeout: 0.5,
+            streamed_fraction: 0.0,
+            disconnecting_fraction: 0.01,
+            failing_fraction: 0.02,
+            min_timeout_fraction: 0.5,
         }
     }
 }
@@ -81,7 +81,7 @@
     Nothing,
     /// Backends report their service times.
     ServiceTimes,
-    /// Backends report their service times, and the requests a second that they serve.
+    /// Backends report their service times and the rates of the requests that they serve.
     ServiceTimesAndRates,
 }
 
@@ -97,19 +97,19 @@
 /// A stream of events, generated from a fixed seed.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The name of the scenario in the recording.
+    /// The name of the scenario in the file of recorded digests.
     pub name: &'static str,
-    /// The seed of the balancer and of the simulation.
+    /// The seed of the balancer and, inverted, of the simulation.
     pub seed: u64,
     /// The time after which no more requests arrive, in seconds.
     pub duration: Time,
-    /// The settings at first.
+    /// The initial settings.
     pub settings: Settings,
     /// The arriving requests.
     pub traffic: Traffic,
     /// The content of load reports.
     pub reporting: Reporting,
-    /// The endpoint list at first.
+    /// The initial endpoint list.
     pub endpoints: Vec<Endpoint>,
     /// The changes.
     pub changes: Vec<PlannedChange>,
--- a/crates/balancer/tests/replay/scenarios/backends.rs
+++ b/crates/balancer/tests/replay/scenarios/backends.rs
@@ -1,6 +1,6 @@
 //! Backends that start, hang or are slow, maintenance, zones, and the endpoint list.
 
-use super::{behaves, listed, maintenance, serves, settings, started};
+use super::{change_maintenance, set_behaviour, set_latency_factor, set_start_time, set_status, settings};
 use crate::scenario::{Behaviour, Change, Reporting, Scenario, Traffic, endpoints};
 use balancer::{BackendId, MaintenanceChange, Outcome, Settings, Status, Tier, ZoneId};
 
@@ -18,16 +18,16 @@
     scenario.duration = 6.5;
     scenario.traffic.rate = 100.0;
     scenario
-        .at(1.0, maintenance(1, MaintenanceChange::Begins))
-        .at(1.5, started(3, 1.4))
-        .at(2.0, started(4, 1.0))
-        .at(2.0, maintenance(1, MaintenanceChange::Ends))
-        .at(2.5, maintenance(2, MaintenanceChange::Begins))
-        .at(3.0, started(9, 2.9))
-        .at(3.5, started(10, 3.4))
-        .at(3.6, started(2, 3.5))
-        .at(3.7, maintenance(2, MaintenanceChange::Ends))
-        .at(5.0, started(5, 4.5))
+        .at(1.0, change_maintenance(1, MaintenanceChange::Begins))
+        .at(1.5, set_start_time(3, 1.4))
+        .at(2.0, set_start_time(4, 1.0))
+        .at(2.0, change_maintenance(1, MaintenanceChange::Ends))
+        .at(2.5, change_maintenance(2, MaintenanceChange::Begins))
+        .at(3.0, set_start_time(9, 2.9))
+        .at(3.5, set_start_time(10, 3.4))
+        .at(3.6, set_start_time(2, 3.5))
+        .at(3.7, change_maintenance(2, MaintenanceChange::Ends))
+        .at(5.0, set_start_time(5, 4.5))
 }
 
 pub fn slow_start_by_reported_rates() -> Scenario {
@@ -35,7 +35,7 @@
     scenario.name = "slow_start_by_reported_rates";
     scenario.seed = 7;
     scenario.reporting = Reporting::ServiceTimesAndRates;
-    scenario.at(4.0, serves(6, 2.0)).at(6.0, maintenance(7, MaintenanceChange::Begins))
+    scenario.at(4.0, set_latency_factor(6, 2.0)).at(6.0, change_maintenance(7, MaintenanceChange::Begins))
 }
 
 pub fn polled_endpoint_list() -> Scenario {
@@ -49,12 +49,12 @@
     scenario.duration = 10.0;
     scenario.traffic.rate = 30.0;
     scenario
-        .at(2.0, listed(3, Status::Draining))
-        .at(2.5, listed(3, Status::Removed))
+        .at(2.0, set_status(3, Status::Draining))
+        .at(2.5, set_status(3, Status::Removed))
         .at(3.0, Change::DiscoveryFails)
-        .at(3.5, listed(8, Status::InService))
+        .at(3.5, set_status(8, Status::InService))
         .at(6.0, Change::DiscoveryRecovers)
-        .at(7.0, listed(5, Status::Draining))
+        .at(7.0, set_status(5, Status::Draining))
         .at(7.5, Change::Unlist(BackendId(6)))
         .at(8.0, Change::DiscoveryFails)
         .at(9.0, Change::DiscoveryRecovers)
@@ -72,9 +72,9 @@
     scenario.reporting = Reporting::ServiceTimes;
     scenario.traffic = Traffic { rate: 90.0, ..Traffic::default() };
     scenario
-        .at(1.0, serves(1, 3.0))
-        .at(2.0, serves(3, 2.0))
-        .at(3.0, behaves(5, Behaviour::Hangs))
+        .at(1.0, set_latency_factor(1, 3.0))
+        .at(2.0, set_latency_factor(3, 2.0))
+        .at(3.0, set_behaviour(5, Behaviour::Hangs))
         .at(4.0, Change::Rate(250.0))
         .at(5.0, Change::Rate(60.0))
 }
@@ -85,12 +85,12 @@
     let mut scenario = Scenario::new("hung_and_outlying_backends", 11, settings, endpoints(6));
     scenario.traffic.rate = 100.0;
     scenario
-        .at(1.0, serves(1, 4.0))
-        .at(2.0, behaves(2, Behaviour::Fails(Outcome::Error)))
-        .at(3.0, behaves(3, Behaviour::Hangs))
-        .at(4.0, behaves(2, Behaviour::Fails(Outcome::Reset)))
-        .at(4.2, maintenance(4, MaintenanceChange::Begins))
-        .at(4.6, maintenance(4, MaintenanceChange::Ends))
-        .at(5.0, serves(3, 1.0))
-        .at(6.0, serves(2, 2.4))
+        .at(1.0, set_latency_factor(1, 4.0))
+        .at(2.0, set_behaviour(2, Behaviour::Fails(Outcome::Error)))
+        .at(3.0, set_behaviour(3, Behaviour::Hangs))
+        .at(4.0, set_behaviour(2, Behaviour::Fails(Outcome::Reset)))
+        .at(4.2, change_maintenance(4, MaintenanceChange::Begins))
+        .at(4.6, change_maintenance(4, MaintenanceChange::Ends))
+        .at(5.0, set_latency_factor(3, 1.0))
+        .at(6.0, set_latency_factor(2, 2.4))
 }
--- a/crates/balancer/tests/replay/scenarios/mod.rs
+++ b/crates/balancer/tests/replay/scenarios/mod.rs
@@ -1,5 +1,5 @@
-//! The scenarios. Together the scenarios come near the thresholds that tuning constants set, so that a change
-//! of a constant by 1% alters at least one action.
+//! The scenarios. Some of their decisions are close to the thresholds of the balancer's tuning constants, so
+//! that a change of any of the constants by 1% alters at least one action.
 
 mod backends;
 mod overload;
@@ -44,7 +44,7 @@
     }
 }
 
-fn idempotent(group: IdempotencyGroup, window: Time) -> Effect {
+fn idempotent_effect(group: IdempotencyGroup, window: Time) -> Effect {
     Effect::Idempotent { group, window }
 }
 
@@ -53,9 +53,12 @@
     vec![
         class("read", Effect::Safe),
         RequestClass { late_priority_weight: 0.0, ..class("write", Effect::Unsafe) },
-        RequestClass { priority_weight: 4.0, ..class("put", idempotent(IdempotencyGroup::All, 0.5)) },
-        class("zone", idempotent(IdempotencyGroup::Zone, 0.3)),
-        RequestClass { latency_objective: 0.2, ..class("cell", idempotent(IdempotencyGroup::Cell, 0.2)) },
+        RequestClass { priority_weight: 4.0, ..class("put", idempotent_effect(IdempotencyGroup::All, 0.5)) },
+        class("zone", idempotent_effect(IdempotencyGroup::Zone, 0.3)),
+        RequestClass {
+            latency_objective: 0.2,
+            ..class("cell", idempotent_effect(IdempotencyGroup::Cell, 0.2))
+        },
     ]
 }
 
@@ -67,22 +70,22 @@
     Settings { classes: classes(), instance_count: 4, instance_index: 1, ..Settings::default() }
 }
 
-fn behaves(id: u32, behaviour: Behaviour) -> Change {
+fn set_behaviour(id: u32, behaviour: Behaviour) -> Change {
     Change::Behaviour(BackendId(id), behaviour)
 }
 
-fn serves(id: u32, latency_factor: f64) -> Change {
-    behaves(id, Behaviour::Serves { latency_factor })
+fn set_latency_factor(id: u32, latency_factor: f64) -> Change {
+    set_behaviour(id, Behaviour::Serves { latency_factor })
 }
 
-fn maintenance(id: u32, change: MaintenanceChange) -> Change {
+fn change_maintenance(id: u32, change: MaintenanceChange) -> Change {
     Change::Maintenance(BackendId(id), change)
 }
 
-fn listed(id: u32, status: Status) -> Change {
+fn set_status(id: u32, status: Status) -> Change {
     Change::List(Endpoint { status, ..endpoint(id) })
 }
 
-fn started(id: u32, at: Time) -> Change {
+fn set_start_time(id: u32, at: Time) -> Change {
     Change::List(Endpoint { started_at: Some(at), ..endpoint(id) })
 }
--- a/crates/balancer/tests/replay/scenarios/overload.rs
+++ b/crates/balancer/tests/replay/scenarios/overload.rs
@@ -1,6 +1,6 @@
-//! Overload, at the entry and below it, and the sizes of subsets.
+//! Overload at the entry tier and at lower tiers, and the sizes of subsets.
 
-use super::{behaves, settings, tenant};
+use super::{set_behaviour, settings, tenant};
 use crate::scenario::{Behaviour, Change, Scenario, Traffic, endpoints};
 use balancer::{Settings, Tier};
 
@@ -28,7 +28,7 @@
     let settings = Settings { tier: Tier(1), max_retry_after: 5.0, ..settings() };
     let mut scenario = Scenario::new("lower_tier_overload", 2, settings, endpoints(5));
     scenario.duration = 4.0;
-    scenario.traffic = Traffic { service_time: 0.05, least_timeout: 0.05, ..Traffic::default() };
+    scenario.traffic = Traffic { service_time: 0.05, min_timeout_fraction: 0.05, ..Traffic::default() };
     scenario.at(1.5, Change::Rate(400.0)).at(2.5, Change::Rate(80.0)).at(3.5, Change::Rate(250.0))
 }
 
@@ -38,7 +38,7 @@
     let mut scenario = Scenario::new("retries_under_overload", 13, settings, endpoints(4));
     scenario.duration = 3.0;
     scenario.traffic = Traffic { rate: 100.0, service_time: 0.05, ..Traffic::default() };
-    scenario.at(0.8, Change::Rate(500.0)).at(2.5, behaves(2, Behaviour::Hangs))
+    scenario.at(0.8, Change::Rate(500.0)).at(2.5, set_behaviour(2, Behaviour::Hangs))
 }
 
 pub fn connections_with_cost() -> Scenario {
--- a/crates/balancer/tests/replay/simulated_backends.rs
+++ b/crates/balancer/tests/replay/simulated_backends.rs
@@ -6,12 +6,13 @@
 use rand::rngs::SmallRng;
 use std::collections::BTreeMap;
 
-/// The number of attempts that a backend serves at once without slowing down.
-const CONCURRENCY: usize = 4;
-/// The number of attempts at once beyond which a backend rejects more.
+/// The number of concurrent attempts that a backend serves without slowing down.
+const FULL_SPEED_CONCURRENCY: usize = 4;
+/// The number of concurrent attempts beyond which a backend rejects further attempts.
 const MAX_CONCURRENCY: usize = 30;
-/// The outcomes of failing attempts at a backend that serves requests.
-const FAILURES: [Outcome; 4] = [Outcome::Error, Outcome::Rejected, Outcome::NoConnection, Outcome::Reset];
+/// The outcomes of attempts that fail at a backend that serves requests.
+const FAILED_OUTCOMES: [Outcome; 4] =
+    [Outcome::Error, Outcome::Rejected, Outcome::NoConnection, Outcome::Reset];
 
 /// The end of an attempt that is neither cancelled nor withdrawn.
 #[derive(Clone, Copy, Debug)]
@@ -28,7 +29,8 @@
     in_flight: usize,
 }
 
-/// All simulated backends. A backend without a set behaviour serves requests at the normal speed.
+/// All simulated backends. A backend whose behaviour was never set serves requests with a latency factor of
+/// 1.
 #[derive(Debug)]
 pub struct SimulatedBackends {
     backends: BTreeMap<BackendId, SimulatedBackend>,
@@ -49,12 +51,12 @@
 
     /// Begins an attempt, and draws the end of the attempt within `timeout` seconds.
     pub fn begin_attempt(&mut self, id: BackendId, timeout: Time, random: &mut SmallRng) -> AttemptEnd {
-        let Traffic { service_time, failing, .. } = self.traffic;
-        let fails = random.random::<f64>() < failing;
-        let failure = FAILURES[random.random_range(0..FAILURES.len())];
+        let Traffic { service_time, failing_fraction, .. } = self.traffic;
+        let fails = random.random::<f64>() < failing_fraction;
+        let failure = FAILED_OUTCOMES[random.random_range(0..FAILED_OUTCOMES.len())];
         let spread: f64 = random.random();
         let backend = self.backend(id);
-        let waiting = (backend.in_flight as f64 / CONCURRENCY as f64).max(1.0);
+        let slowdown = (backend.in_flight as f64 / FULL_SPEED_CONCURRENCY as f64).max(1.0);
         backend.in_flight += 1;
         let end = match backend.behaviour {
             Behaviour::Hangs => AttemptEnd { outcome: Outcome::Timeout, duration: Time::INFINITY },
@@ -65,7 +67,7 @@
             _ if fails => AttemptEnd { outcome: failure, duration: service_time * (0.25 + 0.5 * spread) },
             Behaviour::Serves { latency_factor } => {
                 let work = service_time * latency_factor * (0.4 + 1.8 * spread * spread);
-                AttemptEnd { outcome: Outcome::Success, duration: work * waiting }
+                AttemptEnd { outcome: Outcome::Success, duration: work * slowdown }
             }
         };
         if end.duration < timeout { end } else { AttemptEnd { outcome: Outcome::Timeout, duration: timeout } }
--- a/crates/balancer/tests/replay/simulation.rs
+++ b/crates/balancer/tests/replay/simulation.rs
@@ -1,7 +1,7 @@
-//! A balancer on virtual time, among simulated clients, backends, operators and discovery.
+//! A simulation of a balancer with clients, backends, operators and discovery, on a virtual clock.
 
-use crate::agenda::{Agenda, Occurrence, PlannedOccurrence};
 use crate::attempts::OpenAttempt;
+use crate::event_queue::{EventQueue, ScheduledEvent, SimulationEvent};
 use crate::scenario::{Change, Scenario};
 use crate::simulated_backends::SimulatedBackends;
 use balancer::{
@@ -12,12 +12,12 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// The longest time that discovery takes to answer a poll, in seconds.
+/// The longest duration of a poll of discovery, in seconds.
 const MAX_POLL_DURATION: Time = 0.05;
 /// The longest duration of a health check, in seconds.
 const MAX_HEALTH_CHECK_DURATION: Time = 0.02;
 /// The time after the last arrival at which a simulation ends, in seconds.
-const FINAL_WAIT: Time = 5.0;
+const FINAL_WAIT_DURATION: Time = 5.0;
 
 /// An event that the balancer has handled.
 #[derive(Clone, Copy, Debug)]
@@ -37,7 +37,7 @@
 pub struct OpenRequest {
     /// The time at which the body has been received, in seconds.
     pub body_received_at: Time,
-    /// The time from the end of the body until the client gives up, in seconds.
+    /// The time from the end of the body until the client times out, in seconds.
     pub timeout: Time,
     /// The number of attempts so far.
     pub attempts: usize,
@@ -48,10 +48,10 @@
     pub(crate) scenario: &'a Scenario,
     pub(crate) now: Time,
     pub(crate) random: SmallRng,
-    pub(crate) agenda: Agenda,
+    pub(crate) event_queue: EventQueue,
     pub(crate) settings: Settings,
     pub(crate) rate: f64,
-    pub(crate) last_request: u64,
+    pub(crate) last_request_id: u64,
     pub(crate) requests: BTreeMap<RequestId, OpenRequest>,
     pub(crate) attempts: BTreeMap<AttemptId, OpenAttempt>,
     pub(crate) backends: SimulatedBackends,
@@ -63,15 +63,15 @@
     observe: &'a mut dyn FnMut(&HandledEvent<'_>),
 }
 
-/// Plays a scenario, and shows each event to the observer.
-pub fn play(scenario: &Scenario, observe: &mut dyn FnMut(&HandledEvent<'_>)) {
+/// Runs a scenario, and passes each event to the observer.
+pub fn run(scenario: &Scenario, observe: &mut dyn FnMut(&HandledEvent<'_>)) {
     let mut simulation = Simulation::new(scenario, observe);
     simulation.start();
-    while let Some(PlannedOccurrence { at, occurrence }) = simulation.agenda.next()
-        && at < scenario.duration + FINAL_WAIT
+    while let Some(ScheduledEvent { at, event }) = simulation.event_queue.next()
+        && at < scenario.duration + FINAL_WAIT_DURATION
     {
         simulation.now = at;
-        simulation.happen(occurrence);
+        simulation.handle_simulation_event(event);
     }
 }
 
@@ -81,10 +81,10 @@
             scenario,
             now: 0.0,
             random: SmallRng::seed_from_u64(!scenario.seed),
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             settings: scenario.settings.clone(),
             rate: scenario.traffic.rate,
-            last_request: 0,
+            last_request_id: 0,
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             backends: SimulatedBackends::new(scenario.traffic, scenario.reporting),
@@ -99,38 +99,38 @@
 
     fn start(&mut self) {
         for (index, planned) in self.scenario.changes.iter().enumerate() {
-            self.agenda.add(planned.at, Occurrence::Change(index));
+            self.event_queue.add(planned.at, SimulationEvent::Change(index));
         }
-        self.agenda.add(0.0, Occurrence::Arrival);
+        self.event_queue.add(0.0, SimulationEvent::Arrival);
         let list = self.list.clone();
         let is_cached = self.settings.must_poll_endpoints;
         let update = if is_cached { EndpointUpdate::Cached(&list) } else { EndpointUpdate::Full(&list) };
         self.handle(Event::Endpoints(update));
     }
 
-    fn happen(&mut self, occurrence: Occurrence) {
-        match occurrence {
-            Occurrence::Arrival => self.request_arrives(),
-            Occurrence::TimerDue(token) => self.handle(Event::Timer(token)),
-            Occurrence::ResponseStarts(attempt) => self.response_starts(attempt),
-            Occurrence::AttemptEnds(attempt) => self.attempt_ends(attempt),
-            Occurrence::BodyReceived(id) => self.handle(Event::BodyReceived(id)),
-            Occurrence::BodyConsumed(id) => self.handle(Event::BodyConsumed(id)),
-            Occurrence::ClientDisconnects(id) => {
+    fn handle_simulation_event(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::Arrival => self.handle_arrival(),
+            SimulationEvent::TimerDue(token) => self.handle(Event::Timer(token)),
+            SimulationEvent::ResponseStarts(attempt) => self.handle_response_start(attempt),
+            SimulationEvent::AttemptEnds(attempt) => self.handle_attempt_end(attempt),
+            SimulationEvent::BodyReceived(id) => self.handle(Event::BodyReceived(id)),
+            SimulationEvent::BodyConsumed(id) => self.handle(Event::BodyConsumed(id)),
+            SimulationEvent::ClientDisconnects(id) => {
                 self.requests.remove(&id);
                 self.handle(Event::ClientDisconnected(id));
             }
-            Occurrence::HealthCheckEnds(backend) => {
+            SimulationEvent::HealthCheckEnds(backend) => {
                 let report = self.backends.report(backend, &mut self.random);
                 let outcome = if report.is_some() { Outcome::Success } else { Outcome::Timeout };
                 self.handle(Event::HealthCheckEnded { backend, outcome, report });
             }
-            Occurrence::PollEnds if self.discovery_works => {
+            SimulationEvent::PollEnds if self.discovery_works => {
                 self.is_watching = true;
                 self.send_list();
             }
-            Occurrence::PollEnds => self.handle(Event::Endpoints(EndpointUpdate::Failed)),
-            Occurrence::Change(index) => self.change(&self.scenario.changes[index].change),
+            SimulationEvent::PollEnds => self.handle(Event::Endpoints(EndpointUpdate::Failed)),
+            SimulationEvent::Change(index) => self.change(&self.scenario.changes[index].change),
         }
     }
 
@@ -138,7 +138,7 @@
         match change {
             Change::Rate(rate) => self.rate = *rate,
             Change::Behaviour(backend, behaviour) => self.backends.set_behaviour(*backend, *behaviour),
-            Change::List(endpoint) => self.list_endpoint(endpoint),
+            Change::List(endpoint) => self.update_list_entry(endpoint),
             Change::Unlist(backend) => self.list.retain(|endpoint| endpoint.id != *backend),
             Change::SendList => self.send_list(),
             Change::DiscoveryFails => self.fail_discovery(),
@@ -155,7 +155,7 @@
         }
     }
 
-    fn list_endpoint(&mut self, endpoint: &Endpoint) {
+    fn update_list_entry(&mut self, endpoint: &Endpoint) {
         self.list.retain(|listed| listed.id != endpoint.id);
         self.list.push(endpoint.clone());
         if self.is_watching {
@@ -199,16 +199,16 @@
             }
             Action::SetTimer { at, token } => {
                 let lateness = self.settings.quantum * self.random.random::<f64>();
-                self.agenda.add(at.max(self.now) + lateness, Occurrence::TimerDue(token));
+                self.event_queue.add(at.max(self.now) + lateness, SimulationEvent::TimerDue(token));
             }
             Action::HealthCheck(backend) => {
                 let duration = MAX_HEALTH_CHECK_DURATION * self.random.random::<f64>();
-                self.agenda.add(self.now + duration, Occurrence::HealthCheckEnds(backend));
+                self.event_queue.add(self.now + duration, SimulationEvent::HealthCheckEnds(backend));
             }
             Action::CloseIdleConnections(_) => {}
             Action::WatchEndpoints => {
                 let duration = MAX_POLL_DURATION * self.random.random::<f64>();
-                self.agenda.add(self.now + duration, Occurrence::PollEnds);
+                self.event_queue.add(self.now + duration, SimulationEvent::PollEnds);
             }
         }
     }
