--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -1,5 +1,5 @@
-//! The batch that is being read. Owns the selected instance, the endpoint list that is being filled and the
-//! reply, all of which end with the batch.
+//! A batch that is being read, with the state that lasts until the end of the batch: the selected instance,
+//! the endpoint list that is being filled, and the reply.
 
 use super::endpoint_lists::EndpointLists;
 use super::instances::{Instance, InstanceIndex, Instances, RunningInstance};
@@ -9,33 +9,33 @@
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The state that lasts from batch to batch: instances, the numbers of zones, and endpoint lists.
+/// The state that is kept between batches: instances, the ids of zones, and endpoint lists.
 #[derive(Default)]
-pub(super) struct Host {
+pub(super) struct AdapterState {
     instances: Instances,
     zones: ZoneIds,
     lists: EndpointLists,
 }
 
-/// An endpoint list of which entries are still to come.
+/// An endpoint list whose entries have not all been read.
 #[derive(Clone, Copy)]
-struct ListFill {
+struct IncompleteList {
     list: ListId,
-    /// Number of entries still to come, at least 1.
-    missing: usize,
+    /// The number of entries that have not been read, at least 1.
+    remaining: usize,
 }
 
-impl ListFill {
-    /// Returns `None` if no entry is missing.
-    fn new(list: ListId, missing: usize) -> Option<Self> {
-        (missing > 0).then_some(Self { list, missing })
+impl IncompleteList {
+    /// Returns `None` if no entry remains to be read.
+    fn new(list: ListId, remaining: usize) -> Option<Self> {
+        (remaining > 0).then_some(Self { list, remaining })
     }
 }
 
-/// State of a batch after a line.
+/// The progress of a batch after a line.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum BatchState {
-    /// Lines of the batch are still to come.
+pub(super) enum BatchProgress {
+    /// More lines of the batch follow.
     Incomplete,
     /// The line was the last one of the batch.
     Complete,
@@ -43,25 +43,26 @@
 
 /// A batch that is being read.
 pub(super) struct Batch {
-    /// Number of the batch, which its reply repeats.
+    /// The number of the batch, which the reply repeats.
     sequence: u64,
-    /// Time of all events of the batch, in seconds.
+    /// The time of all events of the batch, in seconds.
     now: Time,
     selected: Option<InstanceIndex>,
-    filling: Option<ListFill>,
+    /// The endpoint list whose entries are the next lines.
+    incomplete_list: Option<IncompleteList>,
     reply: Reply,
 }
 
 impl Batch {
-    /// Starts a batch with its first line.
+    /// Starts a batch from its first line.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the line is invalid, or starts no batch.
-    pub(super) fn start(host: &mut Host, text: &str) -> Result<Self, WireError> {
-        match wire::parse_line(text, &mut host.zones, None)? {
+    /// [`WireError`] if the line is invalid or does not start a batch.
+    pub(super) fn start(state: &mut AdapterState, text: &str) -> Result<Self, WireError> {
+        match wire::parse_line(text, &mut state.zones, None)? {
             Line::BatchStart { now, sequence } => {
-                Ok(Self { sequence, now, selected: None, filling: None, reply: Reply::default() })
+                Ok(Self { sequence, now, selected: None, incomplete_list: None, reply: Reply::default() })
             }
             _ => Err(unexpected_line("BATCH", text)),
         }
@@ -77,64 +78,77 @@
         self.reply.finish(self.sequence)
     }
 
-    /// Handles a line of the batch, and returns whether the batch goes on after that line.
+    /// Handles a line of the batch, and returns whether the batch is complete.
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the line is invalid, or may not follow the lines before.
-    pub(super) fn handle_line(&mut self, host: &mut Host, text: &str) -> Result<BatchState, WireError> {
-        let running = self.selected.and_then(|index| host.instances.get(index).running.as_ref());
-        let line = wire::parse_line(text, &mut host.zones, running.map(|running| &running.names))?;
-        if let Some(fill) = self.filling.take() {
+    /// [`WireError`] if the line is invalid or not allowed after the previous lines.
+    pub(super) fn handle_line(
+        &mut self,
+        state: &mut AdapterState,
+        text: &str,
+    ) -> Result<BatchProgress, WireError> {
+        let running = self.selected.and_then(|index| state.instances.get(index).running.as_ref());
+        let line = wire::parse_line(text, &mut state.zones, running.map(|running| &running.names))?;
+        if let Some(incomplete) = self.incomplete_list.take() {
             let Line::ListedEndpoint(endpoint) = line else {
                 return Err(unexpected_line("an ITEM line", text));
             };
-            host.lists.push(fill.list, endpoint);
-            self.filling = ListFill::new(fill.list, fill.missing - 1);
-            return Ok(BatchState::Incomplete);
+            state.lists.push(incomplete.list, endpoint);
+            self.incomplete_list = IncompleteList::new(incomplete.list, incomplete.remaining - 1);
+            return Ok(BatchProgress::Incomplete);
         }
         match line {
             Line::BatchStart { .. } => return Err(unexpected_line("GO before the next BATCH", text)),
-            Line::BatchEnd => return Ok(BatchState::Complete),
-            Line::SelectInstance(name) => self.selected = Some(host.instances.select(name)),
-            Line::StartInstance(start) => self.start_instance(host, text, *start)?,
-            Line::StopInstance => self.selected_instance(host, text)?.running = None,
+            Line::BatchEnd => return Ok(BatchProgress::Complete),
+            Line::SelectInstance(name) => self.selected = Some(state.instances.select(name)),
+            Line::StartInstance(start) => self.start_instance(state, text, *start)?,
+            Line::StopInstance => self.selected_instance(state, text)?.running = None,
             Line::ListStart { list, length } => {
-                host.lists.clear(list);
-                self.filling = ListFill::new(list, length);
+                state.lists.clear(list);
+                self.incomplete_list = IncompleteList::new(list, length);
             }
             Line::ListedEndpoint(_) => return Err(unexpected_line("a ROSTER before its entries", text)),
             Line::ListUpdate(update) => {
-                let event = Event::Endpoints(host.lists.endpoint_update(update));
-                self.handle_event(&mut host.instances, text, event)?;
+                let event = Event::Endpoints(state.lists.endpoint_update(update));
+                self.handle_event(&mut state.instances, text, event)?;
             }
-            Line::Event(event) => self.handle_event(&mut host.instances, text, event)?,
+            Line::Event(event) => self.handle_event(&mut state.instances, text, event)?,
             Line::Ignored => {
                 self.selected_index(text)?;
             }
         }
-        Ok(BatchState::Incomplete)
+        Ok(BatchProgress::Incomplete)
     }
 
-    /// Returns the selected instance, or an error that quotes the line which needs one.
+    /// Returns the index of the selected instance, or an error with the line that requires an instance.
     fn selected_index(&self, text: &str) -> Result<InstanceIndex, WireError> {
         self.selected.ok_or_else(|| unexpected_line("SELECT first", text))
     }
 
-    fn selected_instance<'a>(&self, host: &'a mut Host, text: &str) -> Result<&'a mut Instance, WireError> {
-        Ok(host.instances.get_mut(self.selected_index(text)?))
+    fn selected_instance<'a>(
+        &self,
+        state: &'a mut AdapterState,
+        text: &str,
+    ) -> Result<&'a mut Instance, WireError> {
+        Ok(state.instances.get_mut(self.selected_index(text)?))
     }
 
-    fn start_instance(&self, host: &mut Host, text: &str, start: InstanceStart) -> Result<(), WireError> {
+    fn start_instance(
+        &self,
+        state: &mut AdapterState,
+        text: &str,
+        start: InstanceStart,
+    ) -> Result<(), WireError> {
         let balancer = Balancer::new(self.now, start.seed, start.settings);
         let running = RunningInstance { balancer, names: start.names };
-        self.selected_instance(host, text)?.running = Some(running);
+        self.selected_instance(state, text)?.running = Some(running);
         Ok(())
     }
 
     /// Passes an event to the selected instance, and adds the actions of the instance to the reply. If the
-    /// instance panics, the reply has the failure in place of the actions: actions from before the panic are
-    /// not to be trusted.
+    /// instance panics, the reply contains the failure instead of the actions, as actions from before the
+    /// panic may be wrong.
     fn handle_event(
         &mut self,
         instances: &mut Instances,
--- a/crates/simulator-adapter/src/batch/tests.rs
+++ b/crates/simulator-adapter/src/batch/tests.rs
@@ -1,10 +1,10 @@
-//! The messages of panics.
+//! Tests of the messages that report panics.
 
 use super::failure_message;
 use std::panic::catch_unwind;
 
 #[test]
-fn a_panic_is_reported_on_one_line() {
+fn reports_a_panic_on_one_line() {
     let formatted = catch_unwind(|| panic!("index {}\nout of range", 3)).unwrap_err();
     let plain = catch_unwind(|| panic!("plain")).unwrap_err();
 
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,5 +1,4 @@
-//! The numbered endpoint lists that updates of all instances refer to. Owns the entries, which last from
-//! batch to batch.
+//! The numbered endpoint lists that updates of all instances refer to. The entries are kept between batches.
 
 use crate::wire::{LIST_COUNT, ListId, ListUpdate};
 use balancer::{Endpoint, EndpointUpdate};
@@ -21,7 +20,7 @@
         self.lists[list.index()].push(endpoint);
     }
 
-    /// Returns the update with the entries of its list, as the decision module takes updates.
+    /// Returns the update with the entries of its list, in the type of the decision module.
     pub(super) fn endpoint_update(&self, update: ListUpdate) -> EndpointUpdate<'_> {
         match update {
             ListUpdate::Changes(list) => EndpointUpdate::Changes(&self.lists[list.index()]),
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,5 +1,5 @@
-//! The instances of the decision module. Owns every instance that was ever named, as the simulator may start
-//! an instance again under its name.
+//! The instances of the decision module. Every instance that was ever named is kept, as the simulator may
+//! start an instance again under the same name.
 
 use crate::wire::InstanceNames;
 use balancer::Balancer;
@@ -7,7 +7,7 @@
 
 /// An instance that the simulator has named.
 pub(super) struct Instance {
-    /// Name of the instance, as replies repeat it.
+    /// The name of the instance, which replies repeat.
     pub(super) name: String,
     /// The running instance; `None` before a start and after a stop.
     pub(super) running: Option<RunningInstance>,
@@ -21,7 +21,7 @@
     pub(super) names: InstanceNames,
 }
 
-/// Index of an instance in [`Instances`].
+/// The index of an instance in [`Instances`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InstanceIndex(usize);
 
@@ -33,7 +33,7 @@
 }
 
 impl Instances {
-    /// Returns the index of the instance of this name, which is added if the name is new.
+    /// Returns the index of the instance with this name, which is added if the name is new.
     pub(super) fn select(&mut self, name: &str) -> InstanceIndex {
         if let Some(&index) = self.by_name.get(name) {
             return index;
@@ -49,7 +49,7 @@
         &self.instances[index.0]
     }
 
-    /// Returns the instance at an index, to be changed.
+    /// Returns a mutable reference to the instance at an index.
     pub(super) fn get_mut(&mut self, index: InstanceIndex) -> &mut Instance {
         &mut self.instances[index.0]
     }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,44 +1,47 @@
-//! Hosts many instances of the decision module on the wire of a simulator.
+//! Runs instances of the decision module for a simulator, which sends events and receives actions over a text
+//! protocol.
 //!
 //! # Model
 //!
-//! The simulator plays clients, backends, discovery and the network, and asks this program for the decisions
-//! of each proxy. One process hosts any number of *instances*: each is one [`balancer::Balancer`], by the
-//! name that the simulator gave the instance. Instances share no state and no random numbers, so that an
-//! instance acts the same whichever others are in its process.
+//! The simulator simulates clients, backends, discovery and the network, and obtains the decisions of each
+//! proxy from this program. One process runs any number of *instances*. Each instance is one
+//! [`balancer::Balancer`], with the name that the simulator gave the instance. Instances share no decision
+//! state and no random numbers, so that the actions of an instance do not depend on the other instances of
+//! the process.
 //!
 //! The simulator owns the clock. It writes a *batch* of events with one common time to standard input, and
-//! waits for the *reply*, which has the actions of all instances on these events. The program reads no
-//! clock, starts no thread and writes nothing but replies to standard output: the same input always has the
-//! same output.
+//! waits for the *reply*, which contains the actions of all instances for these events. The program reads no
+//! clock, starts no thread and writes nothing but replies to standard output. The same input always yields
+//! the same output.
 //!
-//! A batch is text, one event a line. `SELECT` names the instance that the lines after it are about:
+//! A batch is text with one event per line. `SELECT` names the instance that the next lines apply to:
 //!
 //! | lines | meaning | handled by |
 //! | --- | --- | --- |
-//! | `BATCH`, `GO` | a batch starts, with its time and number, and is complete | `batch` |
+//! | `BATCH`, `GO` | a batch starts, with its time and number, or is complete | `batch` |
 //! | `SELECT` | the instance of the next events | `batch`, `instances` |
 //! | `HELLO`, `TEARDOWN` | an instance starts with its settings, or stops | `instances`, `wire` |
 //! | `ROSTER`, `ITEM` | an endpoint list and its entries, for all instances | `endpoint_lists` |
 //! | `UPDATE` | an instance is notified of an endpoint list | `endpoint_lists` |
-//! | `QUERY`, `BEGUN`, `RESULT`, `CLIENT_LEFT`, `TICK_DUE`, `HEALTH` | events of the decision module | `batch` |
-//! | `PEER` | a message of another instance, which the decisions do not use | skipped |
+//! | `QUERY`, `BEGUN`, `RESULT`, `CLIENT_LEFT`, `TICK_DUE`, `HEALTH` | decision module events | `batch` |
+//! | `PEER` | a message of another instance, which the decision module does not use | skipped |
 //!
 //! [`wire`] converts lines to events and actions to lines. Classes, tenants and zones have names on the wire
 //! and indices in the decision module: an instance keeps the names of its settings, and all instances share
 //! the numbers of zones, as they share the endpoint lists. Settings are translated by the crate
-//! `balancer-settings`, in common with the proxy.
+//! `balancer-settings`, which the proxy uses as well.
 //!
 //! # Failures
 //!
-//! Input that the protocol does not allow ends the program with one line on standard error that names batch
-//! and line ([`AdapterError`]); nothing is written for that batch, as a part of a reply would be taken for
-//! all of it. A panic of the decision module is reported in the reply as the failure of its instance, in
-//! place of the actions on that event: actions from before the panic are not to be trusted.
+//! Input that violates the protocol ends the program with one line on standard error, which gives the numbers
+//! of the batch and the line ([`AdapterError`]). Nothing is written for that batch, as the simulator would
+//! treat a partial reply as a complete one. A panic of the decision module is reported in the reply as a
+//! failure of its instance, instead of the actions for that event, as actions from before the panic may be
+//! wrong.
 //!
 //! # Example
 //!
-//! An instance starts with one class of safe requests, learns of backend 51, and sends it a request:
+//! An instance starts with one class of safe requests, is notified of backend 51, and sends it a request:
 //!
 //! ```
 //! let input = "\
@@ -69,7 +72,7 @@
 pub mod wire;
 
 use crate::wire::WireError;
-use batch::{Batch, BatchState, Host};
+use batch::{AdapterState, Batch, BatchProgress};
 use std::io::{self, BufRead, Write};
 use thiserror::Error;
 
@@ -77,10 +80,10 @@
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The input cannot be read, or is not UTF-8.
-    #[error("cannot read: {0}")]
+    #[error("cannot read the input: {0}")]
     Read(#[source] io::Error),
     /// A reply cannot be written.
-    #[error("cannot write: {0}")]
+    #[error("cannot write a reply: {0}")]
     Write(#[source] io::Error),
     /// A line within a batch is invalid.
     #[error("batch {sequence}, line {line}: {source}")]
@@ -89,7 +92,7 @@
         sequence: u64,
         /// The number of the line in the input, from 1.
         line: u64,
-        /// The fault of the line.
+        /// The error of the line.
         source: WireError,
     },
     /// A line that should start a batch is invalid.
@@ -97,7 +100,7 @@
     BetweenBatches {
         /// The number of the line in the input, from 1.
         line: u64,
-        /// The fault of the line.
+        /// The error of the line.
         source: WireError,
     },
     /// The input ends within a batch.
@@ -116,22 +119,22 @@
 ///
 /// [`AdapterError`] if the input cannot be read or is invalid, or a reply cannot be written.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
-    let mut host = Host::default();
+    let mut state = AdapterState::default();
     let mut batch: Option<Batch> = None;
     let mut line = 0;
     for text in input.lines() {
         let text = text.map_err(AdapterError::Read)?;
         line += 1;
         let Some(mut open) = batch.take() else {
-            let started = Batch::start(&mut host, &text);
+            let started = Batch::start(&mut state, &text);
             batch = Some(started.map_err(|source| AdapterError::BetweenBatches { line, source })?);
             continue;
         };
-        let handled = open.handle_line(&mut host, &text);
+        let handled = open.handle_line(&mut state, &text);
         let sequence = open.sequence();
         match handled.map_err(|source| AdapterError::InBatch { sequence, line, source })? {
-            BatchState::Complete => write(&mut output, &open.into_reply()).map_err(AdapterError::Write)?,
-            BatchState::Incomplete => batch = Some(open),
+            BatchProgress::Complete => write(&mut output, &open.into_reply()).map_err(AdapterError::Write)?,
+            BatchProgress::Incomplete => batch = Some(open),
         }
     }
     match batch {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! The program `simulator-adapter`: reads batches of events from standard input, and writes one reply for
-//! each to standard output. The library of the same name has the model.
+//! each batch to standard output. The documentation of the library describes the protocol.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -4,16 +4,16 @@
 use crate::wire;
 use balancer::Action;
 
-/// The text of a reply, as far as it has been written.
+/// The part of a reply that has been written.
 #[derive(Default)]
 pub(super) struct Reply {
     text: String,
-    /// The instance whose actions are at the end of the text.
+    /// The instance that the last lines of the text belong to.
     instance: Option<InstanceIndex>,
 }
 
 impl Reply {
-    /// Names the instance of the next lines, unless the last lines are of the same instance.
+    /// Names the instance of the next lines, unless the last lines belong to the same instance.
     pub(super) fn set_instance(&mut self, index: InstanceIndex, name: &str) {
         if self.instance != Some(index) {
             self.push_line(&format!("BY {name}"));
@@ -26,7 +26,7 @@
         wire::write_action(&mut self.text, action);
     }
 
-    /// Adds the failure of the instance that was named last. The message is one line.
+    /// Adds the failure of the instance that was named last. The message must be a single line.
     pub(super) fn push_failure(&mut self, message: &str) {
         self.push_line(&format!("DIE {message}"));
     }
--- a/crates/simulator-adapter/src/wire/action.rs
+++ b/crates/simulator-adapter/src/wire/action.rs
@@ -3,7 +3,8 @@
 use balancer::Action;
 use std::fmt::{self, Write};
 
-/// Appends an action to a reply, as one line. An action without a meaning on this wire adds nothing.
+/// Appends an action to a reply, as one line. An action that the protocol does not express adds
+/// nothing.
 pub(crate) fn write_action(reply: &mut String, action: &Action) {
     // Writing to a string cannot fail.
     let _ = try_write_action(reply, action);
@@ -15,7 +16,8 @@
             writeln!(reply, "PLACE {:016x} {timeout:.6} {}", id.0, backend.0)
         }
         Action::Cancel { id, attempt } => writeln!(reply, "REVOKE {:016x} {}", id.0, attempt.0),
-        Action::Withdraw { .. } => Ok(()), // the simulator writes every request at once
+        // The simulator writes every request at once, so that no attempt can be withdrawn.
+        Action::Withdraw { .. } => Ok(()),
         Action::Reject { id, retry_after: Some(retry_after) } => {
             writeln!(reply, "REJECT {:016x} {retry_after:.6}", id.0)
         }
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -1,18 +1,18 @@
-//! Lines about endpoint lists: a ROSTER line names a list and its length, one ITEM line for each endpoint
-//! follows, and UPDATE lines refer to lists that have been filled.
+//! Lines for endpoint lists: a ROSTER line gives the number and length of a list, one ITEM line follows for
+//! each endpoint, and UPDATE lines refer to complete lists.
 
 use super::error::{Result, WireError};
 use super::names::ZoneIds;
 use super::values::{self, ABSENT};
 use balancer::{BackendId, CellId, Endpoint, Status, Time};
 
-/// Number of endpoint lists, which are numbered from 0.
+/// The number of endpoint lists, which are numbered from 0.
 pub const LIST_COUNT: usize = 16;
 
-/// Weight of an endpoint that states none.
+/// The weight of an endpoint whose line gives none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Number of an endpoint list, below [`LIST_COUNT`].
+/// The number of an endpoint list, below [`LIST_COUNT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListId(usize);
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// A notification of endpoints, by the list that has the entries.
+/// An update of the endpoint list of an instance, with the number of the list that contains the entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// The list has the endpoints that changed.
+    /// The list contains the endpoints that changed.
     Changes(ListId),
-    /// The list has all endpoints.
+    /// The list contains all endpoints.
     Full(ListId),
-    /// The list has all endpoints as they were last known.
+    /// The list contains all endpoints of the cached endpoint list.
     Cached(ListId),
-    /// A call for the list has failed; there are no entries.
+    /// A poll of the list has failed, so that there are no entries.
     Failed,
 }
 
@@ -49,13 +49,17 @@
     /// Parses an UPDATE line without its first word.
     pub(super) fn parse(text: &str) -> Result<Self> {
         let [version, kind, list] = values::split("UPDATE", text)?;
-        values::parse_integer::<u64>("the version", version)?;
+        values::parse_integer::<u64>("the list version", version)?;
         match kind {
             "changes" => ListId::parse(list).map(Self::Changes),
             "all" => ListId::parse(list).map(Self::Full),
             "remembered" => ListId::parse(list).map(Self::Cached),
             "refused" => Ok(Self::Failed),
-            _ => Err(WireError::invalid_value("the kind", "changes, all, remembered or refused", kind)),
+            _ => Err(WireError::invalid_value(
+                "the kind of update",
+                "changes, all, remembered or refused",
+                kind,
+            )),
         }
     }
 }
@@ -65,25 +69,26 @@
     let [_kind, cell, id, weight, zone, status, started_at] = values::split("ITEM", text)?;
     let started_at = parse_start_time(started_at)?;
     Ok(Endpoint {
-        id: BackendId(values::parse_integer("the backend", id)?),
-        cell: CellId(values::parse_integer("the cell", cell)?),
+        id: BackendId(values::parse_integer("the backend id", id)?),
+        cell: CellId(values::parse_integer("the cell id", cell)?),
         zone: zones.assign(zone),
         weight: if weight == ABSENT {
             DEFAULT_WEIGHT
         } else {
-            values::parse_non_negative("the weight", weight)?
+            values::parse_non_negative("the endpoint weight", weight)?
         },
         status: parse_status(status)?,
         started_at,
     })
 }
 
-/// Parses the time of a start, in seconds; 0 and an absent value stand for a start long ago.
+/// Parses the start time of an endpoint, in seconds. Returns `None` if the time is 0 or absent, which means
+/// that the endpoint started long ago.
 fn parse_start_time(text: &str) -> Result<Option<Time>> {
     if text == ABSENT {
         return Ok(None);
     }
-    let time = values::parse_number("the start", text)?;
+    let time = values::parse_number("the start time", text)?;
     Ok(Some(time).filter(|time| *time != 0.0))
 }
 
@@ -92,6 +97,10 @@
         "in_service" => Ok(Status::InService),
         "terminating" => Ok(Status::Draining),
         "terminated" => Ok(Status::Removed),
-        _ => Err(WireError::invalid_value("the status", "in_service, terminating or terminated", text)),
+        _ => Err(WireError::invalid_value(
+            "the endpoint status",
+            "in_service, terminating or terminated",
+            text,
+        )),
     }
 }
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,8 +1,8 @@
-//! The faults of a line.
+//! Errors of lines.
 
 use thiserror::Error;
 
-/// The fault of a line that the protocol does not allow.
+/// The error of a line that violates the protocol.
 #[derive(Debug, Error, PartialEq)]
 pub enum WireError {
     /// The first word of the line names no event.
@@ -13,17 +13,17 @@
     ValueCount {
         /// The first word of the line.
         event: &'static str,
-        /// Number of values that such a line has.
+        /// The number of values that such a line must have.
         expected: usize,
-        /// Number of values found.
+        /// The number of values found.
         got: usize,
     },
-    /// A value is malformed or out of its range.
+    /// A value is malformed or out of range.
     #[error("expected {expected} for {field}, got '{got}'")]
     InvalidValue {
-        /// Name of the value, or path of the setting.
+        /// The name of the value, or the path of the setting.
         field: String,
-        /// Range of valid values.
+        /// A description of the valid values.
         expected: &'static str,
         /// The value found.
         got: String,
@@ -31,10 +31,10 @@
     /// A required setting is absent.
     #[error("missing setting {0}")]
     MissingSetting(String),
-    /// The line is valid, but another line must come first.
+    /// The line is valid, but another line is required first.
     #[error("expected {expected}, got '{got}'")]
     UnexpectedLine {
-        /// The line that must come.
+        /// The line that is required.
         expected: &'static str,
         /// The line found.
         got: String,
--- a/crates/simulator-adapter/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -1,4 +1,4 @@
-//! Parses the lines of a batch: start and end, the instance that lines are about, and the events of that
+//! Parses the lines of a batch: its start and end, the selection of an instance, and the events of that
 //! instance.
 
 use super::endpoint_list::{self, ListId, ListUpdate};
@@ -10,7 +10,7 @@
     AttemptNumber, BackendId, EndedAttempt, Endpoint, Event, LoadReport, Request, Settings, Time, TimerToken,
 };
 
-/// Name of the value of a load report that is a service time, in milliseconds.
+/// The name of the load report value that gives the service time in milliseconds.
 const SERVICE_TIME_FIELD: &str = "avg_ms";
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
@@ -19,29 +19,29 @@
 pub enum Line<'a> {
     /// A batch starts.
     BatchStart {
-        /// Time of all events of the batch, in seconds.
+        /// The time of all events of the batch, in seconds.
         now: Time,
-        /// Number of the batch, which its reply repeats.
+        /// The number of the batch, which the reply repeats.
         sequence: u64,
     },
     /// The batch is complete.
     BatchEnd,
-    /// The next lines are about the instance of this name.
+    /// The next lines apply to the instance with this name.
     SelectInstance(&'a str),
     /// The selected instance starts.
     StartInstance(Box<InstanceStart>),
     /// The selected instance has stopped.
     StopInstance,
-    /// The entries of an endpoint list follow, one a line.
+    /// The entries of an endpoint list follow, one per line.
     ListStart {
         /// The list that is filled.
         list: ListId,
-        /// Number of entries of the list.
+        /// The number of entries of the list.
         length: usize,
     },
     /// An entry of an endpoint list.
     ListedEndpoint(Endpoint),
-    /// The selected instance is notified of endpoints.
+    /// The selected instance is notified of an endpoint list.
     ListUpdate(ListUpdate),
     /// Any other event of the selected instance.
     Event(Event<'static>),
@@ -52,21 +52,21 @@
 /// The start of an instance.
 #[derive(Debug)]
 pub struct InstanceStart {
-    /// Seed of the random draws of the instance.
+    /// The seed of the random draws of the instance.
     pub seed: u64,
-    /// Settings of the instance.
+    /// The settings of the instance.
     pub settings: Settings,
-    /// Names that events of the instance will use.
+    /// The names that events of the instance will use.
     pub names: InstanceNames,
 }
 
-/// Parses a line. `instance` has the names of the selected instance, if that instance has started. The zones
-/// that the line names are added to `zones`.
+/// Parses a line. `instance` contains the names of the selected instance, if that instance has started. The
+/// zones that the line names are added to `zones`.
 ///
 /// # Errors
 ///
-/// [`WireError`] if the first word of the line is unknown, a value is missing or invalid, or a request comes
-/// before the selected instance has started.
+/// [`WireError`] if the first word of the line is unknown, a value is missing or invalid, or a request
+/// arrives before the selected instance has started.
 pub fn parse_line<'a>(
     line: &'a str,
     zones: &mut ZoneIds,
@@ -118,10 +118,10 @@
 
 fn parse_request(text: &str, instance: Option<&InstanceNames>) -> Result<Request> {
     let [id, write, key, timeout, retry, tenant, class, work] = values::split("QUERY", text)?;
-    values::parse_flag("the write mark", write)?;
+    values::parse_flag("the write flag", write)?;
     let key = values::parse_ordering_key(key)?;
     if retry != ABSENT {
-        values::parse_flag("the retry mark", retry)?;
+        values::parse_flag("the retry flag", retry)?;
     }
     if work != ABSENT {
         values::parse_non_negative("the predicted work", work)?;
@@ -134,15 +134,15 @@
     let class =
         class.ok_or_else(|| WireError::invalid_value("the class", "a class of the settings", text))?;
     let tenant = names.tenant_index(tenant);
-    let timeout = values::parse_number("the time left", timeout)?;
+    let timeout = values::parse_number("the timeout", timeout)?;
     Ok(Request { id: values::parse_request_id(id)?, class, tenant, key, timeout, streaming_body: false })
 }
 
 fn parse_response_started(text: &str) -> Result<Event<'static>> {
     let [id, duration, attempt, backend] = values::split("BEGUN", text)?;
     values::parse_non_negative("the duration", duration)?;
-    values::parse_integer::<u32>("the backend", backend)?;
-    let attempt = AttemptNumber(values::parse_integer("the attempt", attempt)?);
+    values::parse_integer::<u32>("the backend id", backend)?;
+    let attempt = AttemptNumber(values::parse_integer("the attempt number", attempt)?);
     Ok(Event::ResponseStarted { id: values::parse_request_id(id)?, attempt })
 }
 
@@ -150,11 +150,11 @@
     let [id, backend, attempt, outcome, duration, finished, report] = values::split("RESULT", text)?;
     Ok(EndedAttempt {
         id: values::parse_request_id(id)?,
-        backend: BackendId(values::parse_integer("the backend", backend)?),
-        attempt: AttemptNumber(values::parse_integer("the attempt", attempt)?),
+        backend: BackendId(values::parse_integer("the backend id", backend)?),
+        attempt: AttemptNumber(values::parse_integer("the attempt number", attempt)?),
         outcome: values::parse_outcome(outcome)?,
         duration: values::parse_non_negative("the duration", duration)?,
-        request_finished: values::parse_flag("the end mark", finished)?,
+        request_finished: values::parse_flag("the flag of a finished request", finished)?,
         report: parse_load_report(report, instance)?,
     })
 }
@@ -166,14 +166,14 @@
 
 fn parse_timer(text: &str) -> Result<Event<'static>> {
     let [token] = values::split("TICK_DUE", text)?;
-    values::parse_integer("the token", token).map(|token| Event::Timer(TimerToken(token)))
+    values::parse_integer("the timer token", token).map(|token| Event::Timer(TimerToken(token)))
 }
 
 fn parse_health_check_ended(text: &str, instance: Option<&InstanceNames>) -> Result<Event<'static>> {
     let [duration, backend, outcome, report] = values::split("HEALTH", text)?;
     values::parse_non_negative("the duration", duration)?;
     let report = parse_load_report(report, instance)?;
-    let backend = BackendId(values::parse_integer("the backend", backend)?);
+    let backend = BackendId(values::parse_integer("the backend id", backend)?);
     Ok(Event::HealthCheckEnded { backend, outcome: values::parse_outcome(outcome)?, report })
 }
 
@@ -182,7 +182,7 @@
     let [sender, message] = values::split("PEER", text)?;
     values::parse_integer::<u64>("the sender", sender)?;
     if message != ABSENT && !message.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-        return Err(WireError::invalid_value("the message", "hex digits", message));
+        return Err(WireError::invalid_value("the peer message", "hex digits", message));
     }
     Ok(())
 }
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! The text protocol of the simulator, converted to and from the types of the decision module.
 //!
-//! [`parse_line`] reads a line, and `write_action` writes an action. The module has no state except for the
-//! tables of names, which the caller owns: names of classes, tenants and zones become indices here, so that
-//! the decision module never sees a name. Words in capitals are those of the protocol.
+//! [`parse_line`] reads a line, and `write_action` writes an action. The module has no state of its own. It
+//! converts the names of classes, tenants and zones to indices, as the decision module uses no names for
+//! them. The caller owns the tables of names. Words in capitals are words of the protocol.
 //!
 //! ```
 //! use balancer::{Event, TimerToken};
--- a/crates/simulator-adapter/src/wire/names.rs
+++ b/crates/simulator-adapter/src/wire/names.rs
@@ -1,9 +1,9 @@
-//! The names that lines use, and the ids and indices that stand for these names in the decision module.
+//! The names that lines use, and the ids and indices that the decision module uses in their place.
 
 use balancer::{ClassIndex, TenantIndex, ZoneId};
 use std::collections::HashMap;
 
-/// The ids of zones by their names, assigned in the order in which the names first occur.
+/// The ids of zones by their names. Ids are assigned in the order in which the names first occur.
 #[derive(Debug, Default)]
 pub struct ZoneIds(HashMap<String, ZoneId>);
 
@@ -22,11 +22,11 @@
 /// The names that events of one instance use, as the settings of the instance define them.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceNames {
-    /// Names of the request classes, in the order of the settings.
+    /// The names of the request classes, in the order of the settings.
     pub(super) classes: Vec<String>,
-    /// Names of the tenants, in the order of the settings.
+    /// The names of the tenants, in the order of the settings.
     pub(super) tenants: Vec<String>,
-    /// Names of the values of a load report, in the order of the values.
+    /// The names of the values of a load report, in the order of the values.
     pub(super) load_report_fields: Vec<String>,
 }
 
--- a/crates/simulator-adapter/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -1,16 +1,16 @@
 //! The settings of an instance, given as `path=value` pairs.
 //!
 //! The pairs are read into the raw form of the crate `balancer-settings`, as the JSON of the configuration
-//! file is, and translated there. These are the differences between the two syntaxes; each has a test in
-//! `tests/settings_syntaxes.rs`:
+//! file is, and translated there. The two syntaxes differ as follows. Each difference has a test in
+//! `tests/settings_syntaxes`:
 //!
 //! - **Negative quantities.** Pairs with a negative number are rejected. The file is checked for most of its
 //!   quantities at a reload only, as a start has no earlier settings to fall back to.
 //! - **Keys without effect.** A pair is read only where it has an effect: the window of an idempotent class,
-//!   the longest `Retry-After` where clients honour one, health checks where load reports come with them.
+//!   the longest `Retry-After` where clients honour it, health checks where load reports come with them.
 //!   The file is deserialized as a whole, so that a value of the wrong type is an error in any case.
 //! - **Flags.** Pairs have `true`, `false`, `1` or `0`; JSON has `true` or `false`.
-//! - **Null.** An optional key of the file may be null, and then counts as absent. Pairs have no null.
+//! - **Null.** An optional key of the file may be null, which counts as absent. Pairs have no null.
 //! - **Repeated keys.** The last of several pairs with one path counts. In the file a repeated key is an
 //!   error.
 //! - **Zones.** All instances of the adapter share one numbering of zones, as they share endpoint lists. A
@@ -18,7 +18,7 @@
 //! - **Load reports.** The simulator sends the values of a report without names, in the order of
 //!   `stats.fields`. Reports over HTTP have named values, so that the proxy does not read that key.
 //! - **Keys of the proxy.** `version`, `caps.connect-timeout`, `caps.idle-close`, `caps.max-open` and
-//!   `rules.drain-grace` concern sockets, which the simulator plays itself: their pairs are skipped.
+//!   `rules.drain-grace` concern sockets, which the simulator simulates. Their pairs are skipped.
 
 use super::error::{Result, WireError};
 use super::names::{InstanceNames, ZoneIds};
@@ -30,7 +30,7 @@
 };
 use std::collections::HashMap;
 
-/// The values of the pairs, by path.
+/// The values of the pairs by their paths.
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
@@ -88,7 +88,7 @@
 ///
 /// # Errors
 ///
-/// [`WireError`] if a part of the text is no pair, a required pair is absent, or a value is invalid.
+/// [`WireError`] if a part of the text is not a pair, a required pair is absent, or a value is invalid.
 pub(super) fn parse_settings(text: &str, zones: &mut ZoneIds) -> Result<(Settings, InstanceNames)> {
     let pairs = Pairs::parse(text)?;
     let raw = parse_raw_settings(&pairs)?;
@@ -187,7 +187,7 @@
 }
 
 /// Reads the rules. The grace period of draining backends is left out, as the simulator has no connections
-/// on which a request may be under way.
+/// on which a request may be in transfer.
 fn parse_rules(pairs: &Pairs<'_>) -> Result<RawRules> {
     Ok(RawRules {
         ask_within: pairs.number("rules.ask-within")?,
--- a/crates/simulator-adapter/src/wire/values.rs
+++ b/crates/simulator-adapter/src/wire/values.rs
@@ -1,4 +1,4 @@
-//! Parses the values of a line, each within the range that the protocol sets.
+//! Parses the values of a line, and checks the range that the protocol defines for each value.
 
 use super::error::{Result, WireError};
 use balancer::{Outcome, RequestId};
@@ -7,10 +7,10 @@
 
 /// The text of an absent value.
 pub(super) const ABSENT: &str = "-";
-/// Length of request ids and ordering keys, in hexadecimal digits.
+/// The length of request ids and ordering keys, in hexadecimal digits.
 const ID_HEX_DIGITS: usize = 16;
 
-/// Splits the values of an event, of which there must be exactly `N`.
+/// Splits the text of an event into its values. The text must have exactly `N` values.
 pub(super) fn split<'a, const N: usize>(event: &'static str, text: &'a str) -> Result<[&'a str; N]> {
     let mut values = [""; N];
     let mut got = 0;
@@ -46,7 +46,7 @@
     text.parse().map_err(|_| WireError::invalid_value(field, "a whole number", text))
 }
 
-/// Parses a mark that is set (`1`) or not (`0`).
+/// Parses a flag, which is `1` if set and `0` otherwise.
 pub(super) fn parse_flag(field: &str, text: &str) -> Result<bool> {
     match text {
         "1" => Ok(true),
@@ -57,8 +57,8 @@
 
 /// Parses the id of a request.
 pub(super) fn parse_request_id(text: &str) -> Result<RequestId> {
-    let id =
-        parse_hex_id(text).ok_or_else(|| WireError::invalid_value("the request", "16 hex digits", text))?;
+    let id = parse_hex_id(text)
+        .ok_or_else(|| WireError::invalid_value("the request id", "16 hex digits", text))?;
     Ok(RequestId(id))
 }
 
@@ -67,8 +67,8 @@
     if text == ABSENT {
         return Ok(None);
     }
-    let key =
-        parse_hex_id(text).ok_or_else(|| WireError::invalid_value("the key", "16 hex digits or -", text))?;
+    let key = parse_hex_id(text)
+        .ok_or_else(|| WireError::invalid_value("the ordering key", "16 hex digits or -", text))?;
     Ok(Some(key))
 }
 
--- a/crates/simulator-adapter/tests/settings_syntaxes/main.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes/main.rs
@@ -1,5 +1,5 @@
-//! The two syntaxes of settings: equal settings have equal translations, and the differences that are listed
-//! in the module `wire::settings` hold.
+//! The two syntaxes of settings, pairs and JSON. Equal settings have equal translations, except for the
+//! differences that the module `wire::settings` lists.
 
 mod samples;
 mod translations;
@@ -7,12 +7,10 @@
 use balancer::{Tier, ZoneId};
 use balancer_settings::RawSettings;
 use balancer_settings::keys::settings_keys;
-use samples::{KeySample, samples, with_class, with_entry};
+use samples::{KeySample, samples, settings_with_class, settings_with_entry};
 use serde_json::{Value, json};
 use simulator_adapter::wire::{self, Line, ZoneIds};
-use translations::{
-    KEYS_OF_THE_PROXY, from_json, from_pairs, json_error, pairs_error, pairs_of, try_from_pairs,
-};
+use translations::{PROXY_KEYS, from_json, from_pairs, json_error, pairs_error, to_pairs, try_from_pairs};
 
 #[test]
 fn each_key_has_the_same_effect_in_both_syntaxes() {
@@ -21,16 +19,16 @@
     for KeySample { key, settings } in samples() {
         let translated = from_json(&settings);
 
-        assert_eq!(from_pairs(&pairs_of("", &settings)), translated, "{key}");
-        assert_ne!(translated, without_keys, "{key} has no effect in this sample");
+        assert_eq!(from_pairs(&to_pairs("", &settings)), translated, "{key}");
+        assert_ne!(translated, without_keys, "the sample of {key} does not change the settings");
     }
 }
 
 #[test]
-fn the_samples_have_every_key_of_the_decision_module() {
+fn samples_contain_every_key_of_the_decision_module() {
     let mut expected = settings_keys();
-    // The zone has a test of its own, as its number depends on the syntax.
-    expected.retain(|key| !KEYS_OF_THE_PROXY.contains(&key.as_str()) && key != "zone");
+    // The zone has a separate test, as its number depends on the syntax.
+    expected.retain(|key| !PROXY_KEYS.contains(&key.as_str()) && key != "zone");
     expected.sort();
 
     let mut sampled: Vec<_> = samples().iter().map(|sample| sample.key).collect();
@@ -54,7 +52,8 @@
         "costs": {"connection": 0.0, "cross-zone": 0.01, "handshake": 0.02},
         "me": 0, "n-instances": 2, "over-share-worth": 0.1, "quantum": 0.005, "registry-mode": "automatic",
         "projects": [{"name": "acme", "quota-per-s": 50.0}],
-        "rules": {"ask-within": 10.0, "cold": 8.8, "cold-share": 0.31, "fall-multiple": 3.0, "tip-after": 2.0},
+        "rules": {"ask-within": 10.0, "cold": 8.8, "cold-share": 0.31, "fall-multiple": 3.0,
+                  "tip-after": 2.0},
         "stats": {"how": "inline"}, "tier": 0
     });
     let pairs = "caps.cancel=true caps.max-attempts=6 caps.max-retry-after=2.0 caps.probing=true \
@@ -65,8 +64,9 @@
         classes.1.on-time=2.5 classes.1.window=10.0 classes.1.worth=8.0 classes.1.fifo-by-key=true \
         classes.2.effect=single_shot classes.2.name=lodge costs.connection=0.0 costs.cross-zone=0.01 \
         costs.handshake=0.02 me=0 n-instances=2 over-share-worth=0.1 projects.count=1 projects.0.name=acme \
-        projects.0.quota-per-s=50.0 quantum=0.005 registry-mode=automatic rules.ask-within=10.0 rules.cold=8.8 \
-        rules.cold-share=0.31 rules.fall-multiple=3.0 rules.tip-after=2.0 stats.how=inline tier=0";
+        projects.0.quota-per-s=50.0 quantum=0.005 registry-mode=automatic rules.ask-within=10.0 \
+        rules.cold=8.8 rules.cold-share=0.31 rules.fall-multiple=3.0 rules.tip-after=2.0 \
+        stats.how=inline tier=0";
 
     assert_eq!(from_pairs(pairs), from_json(&settings));
 }
@@ -84,7 +84,7 @@
                                       {"name": "b", "effect": "guarded", "group": "unheard-of"}],
                           "new": 1, "caps": {"new": true}, "stats": {"how": "unheard-of"}});
 
-    assert_eq!(from_pairs(&pairs_of("", &settings)), from_json(&settings));
+    assert_eq!(from_pairs(&to_pairs("", &settings)), from_json(&settings));
 }
 
 #[test]
@@ -106,7 +106,7 @@
 
     assert_eq!(from_json(&negative).over_quota_weight, -1.0);
     assert_eq!(
-        pairs_error(&format!("classes.count=0 {}", pairs_of("", &negative))),
+        pairs_error(&format!("classes.count=0 {}", to_pairs("", &negative))),
         "expected a number not below 0 for over-share-worth, got '-1.0'"
     );
 }
@@ -116,14 +116,20 @@
     let pairs = "classes.count=1 classes.0.name=a classes.0.effect=free classes.0.window=soon \
         caps.max-retry-after=soon caps.probing=perhaps";
 
-    assert_eq!(from_pairs(pairs), from_json(&with_unnamed_effects()));
-    assert!(json_error(with_class(json!({"effect": "free", "window": "soon"}))).contains("expected f64"));
-    assert!(json_error(with_entry("caps", json!({"max-retry-after": "soon"}))).contains("expected f64"));
-    assert!(json_error(with_entry("caps", json!({"probing": "perhaps"}))).contains("expected a boolean"));
+    assert_eq!(from_pairs(pairs), from_json(&settings_with_safe_class()));
+    assert!(
+        json_error(settings_with_class(json!({"effect": "free", "window": "soon"}))).contains("expected f64")
+    );
+    assert!(
+        json_error(settings_with_entry("caps", json!({"max-retry-after": "soon"}))).contains("expected f64")
+    );
+    assert!(
+        json_error(settings_with_entry("caps", json!({"probing": "perhaps"}))).contains("expected a boolean")
+    );
 }
 
-/// One safe class without any other key.
-fn with_unnamed_effects() -> Value {
+/// Returns settings with one class of safe requests and no other key.
+fn settings_with_safe_class() -> Value {
     json!({"classes": [{"name": "a", "effect": "free"}]})
 }
 
@@ -157,20 +163,22 @@
         try_from_pairs(&pairs, &mut zones).unwrap().zone
     };
 
-    // By first use in the process, not by position in `zones`.
+    // Zones are numbered by their first use in the process, not by their positions in `zones`.
     assert_eq!(zone_id("east"), ZoneId(0));
     assert_eq!(zone_id("north"), ZoneId(1));
     assert_eq!(zone_id("east"), ZoneId(0));
-    let zone_of_the_caller = ZoneId(4);
+    let caller_zone = ZoneId(4);
     let raw: RawSettings = serde_json::from_value(json!({"classes": [], "zone": "east"})).unwrap();
-    assert_eq!(raw.into_settings(zone_of_the_caller).unwrap().zone, zone_of_the_caller);
+    assert_eq!(raw.into_settings(caller_zone).unwrap().zone, caller_zone);
 }
 
 #[test]
 fn names_of_load_report_values_are_read_from_pairs_only() {
     let mut zones = ZoneIds::default();
-    let hello = "HELLO 7 classes.count=0 stats.how=inline stats.fields=cpu,avg_ms";
-    let Ok(Line::StartInstance(start)) = wire::parse_line(hello, &mut zones, None) else { panic!("{hello}") };
+    let hello_line = "HELLO 7 classes.count=0 stats.how=inline stats.fields=cpu,avg_ms";
+    let Ok(Line::StartInstance(start)) = wire::parse_line(hello_line, &mut zones, None) else {
+        panic!("{hello_line}")
+    };
 
     let line = wire::parse_line("HEALTH 0.1 51 S 0.5,20", &mut zones, Some(&start.names)).unwrap();
 
@@ -183,7 +191,7 @@
 
 #[test]
 fn keys_of_the_proxy_are_skipped_in_pairs() {
-    for key in KEYS_OF_THE_PROXY {
+    for key in PROXY_KEYS {
         let pairs = format!("classes.count=0 {key}=soon");
 
         assert_eq!(from_pairs(&pairs), from_json(&json!({"classes": []})), "{key}");
--- a/crates/simulator-adapter/tests/settings_syntaxes/samples.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes/samples.rs
@@ -2,22 +2,22 @@
 
 use serde_json::{Value, json};
 
-/// A key, and settings that have a value other than the default for this key.
+/// A key, and settings in which this key has a value other than the default.
 pub struct KeySample {
     pub key: &'static str,
     pub settings: Value,
 }
 
-/// Settings of one class with these entries.
-pub fn with_class(entries: Value) -> Value {
+/// Returns settings of one class with these entries.
+pub fn settings_with_class(entries: Value) -> Value {
     let mut class = entries;
     class["name"] = json!("save");
     json!({"classes": [class]})
 }
 
-/// Settings of one class and this entry.
-pub fn with_entry(key: &str, value: Value) -> Value {
-    let mut settings = with_class(json!({}));
+/// Returns settings of one class, with this entry beside the classes.
+pub fn settings_with_entry(key: &str, value: Value) -> Value {
+    let mut settings = settings_with_class(json!({}));
     settings[key] = value;
     settings
 }
@@ -25,25 +25,31 @@
 fn samples_of_classes_and_tenants() -> Vec<KeySample> {
     let sample = |key, settings| KeySample { key, settings };
     vec![
-        sample("classes[].name", with_class(json!({}))),
-        sample("classes[].on-time", with_class(json!({"on-time": 0.25, "hard-limit": 3.0}))),
-        sample("classes[].hard-limit", with_class(json!({"hard-limit": 3.5}))),
-        sample("classes[].late-worth", with_class(json!({"late-worth": 0.5}))),
-        sample("classes[].worth", with_class(json!({"worth": 8.0}))),
-        sample("classes[].effect", with_class(json!({"effect": "free"}))),
-        sample("classes[].group", with_class(json!({"effect": "guarded", "group": "zone"}))),
-        sample("classes[].window", with_class(json!({"effect": "guarded", "window": 9.5}))),
-        sample("classes[].fifo-by-key", with_class(json!({"fifo-by-key": true}))),
-        sample("projects[].name", with_entry("projects", json!([{"name": "acme"}, {"name": "umbra"}]))),
-        sample("projects[].quota-per-s", with_entry("projects", json!([{"name": "a", "quota-per-s": 4.5}]))),
+        sample("classes[].name", settings_with_class(json!({}))),
+        sample("classes[].on-time", settings_with_class(json!({"on-time": 0.25, "hard-limit": 3.0}))),
+        sample("classes[].hard-limit", settings_with_class(json!({"hard-limit": 3.5}))),
+        sample("classes[].late-worth", settings_with_class(json!({"late-worth": 0.5}))),
+        sample("classes[].worth", settings_with_class(json!({"worth": 8.0}))),
+        sample("classes[].effect", settings_with_class(json!({"effect": "free"}))),
+        sample("classes[].group", settings_with_class(json!({"effect": "guarded", "group": "zone"}))),
+        sample("classes[].window", settings_with_class(json!({"effect": "guarded", "window": 9.5}))),
+        sample("classes[].fifo-by-key", settings_with_class(json!({"fifo-by-key": true}))),
+        sample(
+            "projects[].name",
+            settings_with_entry("projects", json!([{"name": "acme"}, {"name": "umbra"}])),
+        ),
+        sample(
+            "projects[].quota-per-s",
+            settings_with_entry("projects", json!([{"name": "a", "quota-per-s": 4.5}])),
+        ),
     ]
 }
 
-fn samples_of_groups() -> Vec<KeySample> {
-    let caps = |key, caps: Value| KeySample { key, settings: with_entry("caps", caps) };
-    let costs = |key, costs: Value| KeySample { key, settings: with_entry("costs", costs) };
-    let rules = |key, rules: Value| KeySample { key, settings: with_entry("rules", rules) };
-    let mut probing = with_entry("caps", json!({"probing": true}));
+fn samples_of_nested_keys() -> Vec<KeySample> {
+    let caps = |key, caps: Value| KeySample { key, settings: settings_with_entry("caps", caps) };
+    let costs = |key, costs: Value| KeySample { key, settings: settings_with_entry("costs", costs) };
+    let rules = |key, rules: Value| KeySample { key, settings: settings_with_entry("rules", rules) };
+    let mut probing = settings_with_entry("caps", json!({"probing": true}));
     probing["stats"] = json!({"how": "on_probe"});
     vec![
         caps("caps.cancel", json!({"cancel": true})),
@@ -66,8 +72,8 @@
     ]
 }
 
-fn samples_of_the_balancer() -> Vec<KeySample> {
-    let entry = |key, value| KeySample { key, settings: with_entry(key, value) };
+fn samples_of_top_level_keys() -> Vec<KeySample> {
+    let entry = |key, value| KeySample { key, settings: settings_with_entry(key, value) };
     vec![
         entry("me", json!(2)),
         entry("n-instances", json!(5)),
@@ -78,8 +84,9 @@
     ]
 }
 
+/// Returns a sample for each key of the decision module except the zone.
 pub fn samples() -> Vec<KeySample> {
-    [samples_of_classes_and_tenants(), samples_of_groups(), samples_of_the_balancer()]
+    [samples_of_classes_and_tenants(), samples_of_nested_keys(), samples_of_top_level_keys()]
         .into_iter()
         .flatten()
         .collect()
