--- a/crates/balancer/tests/decisions/main.rs
+++ b/crates/balancer/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! The decision module through its public interface: events and times in, actions out.
+//! Tests of the decision module through its public interface: timestamped events go in, actions come out.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/balancer/tests/replay/simulation.rs
+++ b/crates/balancer/tests/replay/simulation.rs
@@ -130,11 +130,11 @@
                 self.send_list();
             }
             SimulationEvent::PollEnds => self.handle(Event::Endpoints(EndpointUpdate::Failed)),
-            SimulationEvent::Change(index) => self.change(&self.scenario.changes[index].change),
+            SimulationEvent::Change(index) => self.apply_change(&self.scenario.changes[index].change),
         }
     }
 
-    fn change(&mut self, change: &Change) {
+    fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Rate(rate) => self.rate = *rate,
             Change::Behaviour(backend, behaviour) => self.backends.set_behaviour(*backend, *behaviour),
