--- a/crates/balancer/tests/decisions/overload_level.rs
+++ b/crates/balancer/tests/decisions/overload_level.rs
@@ -198,7 +198,8 @@
     assert!(retried >= 8, "{retried} of 10 retried");
 }
 
-/// Creates a balancer of the entry tier with this number of backends, after requests with short response times.
+/// Creates a balancer of the entry tier with this number of backends. The balancer has served requests with
+/// short response times.
 fn harness_after_short_responses(backends: u32) -> BalancerHarness {
     let mut harness = BalancerHarness::new(entry_settings(1), &endpoints(backends));
     for id in 0..200 {
