--- a/crates/balancer-proxy/tests/listener_handover.rs
+++ b/crates/balancer-proxy/tests/listener_handover.rs
@@ -1,15 +1,12 @@
 //! Handover of the listener from a running process to its successor.
 //!
-//! What happened: rarely, a connection that a client opened during a takeover was reset. The listed test
-//! `a_second_process_takes_over_without_a_failed_request` failed with "Connection reset by peer".
+//! These tests guard against resets of connections that clients open during a takeover. Two listeners with
+//! SO_REUSEPORT have a queue each. The system assigns connections to the queue of the old process until its
+//! listener is closed, and then resets the connections in that queue: those that arrived after the last
+//! accept, and unfinished handshakes. On a busy machine, 120 connections were reset in 19,164 takeovers, none
+//! of them accepted; with a pause of 20 ms between the last accept and the close, each takeover reset one.
 //!
-//! Why: two listeners with SO_REUSEPORT have a queue each. The system goes on assigning connections to the queue of
-//! the old process until its listener is closed, and resets what is in it then: what has arrived since the last
-//! accept, and handshakes under way.
-//!
-//! What showed it: 120 resets in 19,164 takeovers on a busy machine, none of an accepted connection; always one
-//! with a pause of 20 ms between the last accept and the close. The first test below holds that window open for as
-//! long as it likes: the old process is stopped, its queue fills, and it is killed.
+//! The first test keeps the old process stopped while its queue fills, and then kills the process.
 
 mod common;
 
@@ -21,11 +18,11 @@
 use std::io::Write;
 use std::os::unix::net::UnixStream;
 
-/// The line that a process logs when it has got the listener of its predecessor.
-const TAKEN_OVER: &str = "balancer-proxy: the running process has handed its listener over";
+/// The line that a process logs when it has received the listener of its predecessor.
+const HANDOVER_LOG_LINE: &str = "balancer-proxy: the running process has handed its listener over";
 
 #[test]
-fn the_successor_serves_what_waits_when_the_old_process_is_killed() {
+fn the_successor_serves_queued_connections_when_the_old_process_is_killed() {
     let service = Service::new();
     let mut old = service.start();
     let next = service.start();
@@ -43,7 +40,7 @@
 }
 
 #[test]
-fn the_successor_accepts_what_arrives_while_the_old_process_is_stopped() {
+fn the_successor_accepts_connections_while_the_old_process_is_stopped() {
     let service = Service::new();
     let old = service.start();
     let next = service.start();
@@ -55,7 +52,7 @@
 }
 
 #[test]
-fn the_old_process_serves_alone_again_when_its_successor_is_killed() {
+fn the_old_process_serves_queued_connections_when_its_successor_is_killed() {
     let service = Service::new();
     let old = service.start();
     let mut next = service.start();
@@ -74,11 +71,11 @@
 }
 
 #[test]
-fn a_successor_that_ends_half_way_leaves_the_offer_as_it_was() {
+fn a_successor_that_ends_before_it_reads_the_descriptor_leaves_the_offer_usable() {
     let service = Service::new();
     let old = service.start();
 
-    // It ends before it has read the descriptor.
+    // Each connection ends before the descriptor has been read from it.
     for _ in 0..20 {
         drop(UnixStream::connect(service.first_offer()).unwrap());
     }
@@ -90,7 +87,7 @@
 }
 
 #[test]
-fn two_successors_at_once_accept_from_the_same_queue() {
+fn two_successors_started_at_once_accept_from_the_same_queue() {
     let service = Service::new();
     let mut old = service.start();
     let (mut second, third) = std::thread::scope(|scope| {
@@ -114,7 +111,7 @@
 }
 
 #[test]
-fn takes_over_three_times_in_a_row() {
+fn three_successive_takeovers_succeed() {
     let service = Service::new();
     let mut running = service.start();
     for _ in 0..3 {
@@ -130,7 +127,7 @@
 }
 
 #[test]
-fn binds_a_listener_beside_an_older_version_that_offers_none() {
+fn binds_a_listener_beside_an_older_version_that_offers_no_listener() {
     let service = Service::new();
     let mut old = service.start();
     std::fs::remove_file(service.first_offer()).unwrap();
@@ -166,13 +163,14 @@
 }
 
 #[test]
-fn tells_that_the_listener_was_handed_over() {
+fn only_the_successor_logs_the_handover_of_the_listener() {
     let service = Service::new();
     let old = service.start();
 
     let next = service.start();
 
-    let said = |process: &ProxyProcess| process.starting_log.iter().any(|line| line == TAKEN_OVER);
-    assert!(!said(&old) && said(&next));
+    let logged_handover =
+        |process: &ProxyProcess| process.starting_log.iter().any(|line| line == HANDOVER_LOG_LINE);
+    assert!(!logged_handover(&old) && logged_handover(&next));
     assert_eq!(exchange(&mut connect(next.address), &request("look", 9000)).status(), 200);
 }
--- a/crates/balancer-proxy/tests/listener_offer.rs
+++ b/crates/balancer-proxy/tests/listener_offer.rs
@@ -1,4 +1,5 @@
-//! The Unix socket on which a process offers its listener: who may use it, and what happens without it.
+//! The Unix socket on which a process offers its listener: which users may connect to the socket, and how
+//! processes start without it.
 
 mod common;
 
@@ -17,10 +18,11 @@
 use std::path::Path;
 use std::process::Command;
 
-/// A user that the tests do not run as.
-const OTHER_USER: u32 = 65_534;
-/// The Unix socket to which a test program connects as another user, instead of running its tests.
-const CONNECT_TO: &str = "TEST_CONNECT_AS_OTHER_USER_TO";
+/// The ID of a user other than the one that runs the tests.
+const OTHER_USER_ID: u32 = 65_534;
+/// The environment variable with the path of the Unix socket to which a child process connects as another
+/// user.
+const SOCKET_PATH_VARIABLE: &str = "TEST_CONNECT_AS_OTHER_USER_TO";
 
 #[test]
 fn replaces_the_socket_of_a_process_that_was_killed() {
@@ -28,7 +30,7 @@
     let mut killed = service.start();
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
-    assert!(service.first_offer().exists(), "the socket of the killed process");
+    assert!(service.first_offer().exists(), "the socket of the killed process has been removed");
 
     let restarted = service.start();
 
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn removes_the_socket_at_the_end() {
+fn removes_the_socket_when_the_process_exits() {
     let service = Service::new();
     let mut process = service.start();
     assert!(service.first_offer().exists());
@@ -51,11 +53,11 @@
 }
 
 #[test]
-fn binds_a_listener_when_the_offer_hands_over_nothing() {
+fn binds_a_listener_when_the_offer_sends_no_descriptor() {
     let service = Service::new();
     let old = service.start();
     std::fs::remove_file(service.first_offer()).unwrap();
-    // It accepts no connection, and the successor waits for the descriptor in vain.
+    // No process accepts connections on this socket, so the successor receives no descriptor.
     let _hanging = UnixListener::bind(service.first_offer()).unwrap();
 
     let next = service.start();
@@ -66,7 +68,7 @@
 }
 
 #[test]
-fn starts_and_takes_over_where_the_path_is_too_long_for_a_socket() {
+fn starts_and_takes_over_when_the_path_is_too_long_for_a_socket() {
     let service = Service::at(SharedAddress::in_folder_with_long_name());
     let mut old = service.start();
     assert!(!service.first_offer().exists());
@@ -81,13 +83,17 @@
 }
 
 #[test]
-fn a_process_without_management_address_offers_nothing_and_keeps_its_address_to_itself() {
+fn a_process_without_a_management_address_offers_no_listener_and_shares_no_address() {
     let service = Service::new();
     let old = service.address.start_without_management(&service.configuration);
 
     let mut second = service.address.spawn(&service.configuration, silent_discovery().address);
 
-    assert_eq!(exit_code(&mut second), Some(1), "the address is in use");
+    assert_eq!(
+        exit_code(&mut second),
+        Some(1),
+        "the second process did not fail although the address is in use"
+    );
     assert!(!service.first_offer().exists());
     assert_eq!(old.exchange(&request("look", 9000)).status(), 200);
 }
@@ -102,10 +108,12 @@
     assert_eq!(mode & 0o777, 0o600);
 }
 
-/// Does the work of a test program that is run as another user: connects and reads what comes.
+/// Runs in the child process of `a_process_of_another_user_gets_no_listener_even_if_it_can_connect`: connects
+/// to the socket and checks that no descriptor arrives. Without the environment variable, the test checks
+/// nothing.
 #[test]
-fn connects_as_another_user() {
-    let Some(path) = std::env::var_os(CONNECT_TO) else { return };
+fn a_child_process_of_another_user_receives_no_descriptor() {
+    let Some(path) = std::env::var_os(SOCKET_PATH_VARIABLE) else { return };
 
     let stream = UnixStream::connect(path).unwrap();
 
@@ -114,13 +122,17 @@
     let mut message = [0];
     let mut buffers = [IoSliceMut::new(&mut message)];
     let received = recvmsg(&stream, &mut buffers, &mut ancillary, RecvFlags::empty());
-    assert_eq!(received.map_or(0, |received| received.bytes), 0, "no message, and so no descriptor");
+    assert_eq!(
+        received.map_or(0, |received| received.bytes),
+        0,
+        "the socket sent a message, which may carry a descriptor"
+    );
     assert_eq!(ancillary.drain().count(), 0);
 }
 
-/// Makes a file available under another name. A copy of a program could not be run while another test starts a
-/// process, which then has a descriptor for writing it.
-fn link(file: &Path, name: &Path) {
+/// Creates a hard link to a file or, where that fails, a symbolic link. A copy of a program would not do: the
+/// copy cannot be executed while a process that another test is starting holds a descriptor for writing it.
+fn link_file(file: &Path, name: &Path) {
     std::fs::hard_link(file, name).or_else(|_| symlink(file, name)).unwrap();
 }
 
@@ -132,18 +144,18 @@
     let service = Service::new();
     let process = service.start();
     std::fs::set_permissions(service.first_offer(), PermissionsExt::from_mode(0o666)).unwrap();
-    // Folders on the way may be closed to the other user.
+    // The other user may have no access to the parent folders of the program and of the socket.
     let open_folder = tempfile::tempdir_in("/tmp").unwrap();
     std::fs::set_permissions(open_folder.path(), PermissionsExt::from_mode(0o755)).unwrap();
     let program = open_folder.path().join("test");
-    link(&std::env::current_exe().unwrap(), &program);
+    link_file(&std::env::current_exe().unwrap(), &program);
     let socket = open_folder.path().join("socket");
-    link(&service.first_offer(), &socket);
+    link_file(&service.first_offer(), &socket);
 
     let status = Command::new(&program)
-        .args(["--exact", "connects_as_another_user"])
-        .env(CONNECT_TO, &socket)
-        .uid(OTHER_USER)
+        .args(["--exact", "a_child_process_of_another_user_receives_no_descriptor"])
+        .env(SOCKET_PATH_VARIABLE, &socket)
+        .uid(OTHER_USER_ID)
         .status()
         .unwrap();
 
--- a/crates/balancer-proxy/tests/maintenance.rs
+++ b/crates/balancer-proxy/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance of backends by management calls.
+//! Maintenance of backends, started and ended by management calls.
 
 mod common;
 
@@ -35,7 +35,9 @@
         assert!(proxy.management_call("maint-off s-0\n").starts_with("OK"));
     }
     assert_eq!(proxy.stats()["ejected"], json!(0));
-    wait_for("use", || proxy.exchange(&request("look", 9000)).body == b"zero");
+    wait_for("request at the backend after its maintenance", || {
+        proxy.exchange(&request("look", 9000)).body == b"zero"
+    });
 }
 
 #[test]
@@ -50,14 +52,14 @@
     let cached_list = serving_list(&[&backends[0], &backends[1]]);
     let configuration = configuration_with_management(&default_settings(), &cached_list);
     let proxy = ProxyProcess::with_configuration(&configuration, discovery.address);
-    wait_for("list", || proxy.stats()["discovered"] == json!(1));
+    wait_for("endpoint list from discovery", || proxy.stats()["discovered"] == json!(1));
 
     assert!(proxy.management_call("maint-on s-0\n").starts_with("OK"));
     assert!(proxy.management_call("maint-off s-0\n").starts_with("OK"));
 }
 
 #[test]
-fn does_not_send_a_request_placed_before_maintenance_after_the_grace_period() {
+fn does_not_send_a_request_assigned_before_maintenance_after_the_grace_period() {
     let backend = LateServer::with_full_backlog();
     let mut settings = default_settings();
     settings["caps"]["connect-timeout"] = json!(20.0);
--- a/crates/balancer-proxy/tests/maintenance_record_format.rs
+++ b/crates/balancer-proxy/tests/maintenance_record_format.rs
@@ -1,5 +1,5 @@
-//! The maintenance record that two versions of the program share during an upgrade: name, content and
-//! lock, in both directions.
+//! The name, content and lock of the maintenance record, which two versions of the program share during an
+//! upgrade. The tests cover records and locks of the old version and those of this version.
 //!
 //! All names and contents here are literals, as the version at commit 36aad31 wrote and read them. They
 //! must not be derived from the constants of the program.
@@ -17,18 +17,18 @@
 use std::fs::File;
 use std::time::{Duration, Instant};
 
-/// A record as the old version wrote it: `s-0` and `s-9` in maintenance, `s-9` no longer listed.
-const OLD_RECORD: &str = r#"{"listed":["s-0","s-1","s-9"],"out":["s-0","s-9"]}"#;
+/// A record as the old version writes it: `s-0` and `s-9` are in maintenance, and `s-9` is no longer listed.
+const OLD_VERSION_RECORD: &str = r#"{"listed":["s-0","s-1","s-9"],"out":["s-0","s-9"]}"#;
 
-/// The management answers that the old version gives to a backend that it knows.
-fn assert_in_service_again(proxy: &ProxyProcess, backend: &str) {
+/// Ends the maintenance of a listed backend and checks that the answer is that of the old version.
+fn end_maintenance(proxy: &ProxyProcess, backend: &str) {
     assert_eq!(proxy.management_call(&format!("maint-off {backend}\n")), format!("OK {backend} is back\n"));
 }
 
 #[test]
 fn a_maintenance_record_of_the_old_version_is_in_force_from_the_start() {
     let shared_address = SharedAddress::new();
-    std::fs::write(shared_address.state_file("book"), OLD_RECORD).unwrap();
+    std::fs::write(shared_address.state_file("book"), OLD_VERSION_RECORD).unwrap();
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let config = default_configuration(&backends.each_ref());
 
@@ -38,14 +38,14 @@
     for _ in 0..10 {
         assert_eq!(proxy.exchange(&request("look", 9000)).body, b"one");
     }
-    assert_in_service_again(&proxy, "s-9");
-    assert_in_service_again(&proxy, "s-0");
+    end_maintenance(&proxy, "s-9");
+    end_maintenance(&proxy, "s-0");
     assert_eq!(proxy.stats()["ejected"], json!(0));
     assert_eq!(proxy.management_call("maint-on s-2\n"), "ERR never listed: s-2\n");
 }
 
 #[test]
-fn a_maintenance_record_that_the_old_version_replaces_is_in_force_soon() {
+fn a_maintenance_record_replaced_by_the_old_version_comes_into_force() {
     let shared_address = SharedAddress::new();
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let config = default_configuration(&backends.each_ref());
@@ -54,7 +54,7 @@
 
     // The old version writes a file of its own and renames it.
     let staging = shared_address.state_file("book.new-1");
-    std::fs::write(&staging, OLD_RECORD).unwrap();
+    std::fs::write(&staging, OLD_VERSION_RECORD).unwrap();
     std::fs::rename(&staging, shared_address.state_file("book")).unwrap();
 
     wait_for("maintenance", || proxy.stats()["ejected"] == json!(1));
@@ -75,13 +75,13 @@
     assert_eq!(record(), r#"{"listed":["s-0","s-1"],"out":["s-1"]}"#);
     assert_eq!(proxy.management_call("maint-on s-0\n"), "OK s-0 is out\n");
     assert_eq!(record(), r#"{"listed":["s-0","s-1"],"out":["s-0","s-1"]}"#);
-    assert_in_service_again(&proxy, "s-1");
+    end_maintenance(&proxy, "s-1");
     assert_eq!(record(), r#"{"listed":["s-0","s-1"],"out":["s-0"]}"#);
     assert_eq!(std::fs::read_to_string(shared_address.state_file("book.lock")).unwrap(), "");
 }
 
 #[test]
-fn names_of_the_old_version_are_kept_in_the_maintenance_record() {
+fn keeps_backends_that_only_the_old_version_listed_in_the_maintenance_record() {
     let shared_address = SharedAddress::new();
     std::fs::write(shared_address.state_file("book"), r#"{"listed":["s-9"],"out":["s-9"]}"#).unwrap();
     let backends = ["zero", "one"].map(StubServer::responding_with);
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn a_change_waits_for_the_record_lock_of_the_old_version_but_not_for_ever() {
-    const LOCK_TIMEOUT: Duration = Duration::from_millis(300);
+fn a_management_call_waits_for_the_record_lock_of_the_old_version_until_a_timeout() {
+    const RECORD_LOCK_TIMEOUT: Duration = Duration::from_millis(300);
     let shared_address = SharedAddress::new();
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let config = default_configuration(&backends.each_ref());
@@ -125,16 +125,16 @@
     let start = Instant::now();
     assert_eq!(proxy.management_call("maint-on s-0\n"), "OK s-0 is out\n");
 
-    assert!(start.elapsed() >= LOCK_TIMEOUT, "{:?}", start.elapsed());
+    assert!(start.elapsed() >= RECORD_LOCK_TIMEOUT, "{:?}", start.elapsed());
     assert_eq!(record(), r#"{"listed":["s-0","s-1"],"out":["s-0"]}"#);
 }
 
 #[test]
 fn opening_a_maintenance_store_writes_nothing() {
     let folder = StateFolder::new("store");
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.book"), OLD_RECORD).unwrap();
+    std::fs::write(folder.file("dewpier-127.0.0.1:7070.book"), OLD_VERSION_RECORD).unwrap();
 
     let _store = MaintenanceStore::open(&folder.base());
 
-    assert_eq!(folder.contents(), contents([("dewpier-127.0.0.1:7070.book", OLD_RECORD)]));
+    assert_eq!(folder.contents(), contents([("dewpier-127.0.0.1:7070.book", OLD_VERSION_RECORD)]));
 }
--- a/crates/balancer-proxy/tests/malformed_clients.rs
+++ b/crates/balancer-proxy/tests/malformed_clients.rs
@@ -1,5 +1,5 @@
-//! Clients that send malformed, incomplete or no requests: such clients soon get an error or a close, reach
-//! no backend, and keep no other client out.
+//! Clients that send malformed requests, incomplete requests or none. The proxy soon responds with an error
+//! or closes the connection, forwards nothing to a backend and still serves other clients.
 
 mod common;
 
@@ -26,8 +26,8 @@
     ProxyProcess::with_socket_limit(&[backend], 64)
 }
 
-/// Sends a request on a new connection, again and again while it is closed or rejected for lack of
-/// capacity. Returns the connection on which the request is served.
+/// Sends a request on a new connection, and repeats that while the proxy closes the connection or rejects the
+/// request for lack of capacity. Returns the connection on which the request is served.
 fn connect_until_served(proxy: &ProxyProcess) -> BufReader<TcpStream> {
     let mut stream = proxy.connect();
     wait_for("response", || {
@@ -43,10 +43,10 @@
 }
 
 #[test]
-fn closes_connections_without_a_request_for_the_sake_of_others() {
+fn closes_connections_without_a_request_to_serve_other_clients() {
     let backend = StubServer::responding_with("hello");
     let proxy = proxy_with_few_sockets(&backend);
-    // The connections of either kind alone exceed the descriptors of the proxy.
+    // The idle connections alone exceed the descriptors of the proxy, and so do those without a request.
     let idle: Vec<_> = (0..70).map(|_| connect_until_served(&proxy)).collect();
     let without_request: Vec<_> = (0..70).map(|_| proxy.connect()).collect();
 
@@ -80,7 +80,7 @@
     let start = Instant::now();
     let parts = ["", "GET /api HT", complete.strip_suffix("dy").unwrap()];
     let mut streams = parts.map(|part| proxy.begin_request(part));
-    // The same holds after a request that has been served.
+    // The timeout also applies to a request that follows a served one on the same connection.
     let mut after_another = proxy.connect();
     assert_eq!(exchange(&mut after_another, &request("look", 9000)).status(), 200);
     after_another.get_mut().write_all(b"GET /api HT").unwrap();
@@ -142,7 +142,7 @@
         request("save", 9000).replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 62914560\r\n\r\n");
     let mut stream = proxy.begin_request(&text);
 
-    // The response comes although no byte of the body has been sent, and then the connection ends.
+    // The proxy responds although no byte of the body has been sent, and then closes the connection.
     let reply = read_message(&mut stream).expect("a response");
 
     assert_eq!((reply.status(), reply.header("connection")), (413, Some("close")));
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn cuts_a_timeout_longer_than_any_class_allows() {
+fn shortens_a_client_timeout_longer_than_any_class_allows() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let text = request("look", 9000).replace("9000", "4294967295");
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn rejects_a_head_without_end() {
+fn rejects_an_endless_request_head() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut stream = proxy.connect();
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_request_with_the_id_of_an_open_one_neither_ends_it_nor_gets_its_response() {
+fn a_request_with_the_id_of_an_open_request_neither_ends_it_nor_gets_its_response() {
     let (backend, release) = StubServer::holding_first_response("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let text = request("order", 20_000);
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn accepts_a_repeated_request_whose_first_connection_is_seen_to_be_reset_only_afterwards() {
+fn accepts_a_repeated_request_that_arrives_before_the_reset_of_the_first_connection() {
     let (backend, _release) = StubServer::holding_first_response("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let text = request("order", 20_000);
@@ -260,7 +260,7 @@
     first.get_mut().write_all(text.as_bytes()).unwrap();
     wait_for("attempt", || backend.request_count() == 1);
 
-    // Both have arrived, in this order, when the process goes on.
+    // The second request and then the reset of the first connection arrive before the process continues.
     proxy.signal("-STOP");
     second.get_mut().write_all(text.as_bytes()).unwrap();
     SockRef::from(first.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
@@ -272,8 +272,8 @@
 }
 
 #[test]
-fn a_repeated_id_does_not_get_the_late_response_to_its_first_request() {
-    // The first response is late, and attempts are not cancelled here.
+fn a_request_with_a_repeated_id_does_not_get_the_late_response_to_the_first_request() {
+    // The first response arrives after the deadline, and the settings disable the cancellation of attempts.
     let backend = StubServer::new(move |earlier_requests, _| {
         std::thread::sleep(Duration::from_millis(1500));
         let body = if earlier_requests == 0 { "first" } else { "second" };
--- a/crates/balancer-proxy/tests/management.rs
+++ b/crates/balancer-proxy/tests/management.rs
@@ -1,4 +1,4 @@
-//! The management address: its calls, invalid calls and the metrics.
+//! The management address: valid and invalid calls, and the metrics that `stats` returns.
 
 mod common;
 
@@ -18,24 +18,24 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// The requests of a class that succeeded, were rejected and failed.
-fn results(stats: &Value, class: &str) -> Vec<u64> {
+/// Returns the numbers of requests of a class that succeeded, were rejected and failed.
+fn outcome_counts(stats: &Value, class: &str) -> Vec<u64> {
     ["succeeded", "declined", "aborted"].map(|end| stats["results"][class][end].as_u64().unwrap()).to_vec()
 }
 
-fn count(stats: &Value, name: &str) -> u64 {
+fn metric(stats: &Value, name: &str) -> u64 {
     stats[name].as_u64().unwrap()
 }
 
-/// Everything that arrives until the end of the connection.
+/// Returns everything that arrives until the end of the connection.
 fn read_to_end(stream: &mut BufReader<TcpStream>) -> String {
     let mut text = String::new();
-    let _ = stream.read_to_string(&mut text); // it may have been reset
+    let _ = stream.read_to_string(&mut text); // a reset also ends the connection
     text
 }
 
 #[test]
-fn listens_on_no_management_address_without_the_setting() {
+fn has_no_management_address_without_the_setting() {
     let backend = StubServer::responding_with("hello");
 
     let proxy = ProxyProcess::in_front_of(&[&backend]);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn responds_to_calls_and_to_anything_else_with_err() {
+fn responds_to_valid_calls_and_rejects_invalid_ones_with_err() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::with_management(&[&backend]);
     let mut invalid_utf8 = proxy.connect_management();
@@ -52,9 +52,9 @@
 
     assert!(proxy.management_call("status\n").starts_with("OK"));
     assert!(proxy.management_call("status\r\n").starts_with("OK"));
-    let long = "status ".repeat(200);
+    let too_long = "status ".repeat(200);
     let invalid_calls =
-        ["\n", "status now\n", "STATUS\n", "stat", "statistics\n", "stats\0\n", "\u{e9}\n", &long];
+        ["\n", "status now\n", "STATUS\n", "stat", "statistics\n", "stats\0\n", "\u{e9}\n", &too_long];
     for call in invalid_calls {
         assert!(proxy.management_call(call).starts_with("ERR"), "{call:?}");
     }
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn closes_connections_without_a_complete_call_which_delay_no_other() {
+fn closes_connections_without_a_complete_call_and_answers_others_meanwhile() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::with_management(&[&backend]);
     let start = Instant::now();
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn metrics_count_what_clients_and_backends_saw() {
-    // Responds, fails, then never responds.
+fn metrics_count_the_responses_to_clients_and_the_attempts_at_backends() {
+    // The backend responds to two requests, fails the third and never responds to the fourth.
     let (report_disconnect, disconnected) = channel();
     let backend = StubServer::new(move |earlier_requests, _| match earlier_requests {
         0 | 1 => Reply::Respond(response("200 OK", "hello")),
@@ -105,10 +105,10 @@
     let proxy = ProxyProcess::with_management(&[&backend]);
     let stats = proxy.stats();
     for class in ["look", "save", "order"] {
-        assert_eq!(results(&stats, class), [0, 0, 0]);
+        assert_eq!(outcome_counts(&stats, class), [0, 0, 0]);
     }
     let names = ["outstanding", "forwards", "discovered", "ejected"];
-    assert_eq!(names.map(|name| count(&stats, name)), [0, 0, 1, 0]);
+    assert_eq!(names.map(|name| metric(&stats, name)), [0, 0, 1, 0]);
 
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
     assert_eq!(proxy.exchange(&request("save", 9000)).status(), 200);
@@ -118,21 +118,21 @@
     assert_eq!(proxy.exchange(&invalid).status(), 400);
     let disconnecting = proxy.begin_request(&request("order", 9000));
     wait_for("attempt", || backend.request_count() == 4);
-    wait_for("count", || count(&proxy.stats(), "forwards") == 4);
-    assert_eq!(count(&proxy.stats(), "outstanding"), 1);
+    wait_for("fourth forwarded request in the metrics", || metric(&proxy.stats(), "forwards") == 4);
+    assert_eq!(metric(&proxy.stats(), "outstanding"), 1);
     drop(disconnecting);
     wait_for_disconnect(&disconnected);
-    wait_for("end", || count(&proxy.stats(), "outstanding") == 0);
+    wait_for("end of the request", || metric(&proxy.stats(), "outstanding") == 0);
 
-    // The client that disconnected got no response to count.
+    // The client that disconnected got no response, so its request has no result.
     let stats = proxy.stats();
-    assert_eq!(results(&stats, "look"), [1, 0, 0]);
-    assert_eq!(results(&stats, "save"), [1, 0, 0]);
-    assert_eq!(results(&stats, "order"), [0, 0, 1]);
+    assert_eq!(outcome_counts(&stats, "look"), [1, 0, 0]);
+    assert_eq!(outcome_counts(&stats, "save"), [1, 0, 0]);
+    assert_eq!(outcome_counts(&stats, "order"), [0, 0, 1]);
 }
 
 #[test]
-fn metrics_count_a_request_that_reached_no_backend_as_rejected() {
+fn metrics_count_a_request_that_reaches_no_backend_as_rejected() {
     let closed = ClosedAddress::new();
     let cached_list = endpoint_list(1, true, &[listed_endpoint("s-1", closed.address, "SERVING")]);
     let configuration = configuration_with_management(&default_settings(), &cached_list);
@@ -141,12 +141,12 @@
     assert_eq!(proxy.exchange(&request("order", 1000)).status(), 503);
 
     let stats = proxy.stats();
-    assert_eq!((results(&stats, "order"), count(&stats, "forwards")), (vec![0, 1, 0], 0));
+    assert_eq!((outcome_counts(&stats, "order"), metric(&stats, "forwards")), (vec![0, 1, 0], 0));
 }
 
 #[test]
-fn metrics_count_each_attempt_as_forwarded_and_their_request_once() {
-    // The first attempt fails, wherever it is sent; the next one gets a response.
+fn metrics_count_each_attempt_as_forwarded_and_the_request_once() {
+    // The first attempt fails at either backend; the next one gets a response.
     let attempts = Arc::new(AtomicUsize::new(0));
     let backends = [attempts.clone(), attempts].map(|attempts| {
         StubServer::new(move |_, _| match attempts.fetch_add(1, Ordering::SeqCst) {
@@ -161,5 +161,5 @@
     let stats = proxy.stats();
     assert_eq!(backends[0].request_count() + backends[1].request_count(), 2);
     assert_eq!(stats["forwards"].as_u64(), Some(2));
-    assert_eq!(results(&stats, "look"), [1, 0, 0]);
+    assert_eq!(outcome_counts(&stats, "look"), [1, 0, 0]);
 }
--- a/crates/balancer-proxy/tests/queued_client_disconnects.rs
+++ b/crates/balancer-proxy/tests/queued_client_disconnects.rs
@@ -1,6 +1,6 @@
-//! Clients that disconnect while their request is queued in the proxy: behind another request of the
-//! connection, of the ordering key or of the same id, or for capacity. The request is then never
-//! forwarded.
+//! Clients that disconnect while their request is queued in the proxy: behind another request with the same
+//! connection, ordering key or id, or until the proxy has capacity. The proxy must never forward such a
+//! request.
 
 mod common;
 
@@ -25,17 +25,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A proxy whose class `look` keeps the order of a key, with one request of that class in flight.
-struct OccupiedKey {
+/// A proxy whose class `look` sends the requests of an ordering key one after another, with one request of
+/// that class in flight.
+struct OccupiedOrderingKey {
     proxy: ProxyProcess,
-    /// Holds the response to the first request until the response is released.
+    /// The backend, which holds the response to the first request until the response is released.
     backend: StubServer,
     /// The connection whose client waits for the first response.
     first_client: BufReader<TcpStream>,
     first_response: HeldResponse,
 }
 
-/// The response that the backend holds.
+/// A response that the backend holds until the test releases it.
 struct HeldResponse {
     release: Sender<()>,
     written: Receiver<()>,
@@ -48,8 +49,9 @@
         self.written.recv_timeout(TEST_TIMEOUT).unwrap();
     }
 
-    /// Writes the response before or after the disconnect.
-    fn write_and<T>(self, response_first: bool, disconnect: impl FnOnce() -> T) -> T {
+    /// Calls `disconnect` and writes the response, the response first if `response_first` is set. Returns the
+    /// result of `disconnect`.
+    fn write_around_disconnect<T>(self, response_first: bool, disconnect: impl FnOnce() -> T) -> T {
         if response_first {
             self.write();
             return disconnect();
@@ -60,7 +62,7 @@
     }
 }
 
-/// Starts a backend that holds its first response, on any connection.
+/// Starts a backend that holds the first response that it writes to any of its connections.
 fn backend_with_held_response() -> (StubServer, HeldResponse) {
     let (release, released) = channel::<()>();
     let (report_write, written) = channel();
@@ -87,14 +89,14 @@
     (backend, HeldResponse { release, written })
 }
 
-impl OccupiedKey {
-    fn new(cancel: bool, max_sockets: u64) -> Self {
+impl OccupiedOrderingKey {
+    fn new(cancel: bool, socket_limit: u64) -> Self {
         let (backend, first_response) = backend_with_held_response();
         let mut settings = default_settings();
         settings["caps"]["cancel"] = json!(cancel);
         settings["classes"][0]["fifo-by-key"] = json!(true);
         let mut configuration = configuration_with_management(&settings, &serving_list(&[&backend]));
-        configuration["limits"]["sockets"] = json!(max_sockets);
+        configuration["limits"]["sockets"] = json!(socket_limit);
         let proxy = ProxyProcess::with_configuration(&configuration, silent_discovery().address);
         let first_client = proxy.begin_request(&request("look", 20_000));
         wait_for("attempt", || backend.request_count() == 1);
@@ -102,11 +104,11 @@
     }
 }
 
-/// The limit on sockets in tests that need no low limit.
-const AMPLE_SOCKETS: u64 = 1024;
+/// The socket limit in tests whose connections must not reach the limit.
+const AMPLE_SOCKET_LIMIT: u64 = 1024;
 
 #[test]
-fn does_not_forward_a_request_behind_one_that_the_proxy_responds_to_itself() {
+fn does_not_forward_a_request_pipelined_behind_a_readiness_request_after_a_disconnect() {
     for disconnect in Disconnect::ALL {
         let backend = StubServer::responding_with("hello");
         let proxy = proxy_with_cancellation(true, &serving_list(&[&backend]));
@@ -127,13 +129,14 @@
     for cancel in [true, false] {
         for disconnect in Disconnect::ALL {
             for response_first in [true, false] {
-                let OccupiedKey { proxy, backend, mut first_client, first_response } =
-                    OccupiedKey::new(cancel, AMPLE_SOCKETS);
+                let OccupiedOrderingKey { proxy, backend, mut first_client, first_response } =
+                    OccupiedOrderingKey::new(cancel, AMPLE_SOCKET_LIMIT);
 
                 let readable_stream = proxy.while_stopped(|| {
                     let text = disconnect.written_text(&request("order", 20_000));
                     first_client.get_mut().write_all(text.as_bytes()).unwrap();
-                    first_response.write_and(response_first, || disconnect.disconnect(first_client))
+                    first_response
+                        .write_around_disconnect(response_first, || disconnect.disconnect(first_client))
                 });
                 wait_until_input_is_handled(&proxy);
 
@@ -148,31 +151,36 @@
     }
 }
 
-fn disconnects_while_the_key_is_occupied(cancel: bool, disconnect: Disconnect, response_first: bool) {
-    let OccupiedKey { proxy, backend, mut first_client, first_response } =
-        OccupiedKey::new(cancel, AMPLE_SOCKETS);
+fn check_disconnect_while_the_ordering_key_is_occupied(
+    cancel: bool,
+    disconnect: Disconnect,
+    response_first: bool,
+) {
+    let OccupiedOrderingKey { proxy, backend, mut first_client, first_response } =
+        OccupiedOrderingKey::new(cancel, AMPLE_SOCKET_LIMIT);
     let second_client = proxy.begin_request(&disconnect.written_text(&request("look", 20_000)));
     wait_for("second request", || proxy.stats()["outstanding"] == 2);
 
-    let readable_stream = proxy
-        .while_stopped(|| first_response.write_and(response_first, || disconnect.disconnect(second_client)));
+    let readable_stream = proxy.while_stopped(|| {
+        first_response.write_around_disconnect(response_first, || disconnect.disconnect(second_client))
+    });
 
     assert_eq!(read_message(&mut first_client).expect("a response").status(), 200);
     wait_until_input_is_handled(&proxy);
     let case = format!("{disconnect:?}, cancel {cancel}, {response_first}");
     assert_eq!(received_of_class(&backend, "look"), 1, "{case}");
     assert_eq!(received_of_class(&backend, "order"), 0, "{case}");
-    // The key is free for the next request.
+    // The ordering key is available to the next request.
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
     drop(readable_stream);
 }
 
 #[test]
-fn does_not_forward_a_request_queued_for_its_key_whose_client_disconnected() {
+fn does_not_forward_a_request_queued_for_its_ordering_key_whose_client_disconnected() {
     for cancel in [true, false] {
         for disconnect in Disconnect::ALL {
             for response_first in [true, false] {
-                disconnects_while_the_key_is_occupied(cancel, disconnect, response_first);
+                check_disconnect_while_the_ordering_key_is_occupied(cancel, disconnect, response_first);
             }
         }
     }
@@ -182,8 +190,8 @@
 fn does_not_forward_a_request_queued_for_its_id_whose_client_disconnected() {
     for disconnect in Disconnect::ALL {
         for response_first in [true, false] {
-            let OccupiedKey { proxy, backend, mut first_client, first_response } =
-                OccupiedKey::new(true, AMPLE_SOCKETS);
+            let OccupiedOrderingKey { proxy, backend, mut first_client, first_response } =
+                OccupiedOrderingKey::new(true, AMPLE_SOCKET_LIMIT);
             let id_in_use = backend.requests.lock().unwrap()[0].header("x-txn").unwrap().to_string();
             let text = request("order", 20_000);
             let own_id = text.split_once("X-Txn: ").unwrap().1.split_once('\r').unwrap().0;
@@ -195,7 +203,8 @@
             });
 
             let readable_stream = proxy.while_stopped(|| {
-                first_response.write_and(response_first, || disconnect.disconnect(second_client))
+                first_response
+                    .write_around_disconnect(response_first, || disconnect.disconnect(second_client))
             });
 
             assert_eq!(read_message(&mut first_client).expect("a response").status(), 200);
@@ -208,7 +217,7 @@
 
 /// Opens connections with a request each until the proxy rejects a request for lack of capacity. Returns
 /// the connections that wait behind the first, and the rejected one.
-fn fill_client_connections(
+fn fill_connection_limit(
     proxy: &ProxyProcess,
     first_client: BufReader<TcpStream>,
 ) -> (Vec<BufReader<TcpStream>>, BufReader<TcpStream>) {
@@ -222,16 +231,17 @@
     (waiting, rejected)
 }
 
-fn disconnects_while_connections_are_at_their_limit(disconnect: Disconnect) {
-    let OccupiedKey { proxy, backend, first_client, first_response } = OccupiedKey::new(true, 64);
-    // The limit is reached by requests that wait behind the first, and by connections without a request.
-    let (mut waiting, rejected) = fill_client_connections(&proxy, first_client);
+fn check_disconnect_at_the_connection_limit(disconnect: Disconnect) {
+    let OccupiedOrderingKey { proxy, backend, first_client, first_response } =
+        OccupiedOrderingKey::new(true, 64);
+    // Requests that wait behind the first one and connections without a request use the whole limit.
+    let (mut waiting, rejected) = fill_connection_limit(&proxy, first_client);
     let without_request: Vec<_> = (0..waiting.len() / 7 + 2).map(|_| proxy.connect()).collect();
     let awaits_close = |port| sockets_to_port(port, CLOSE_WAIT) == 1;
 
     let (readable_stream, mut remaining_client) = proxy.while_stopped(|| {
-        // Two clients come, and one of them disconnects. Then capacity for both becomes free, as others
-        // have disconnected, and the connections without a request have been idle for long.
+        // Two clients connect, and one of them disconnects. Capacity for both becomes available afterwards:
+        // other clients disconnect, and the connections without a request exceed their idle time.
         let (mut stream, mut remaining_client) = (proxy.connect(), proxy.connect());
         let port = stream.get_ref().local_addr().unwrap().port();
         stream.get_mut().write_all(disconnect.written_text(&request("order", 20_000)).as_bytes()).unwrap();
@@ -255,7 +265,7 @@
 #[test]
 fn does_not_forward_a_request_whose_client_disconnected_before_its_connection_was_accepted() {
     for disconnect in Disconnect::ALL {
-        disconnects_while_connections_are_at_their_limit(disconnect);
+        check_disconnect_at_the_connection_limit(disconnect);
     }
 }
 
@@ -268,7 +278,7 @@
         let connecting = proxy.begin_request(&request("order", 20_000));
         wait_for("connection attempt", || backend.has_pending_connection());
 
-        // As the signal comes, another request is in the listener's backlog, and its client is gone.
+        // When SIGTERM arrives, the listener's backlog holds another request, whose client has disconnected.
         let readable_streams = proxy.while_stopped(|| {
             let in_backlog = proxy.begin_request(&request("order", 20_000));
             proxy.signal("-TERM");
--- a/crates/balancer-proxy/tests/race_conditions.rs
+++ b/crates/balancer-proxy/tests/race_conditions.rs
@@ -1,5 +1,6 @@
-//! Two events that end a request at the same moment, as both happen while the process is stopped. In
-//! either order of their handling, each request has one final response, one outcome and one count.
+//! Two events that can both end a request and that occur while the process is stopped by SIGSTOP, so that the
+//! process finds both when it continues. Whichever it handles first, the request has one final response, one
+//! outcome and one count.
 
 mod common;
 
@@ -16,11 +17,12 @@
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
 
-/// The deadline of a request that expires while the process is stopped for [`PAST_SHORT_DEADLINE`].
-const SHORT_DEADLINE_MS: u64 = 1000;
-const PAST_SHORT_DEADLINE: Duration = Duration::from_millis(1200);
+/// The deadline of a request that expires while the process is stopped for [`PAUSE_BEYOND_DEADLINE`].
+const EXPIRING_DEADLINE_MS: u64 = 1000;
+/// The time for which the process is stopped, longer than [`EXPIRING_DEADLINE_MS`].
+const PAUSE_BEYOND_DEADLINE: Duration = Duration::from_millis(1200);
 /// The deadline of a request that does not expire during a test.
-const LONG_DEADLINE_MS: u64 = 9000;
+const DISTANT_DEADLINE_MS: u64 = 9000;
 
 /// An unsafe request in flight at a backend that holds its responses.
 struct RequestInFlight {
@@ -49,7 +51,7 @@
         Self { proxy, client: Some(client), release_response, response_written }
     }
 
-    /// Lets the backend respond, and returns when the response has been written.
+    /// Lets the backend respond, and returns once the response has been written.
     fn respond(&mut self) {
         self.release_response.send(()).unwrap();
         self.response_written.recv_timeout(TEST_TIMEOUT).unwrap();
@@ -59,14 +61,14 @@
         self.client = None;
     }
 
-    /// Stops the process while these events happen, and checks that the request ended once.
-    fn check_single_end(mut self, events: impl FnOnce(&mut Self)) {
+    /// Stops the process while `events` runs, lets it continue and checks that the request ends once.
+    fn check_ends_once(mut self, events: impl FnOnce(&mut Self)) {
         self.proxy.signal("-STOP");
         events(&mut self);
         self.proxy.signal("-CONT");
         let Self { proxy, mut client, release_response, .. } = self;
         let status = client.as_mut().map(|stream| read_message(stream).expect("a response").status());
-        wait_for("end", || proxy.stats()["outstanding"] == 0);
+        wait_for("end of the request", || proxy.stats()["outstanding"] == 0);
 
         let results = proxy.stats()["results"]["order"].clone();
         let counts: Vec<_> =
@@ -78,8 +80,12 @@
             // A client that has disconnected is counted once or not at all.
             None => assert!(counts.iter().sum::<u64>() <= 1),
         }
-        assert_eq!(proxy.stats()["forwards"], json!(1), "an unsafe request has one attempt");
-        // No second response comes on the connection, and the proxy goes on.
+        assert_eq!(
+            proxy.stats()["forwards"],
+            json!(1),
+            "the unsafe request did not have exactly one attempt"
+        );
+        // No second response arrives on the connection, and the proxy still serves requests.
         drop(release_response);
         if let Some(mut stream) = client {
             assert_eq!(exchange(&mut stream, READINESS_REQUEST).status(), 200);
@@ -90,23 +96,23 @@
 
 #[test]
 fn a_request_ends_once_when_its_response_arrives_at_its_deadline() {
-    RequestInFlight::start(SHORT_DEADLINE_MS).check_single_end(|request| {
+    RequestInFlight::start(EXPIRING_DEADLINE_MS).check_ends_once(|request| {
         request.respond();
-        std::thread::sleep(PAST_SHORT_DEADLINE);
+        std::thread::sleep(PAUSE_BEYOND_DEADLINE);
     });
-    RequestInFlight::start(SHORT_DEADLINE_MS).check_single_end(|request| {
-        std::thread::sleep(PAST_SHORT_DEADLINE);
+    RequestInFlight::start(EXPIRING_DEADLINE_MS).check_ends_once(|request| {
+        std::thread::sleep(PAUSE_BEYOND_DEADLINE);
         request.respond();
     });
 }
 
 #[test]
 fn a_request_ends_once_when_its_response_arrives_as_the_client_disconnects() {
-    RequestInFlight::start(LONG_DEADLINE_MS).check_single_end(|request| {
+    RequestInFlight::start(DISTANT_DEADLINE_MS).check_ends_once(|request| {
         request.respond();
         request.disconnect_client();
     });
-    RequestInFlight::start(LONG_DEADLINE_MS).check_single_end(|request| {
+    RequestInFlight::start(DISTANT_DEADLINE_MS).check_ends_once(|request| {
         request.disconnect_client();
         request.respond();
     });
@@ -114,15 +120,15 @@
 
 #[test]
 fn a_request_ends_once_when_the_client_disconnects_at_its_deadline() {
-    RequestInFlight::start(SHORT_DEADLINE_MS).check_single_end(|request| {
+    RequestInFlight::start(EXPIRING_DEADLINE_MS).check_ends_once(|request| {
         request.disconnect_client();
-        std::thread::sleep(PAST_SHORT_DEADLINE);
+        std::thread::sleep(PAUSE_BEYOND_DEADLINE);
     });
 }
 
 #[test]
 fn does_not_send_a_retry_over_a_connection_established_after_the_window_of_its_key() {
-    // The first attempt fails, wherever it is sent; the connection of the retry is established late.
+    // The connection to one backend is established late; the other backend fails each attempt.
     let late = LateServer::with_full_backlog();
     let failing = StubServer::new(|_, _| Reply::Close);
     let mut settings = default_settings();
@@ -132,25 +138,25 @@
         [listed_endpoint("s-0", late.address, "SERVING"), listed_endpoint("s-1", failing.address, "SERVING")];
     let cached_list = endpoint_list(1, true, &endpoints);
     let mut retries_seen = 0;
-    // The proxy draws the member to which it sends first; that it draws the late one each time is next
-    // to impossible.
+    // The proxy draws the member for the first attempt at random. It is very improbable that it draws the
+    // late one in all 20 runs.
     for _ in 0..20 {
         let proxy = ProxyProcess::start(&settings, &cached_list, silent_discovery().address);
         let failed_before = failing.request_count();
         let mut stream = proxy.connect();
-        // The timer fires 1.6 s after the arrival, well inside the window; the request has 4 s in all.
+        // T1 expires 1.6 s after the arrival, within the window of 2 s. The request has a deadline of 4 s.
         stream.get_mut().write_all(request("save", 4000).as_bytes()).unwrap();
         wait_for("connection attempt", || late.has_pending_connection());
         if failing.request_count() == failed_before {
-            continue; // the late one was the first: it would be written in time
+            continue; // the first attempt went to the late server, where it is still written in time
         }
         retries_seen += 1;
 
-        // The retry is given up at the end of the window, before the deadline of the request.
+        // The proxy cancels the retry at the end of the window, before the deadline of the request.
         let start = Instant::now();
         let status = read_message(&mut stream).expect("a response").status();
 
-        assert_eq!(status, 503, "a retry by the client does no harm");
+        assert_eq!(status, 503, "the status does not tell the client that it may safely retry");
         assert!(start.elapsed() < Duration::from_millis(1200), "{:?}", start.elapsed());
         assert_eq!(late.accept_all(), Vec::<String>::new());
         break;
--- a/crates/balancer-proxy/tests/readiness.rs
+++ b/crates/balancer-proxy/tests/readiness.rs
@@ -1,5 +1,5 @@
-//! Readiness after a start: discovery cannot delay it, whatever it does, also where many proxies start
-//! at once.
+//! Readiness after a start: slow, silent or unreachable discovery does not delay it, even when many proxies
+//! start at the same moment.
 
 mod common;
 
@@ -18,19 +18,19 @@
 use std::sync::{Arc, Barrier, Mutex};
 use std::time::{Duration, Instant};
 
-/// A proxy must be ready this long after its start.
+/// The longest time from the start of a proxy until it must be ready.
 const MAX_TIME_TO_READINESS: Duration = Duration::from_secs(10);
 
-/// Starts one proxy.
-type Start = Box<dyn Fn() -> ProxyProcess + Send + Sync>;
+/// A function that starts one proxy.
+type StartProxy = Box<dyn Fn() -> ProxyProcess + Send + Sync>;
 
-/// Whether the proxy reports that it is ready, to clients and at its management address, if any.
+/// Returns whether the proxy reports readiness to clients and, if it has a management address, there too.
 fn is_ready(proxy: &ProxyProcess) -> bool {
     let ready = proxy.exchange("GET /-/ready HTTP/1.1\r\nHost: app.svc\r\n\r\n").status() == 200;
     ready && (proxy.management.is_none() || proxy.management_call("status\n").starts_with("OK"))
 }
 
-/// A discovery whose responses take longer than a start may wait.
+/// Starts a discovery whose responses take longer than a starting proxy waits for them.
 fn slow_discovery(list: String) -> StubServer {
     StubServer::new(move |_, _| {
         std::thread::sleep(Duration::from_secs(4));
@@ -38,23 +38,23 @@
     })
 }
 
-/// A proxy that was started, and how long it took to be ready.
+/// A started proxy and the time that it took to be ready.
 struct StartedProxy {
     proxy: ProxyProcess,
     time_to_readiness: Duration,
 }
 
-/// Starts all of these at the same moment.
-fn start_all(starts: &[Start]) -> Vec<StartedProxy> {
+/// Calls all functions at the same moment and waits until each of the proxies is ready.
+fn start_simultaneously(starts: &[StartProxy]) -> Vec<StartedProxy> {
     let (barrier, started) = (Barrier::new(starts.len()), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for start in starts {
             scope.spawn(|| {
                 barrier.wait();
-                let begun = Instant::now();
+                let start_time = Instant::now();
                 let proxy = start();
                 wait_for("readiness", || is_ready(&proxy));
-                let time_to_readiness = begun.elapsed();
+                let time_to_readiness = start_time.elapsed();
                 started.lock().unwrap().push(StartedProxy { proxy, time_to_readiness });
             });
         }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn proxies_started_at_once_are_ready_in_time_whatever_discovery_does() {
+fn proxies_started_simultaneously_are_ready_in_time_without_a_timely_discovery_response() {
     let backend = StubServer::responding_with("hello");
     let cached_list = serving_list(&[&backend]);
     let without_management = configuration(&default_settings(), &cached_list);
@@ -72,9 +72,9 @@
     let slow = slow_discovery(cached_list.to_string());
     let closed = ClosedAddress::new();
     let discoveries = [closed.address, silent.address, slow.address, late.address];
-    let mut starts: Vec<Start> = Vec::new();
-    // Four proxies start after another one was killed, and four while another one still runs: these
-    // ask discovery first.
+    let mut starts: Vec<StartProxy> = Vec::new();
+    // Four proxies start after another one was killed. Four more start while another one still runs, and call
+    // discovery before they are ready.
     let shared_addresses: Vec<_> = (0..8).map(|_| Arc::new(SharedAddress::new())).collect();
     let old_proxies: Vec<_> =
         shared_addresses.iter().map(|shared_address| shared_address.start(&without_management)).collect();
@@ -92,7 +92,7 @@
             let old = Mutex::new(Some(old));
             starts.push(Box::new(move || {
                 let next = shared_address.start_with_discovery(&configuration, discovery);
-                // It listens. The old one may not respond in its place.
+                // The new proxy listens already. The old one ends so that it cannot respond instead.
                 drop(old.lock().unwrap().take());
                 next
             }));
@@ -104,7 +104,7 @@
         starts.push(Box::new(move || ProxyProcess::with_configuration(&configuration, discovery)));
     }
 
-    let started = start_all(&starts);
+    let started = start_simultaneously(&starts);
 
     for StartedProxy { proxy, time_to_readiness } in started {
         assert!(time_to_readiness < MAX_TIME_TO_READINESS, "{time_to_readiness:?}");
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_proxy_without_a_cached_list_is_ready_soon_after_discovery_returns() {
+fn a_proxy_without_a_cached_list_is_ready_soon_after_discovery_responds_again() {
     let backend = StubServer::responding_with("hello");
     for registry_mode in ["automatic", "subscribe"] {
         let is_up = Arc::new(AtomicBool::new(false));
@@ -132,7 +132,7 @@
         settings["rules"]["ask-within"] = json!(2.0);
         let configuration = configuration_with_management(&settings, &endpoint_list(0, true, &[]));
         let proxy = ProxyProcess::with_configuration(&configuration, discovery.address);
-        wait_for("calls", || discovery.request_count() >= 3);
+        wait_for("three calls of discovery", || discovery.request_count() >= 3);
         assert!(!is_ready(&proxy) && proxy.management_call("status\n").starts_with("ERR"), "{registry_mode}");
 
         let returned = Instant::now();
--- a/crates/balancer-proxy/tests/request_streaming.rs
+++ b/crates/balancer-proxy/tests/request_streaming.rs
@@ -1,4 +1,4 @@
-//! Request bodies: long ones are streamed, short ones are buffered, and slow clients are served.
+//! Request bodies: long bodies are streamed, short bodies are buffered, and slow clients are served.
 
 mod common;
 
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn does_not_retry_a_long_body_after_a_connection_closed_in_the_middle() {
+fn does_not_retry_a_long_body_after_the_backend_closes_the_connection_within_it() {
     let backends = [0, 1].map(|_| {
         StubServer::with_connection_handler(|stream| {
             let _ = stream.read_exact(&mut [0; 200_000]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn ends_a_request_whose_body_stops_and_its_attempt() {
+fn ends_a_request_and_its_attempt_when_the_body_stops_arriving() {
     let (report_disconnect, disconnected) = channel();
     let backend = StubServer::with_connection_handler(move |stream| {
         let _ = std::io::copy(stream, &mut std::io::sink());
@@ -102,14 +102,14 @@
     wait_for_disconnect(&disconnected);
 }
 
-/// A part of a request, with the pause after the part.
+/// A part of a request, and the pause of the client after the part.
 struct PacedPart {
     bytes: Vec<u8>,
     pause: Duration,
 }
 
 /// Divides bytes into parts of this length, with the same pause after each part.
-fn paced(bytes: &[u8], part_length: usize, pause: Duration) -> Vec<PacedPart> {
+fn paced_parts(bytes: &[u8], part_length: usize, pause: Duration) -> Vec<PacedPart> {
     bytes.chunks(part_length).map(|part| PacedPart { bytes: part.to_vec(), pause }).collect()
 }
 
@@ -117,15 +117,15 @@
 fn serves_slow_clients() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
-    // A head and a short body take 2 s together; a long body arrives at 100 kB a second.
+    // The head and the short body take 2 s together; the long body arrives at 100 kB/s.
     let text = request("save", 9000);
-    let short = paced(text.as_bytes(), text.len() / 19, Duration::from_millis(100));
+    let short_request = paced_parts(text.as_bytes(), text.len() / 19, Duration::from_millis(100));
     let body = pattern(300_000);
     let head = request_with_framing("order", "Content-Length: 300000\r\n\r\n").into_bytes();
-    let mut long = vec![PacedPart { bytes: head, pause: Duration::from_millis(500) }];
-    long.extend(paced(&body, 20_000, Duration::from_millis(200)));
+    let mut long_request = vec![PacedPart { bytes: head, pause: Duration::from_millis(500) }];
+    long_request.extend(paced_parts(&body, 20_000, Duration::from_millis(200)));
 
-    let clients = [short, long].map(|parts| {
+    let clients = [short_request, long_request].map(|parts| {
         let mut stream = proxy.connect();
         std::thread::spawn(move || {
             for PacedPart { bytes, pause } in parts {
--- a/crates/balancer-proxy/tests/response_streaming.rs
+++ b/crates/balancer-proxy/tests/response_streaming.rs
@@ -1,5 +1,5 @@
-//! Response bodies, which are forwarded before they are complete, and which a client can recognise as
-//! incomplete if they break off.
+//! Response bodies: the proxy forwards them before they are complete, and a client can detect a body that
+//! ends early.
 
 mod common;
 
@@ -14,9 +14,10 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::Duration;
 
-/// Starts a backend that responds with these headers and this encoded body, and pauses in the middle until
-/// the returned sender sends. If the sender is dropped, the backend closes the connection there.
-fn backend_that_pauses(headers: String, encoded_body: Vec<u8>) -> (StubServer, Sender<()>) {
+/// Starts a backend that responds with these headers and this encoded body, and pauses in the middle of the
+/// body until the returned sender sends. If the sender is dropped, the backend closes the connection in the
+/// middle.
+fn start_pausing_backend(headers: String, encoded_body: Vec<u8>) -> (StubServer, Sender<()>) {
     let (release, released) = channel();
     let released = Mutex::new(released);
     let backend = StubServer::with_connection_handler(move |stream| {
@@ -41,7 +42,7 @@
         ("Transfer-Encoding: chunked\r\nTrailer: X-Sum".to_string(), chunked(&body, 10_000)),
     ] {
         let headers = format!("Content-Type: text/x\r\nX-Other: y\r\n{framing}");
-        let (backend, release) = backend_that_pauses(headers, encoded_body);
+        let (backend, release) = start_pausing_backend(headers, encoded_body);
         let proxy = ProxyProcess::in_front_of(&[&backend]);
         let mut stream = proxy.connect();
         for _ in 0..2 {
@@ -51,24 +52,24 @@
 
             assert_eq!((head.status(), head.header("content-type")), (200, Some("text/x")), "{framing}");
             assert_eq!(head.header("x-other"), Some("y"), "{framing}");
-            // The beginning of the body arrives before the backend goes on.
+            // The first part of the body arrives while the backend still pauses.
             assert!(!stream.fill_buf().unwrap().is_empty());
             release.send(()).unwrap();
             assert!(read_body(&mut stream, &head).expect("a body") == body, "{framing}");
-            std::thread::sleep(Duration::from_millis(100)); // until the connection is in its pool
+            std::thread::sleep(Duration::from_millis(100)); // until the connection is in the pool
         }
         assert_eq!(backend.connection_count(), 1, "{framing}");
     }
 }
 
 #[test]
-fn a_client_can_tell_that_a_response_is_incomplete() {
+fn a_client_detects_an_incomplete_response_when_the_backend_closes_the_connection() {
     let body = pattern(400_000);
     for (framing, encoded_body) in [
         (format!("Content-Length: {}", body.len()), body.clone()),
         ("Transfer-Encoding: chunked".to_string(), chunked(&body, 10_000)),
     ] {
-        let (backend, release) = backend_that_pauses(framing, encoded_body);
+        let (backend, release) = start_pausing_backend(framing, encoded_body);
         let proxy = ProxyProcess::with_management(&[&backend]);
         let mut stream = proxy.begin_request(&request("order", 9000));
         let head = read_head(&mut stream).expect("a head");
@@ -77,8 +78,8 @@
         drop(release);
 
         assert!(read_body(&mut stream, &head).is_none());
-        // The request counts as failed, and is not retried.
-        wait_for("count", || proxy.stats()["results"]["order"]["aborted"] == 1);
+        // The request counts as failed and is not retried.
+        wait_for("failed request in the metrics", || proxy.stats()["results"]["order"]["aborted"] == 1);
         assert_eq!(proxy.stats()["outstanding"], 0);
         assert_eq!(proxy.stats()["forwards"], 1);
     }
--- a/crates/balancer-proxy/tests/settings_rejection.rs
+++ b/crates/balancer-proxy/tests/settings_rejection.rs
@@ -1,4 +1,4 @@
-//! Invalid configuration files: a reload rejects them as a whole.
+//! Reloads of invalid configuration files: the proxy rejects each file as a whole.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 /// An invalid value in an otherwise valid file.
 struct InvalidValue {
-    /// The path of the value in the file.
+    /// The path of the value in the file, as a JSON pointer.
     path: &'static str,
     value: Value,
     /// The text that the log line must contain.
@@ -45,23 +45,23 @@
     .map(|(path, value, expected)| InvalidValue { path, value, expected })
 }
 
-/// The text of version 8 of a configuration with this value.
-fn text_with_value(configuration: &Value, path: &str, value: Value) -> String {
+/// Returns the text of version 8 of a configuration with this value at this path.
+fn version_8_text(configuration: &Value, path: &str, value: Value) -> String {
     let mut configuration = configuration.clone();
     configuration["settings"]["version"] = json!(8);
     *configuration.pointer_mut(path).unwrap() = value;
     configuration.to_string()
 }
 
-/// Invalid files in place of version 7.
+/// Returns invalid files that a reload must not apply in place of version 7.
 fn invalid_files(valid: &Value) -> Vec<InvalidFile> {
     let text = valid.to_string();
-    let truncated = (0..20).map(|part| InvalidFile {
+    let truncated_files = (0..20).map(|part| InvalidFile {
         text: text[..text.len() * part / 20].to_string(),
         expected: "EOF while parsing",
     });
-    let with_invalid_values = invalid_values().map(|InvalidValue { path, value, expected }| InvalidFile {
-        text: text_with_value(valid, path, value),
+    let invalid_value_files = invalid_values().map(|InvalidValue { path, value, expected }| InvalidFile {
+        text: version_8_text(valid, path, value),
         expected,
     });
     let changed_under_same_version = InvalidFile {
@@ -69,7 +69,7 @@
         expected: "settings.version: expected more than 7",
     };
     let too_long = InvalidFile { text: " ".repeat((16 << 20) + 1), expected: "at most 16777216 bytes" };
-    truncated.chain(with_invalid_values).chain([changed_under_same_version, too_long]).collect()
+    truncated_files.chain(invalid_value_files).chain([changed_under_same_version, too_long]).collect()
 }
 
 #[test]
@@ -89,10 +89,10 @@
         assert_eq!(proxy.exchange(&request("save", 9000)).status(), 200, "{expected}");
     }
 
-    // The same file again is no change; a later version is.
+    // The unchanged file does not count as a change; a later version does.
     proxy.replace_configuration(&valid);
     proxy.signal("-HUP");
-    proxy.replace_configuration_text(&text_with_value(&valid, "/settings/caps/max-open", json!(10)));
+    proxy.replace_configuration_text(&version_8_text(&valid, "/settings/caps/max-open", json!(10)));
     proxy.signal("-HUP");
     wait_for("change", || settings_metrics(&proxy) == [Some(8), Some(1), Some(rejected)]);
 }
--- a/crates/balancer-proxy/tests/settings_reload.rs
+++ b/crates/balancer-proxy/tests/settings_reload.rs
@@ -1,5 +1,4 @@
-//! Reload of settings by SIGHUP: new settings come into force completely, and no request is lost by a
-//! reload.
+//! Reload of settings by SIGHUP: new settings come into force completely, and a reload loses no request.
 
 mod common;
 
@@ -16,6 +15,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// Returns a class of the default settings with this name and effect.
 fn named_class(name: &str, effect: &str) -> Value {
     let mut class = default_settings()["classes"][0].clone();
     class["name"] = json!(name);
@@ -23,9 +23,12 @@
     class
 }
 
-/// Backends that hold the response to a request with the body `held` until `released` gets a value, and
-/// fail the first request of class `look`, whichever of them gets it.
-fn backends_that_hold_and_fail(released: Receiver<()>, has_failed: &Arc<AtomicBool>) -> [StubServer; 2] {
+/// Starts backends that hold the response to a request with the body `held` until `released` receives a
+/// value. The first request of class `look` fails at either of them.
+fn start_holding_and_failing_backends(
+    released: Receiver<()>,
+    has_failed: &Arc<AtomicBool>,
+) -> [StubServer; 2] {
     let released = Arc::new(Mutex::new(released));
     [0, 1].map(|_| {
         let (released, has_failed) = (released.clone(), has_failed.clone());
@@ -41,29 +44,29 @@
 }
 
 #[test]
-fn open_requests_end_by_the_settings_of_their_arrival_and_count_for_their_class() {
+fn open_requests_keep_the_settings_of_their_arrival_and_count_for_their_class() {
     let (release, released) = channel();
     let has_failed = Arc::default();
-    let backends = backends_that_hold_and_fail(released, &has_failed);
+    let backends = start_holding_and_failing_backends(released, &has_failed);
     let connections = || backends.iter().map(StubServer::connection_count).sum::<usize>();
     let mut configuration = versioned_configuration(1, &[&backends[0], &backends[1]]);
     let proxy = start_proxy(&configuration);
     assert_eq!(settings_metrics(&proxy), [Some(1), Some(0), Some(0)]);
-    // Requests whose bodies are still to come. The proxy asks for them, so it has read the heads.
+    // Two requests are without their bodies. The proxy has asked for the bodies, so it has read the heads.
     let mut without_body = ["save", "order"].map(|class| {
         let text = request_with_framing(class, "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n");
         let mut stream = proxy.begin_request(&text);
         assert_eq!(read_head(&mut stream).unwrap().status(), 100);
         stream
     });
-    // One that waits for its response.
+    // The next request waits for its response.
     let mut waiting = proxy.begin_request(&request("order", 9000).replace("body", "held"));
     wait_for("attempt", || connections() == 1);
-    // One whose body is being streamed.
+    // The next request has a body that is still being streamed.
     let mut streamed = proxy.begin_request(&request_with_framing("order", "Content-Length: 200000\r\n\r\n"));
     streamed.get_mut().write_all(&[b'x'; 100_000]).unwrap();
     wait_for("attempt", || connections() == 2);
-    // One that waits for its retry.
+    // The next request waits for its retry.
     let mut failed = proxy.begin_request(&request("look", 4000));
     wait_for("failed attempt", || has_failed.load(Ordering::SeqCst));
 
@@ -75,7 +78,7 @@
     reload(&proxy, &configuration);
 
     assert_eq!(settings_metrics(&proxy), [Some(2), Some(1), Some(0)]);
-    // The class of the first is removed, that of the second has another index.
+    // The reload has removed the class of the first request and changed the index of the second one's class.
     for (stream, status) in without_body.iter_mut().zip([400, 200]) {
         stream.get_mut().write_all(b"body").unwrap();
         let reply = read_message(stream).unwrap();
@@ -88,7 +91,7 @@
     assert_eq!(
         read_message(&mut failed).unwrap().status(),
         200,
-        "its second attempt, of the four on its arrival"
+        "the request failed after one attempt, with four allowed on its arrival"
     );
     let of_other_tenant = request("order", 9000).replace("X-Org: acme", "X-Org: other");
     assert_eq!(
@@ -98,7 +101,7 @@
     let succeeded = |class: &str| proxy.stats()["results"][class]["succeeded"].clone();
     assert_eq!((succeeded("order"), succeeded("look"), succeeded("save")), (json!(4), json!(1), Value::Null));
 
-    // A class that returns counts on.
+    // The counts of a class continue when the class is added again.
     configuration["settings"] = default_settings();
     configuration["settings"]["version"] = json!(3);
     reload(&proxy, &configuration);
@@ -108,7 +111,7 @@
 }
 
 #[test]
-fn many_reloads_end_at_the_last_file_and_every_request_gets_its_response() {
+fn many_reloads_end_with_the_last_file_in_force_and_every_request_gets_its_response() {
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let proxy = start_proxy(&versioned_configuration(0, &[&backends[0], &backends[1]]));
     let is_done = AtomicBool::new(false);
@@ -144,7 +147,7 @@
 }
 
 #[test]
-fn a_lower_socket_limit_closes_idle_connections_and_no_request() {
+fn a_lower_socket_limit_closes_idle_connections_and_ends_no_request() {
     let (backend, release) = StubServer::holding_first_response("hello");
     let mut configuration = versioned_configuration(1, &[&backend]);
     let proxy = start_proxy(&configuration);
@@ -160,16 +163,16 @@
     proxy.replace_configuration(&configuration);
     proxy.signal("-HUP");
 
-    // The settings are as they were.
-    wait_for("capacity", || {
+    // Only the limit has changed, so the settings count as unchanged.
+    wait_for("decrease of the open descriptors", || {
         proxy.open_descriptors() <= 70 && settings_metrics(&proxy) == [Some(1), Some(0), Some(0)]
     });
     release.send(()).unwrap();
     assert_eq!(read_message(&mut waiting).unwrap().status(), 200);
 }
 
-/// Sends 20 requests and checks that most get one of these responses. Not all do: a member of the own
-/// zone that was slow once may get none for a while.
+/// Sends 20 requests, checks that more than half get one of these response bodies, and returns all bodies.
+/// Not all do: a member of the proxy's own zone that was slow once may get no request for some time.
 fn check_most_responses(proxy: &ProxyProcess, expected: &[&[u8]]) -> Vec<Vec<u8>> {
     let bodies: Vec<_> = (0..20).map(|_| proxy.exchange(&request("order", 9000)).body).collect();
     assert!(bodies.iter().filter(|body| expected.contains(&&***body)).count() > 10, "{bodies:?}");
@@ -177,7 +180,7 @@
 }
 
 #[test]
-fn zones_and_maintenance_hold_over_reloads() {
+fn zones_and_maintenance_stay_in_force_after_reloads() {
     let backends = ["zero", "one", "two"].map(StubServer::responding_with);
     let mut configuration = versioned_configuration(1, &[&backends[0], &backends[1], &backends[2]]);
     configuration["known"]["instances"][1]["zone"] = json!("b");
@@ -203,7 +206,7 @@
 }
 
 #[test]
-fn starts_a_watch_at_once_when_the_list_need_not_be_polled_any_more() {
+fn starts_a_watch_at_once_when_a_reload_ends_the_polling_of_the_list() {
     let backend = StubServer::responding_with("hello");
     let discovery = silent_discovery();
     let mut configuration = versioned_configuration(1, &[&backend]);
@@ -211,7 +214,7 @@
     configuration["settings"]["rules"]["ask-within"] = json!(600.0);
     let proxy = ProxyProcess::with_configuration(&configuration, discovery.address);
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
-    assert_eq!(discovery.request_count(), 0, "the first poll is minutes away");
+    assert_eq!(discovery.request_count(), 0, "discovery was polled although the poll interval is 600 s");
 
     configuration["settings"]["registry-mode"] = json!("automatic");
     configuration["settings"]["version"] = json!(2);
@@ -222,13 +225,13 @@
     configuration["settings"]["rules"]["ask-within"] = json!(0.05);
     configuration["settings"]["version"] = json!(3);
     reload(&proxy, &configuration);
-    assert_eq!(discovery.request_count(), 1, "the watch in progress stays");
+    assert_eq!(discovery.request_count(), 1, "the reload did not keep the watch in progress");
     let is_poll = |call: &HttpMessage| call.start_line.contains("timeout_ms=50 ");
     wait_for("poll", || discovery.requests.lock().unwrap().iter().any(is_poll));
 }
 
 #[test]
-fn graceful_shutdown_waits_for_open_requests_by_the_settings_of_their_arrival() {
+fn graceful_shutdown_waits_for_open_requests_under_the_settings_of_their_arrival() {
     let (backend, release) = StubServer::holding_first_response("hello");
     let mut configuration = versioned_configuration(1, &[&backend]);
     let mut proxy = start_proxy(&configuration);
--- a/crates/balancer-proxy/tests/settings_reload_by_two_processes.rs
+++ b/crates/balancer-proxy/tests/settings_reload_by_two_processes.rs
@@ -1,4 +1,4 @@
-//! Reload of settings while two processes run on one address.
+//! Reload of settings while two processes run on one address: the signal to one process reloads both.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::waiting::wait_for;
 use std::time::{Duration, Instant};
 
-/// Waits until this version is in force at each of the proxies, which must be the case within 1 s.
+/// Waits until this version is in force at each of the proxies, and checks that this takes less than 1 s.
 fn check_version_in_force(proxies: &[&ProxyProcess], version: u64) {
     let start = Instant::now();
     wait_for("version in force", || proxies.iter().all(|proxy| settings_metrics(proxy)[0] == Some(version)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_signal_reloads_two_processes_and_survives_the_process_that_got_it() {
+fn one_signal_reloads_two_processes_even_if_its_recipient_is_killed() {
     let backend = StubServer::responding_with("hello");
     let shared_address = SharedAddress::new();
     let mut old = shared_address.start(&versioned_configuration(1, &[&backend]));
@@ -33,7 +33,7 @@
         (vec![Some(3), Some(2), Some(0)], vec![Some(3), Some(2), Some(0)])
     );
 
-    // The other process finds the file truncated, then complete.
+    // The other process reads a truncated file first, and the complete file later.
     old.replace_configuration(&versioned_configuration(4, &[&backend]));
     new.while_stopped(|| {
         old.signal("-HUP");
@@ -41,7 +41,7 @@
         old.replace_configuration_text("{");
     });
     wait_for("rejection", || settings_metrics(&new) == [Some(3), Some(2), Some(1)]);
-    // Three polls of a file that stays invalid.
+    // Within this time, the process polls the invalid file three times.
     std::thread::sleep(Duration::from_millis(350));
     assert_eq!(settings_metrics(&new), [Some(3), Some(2), Some(1)]);
     old.replace_configuration(&versioned_configuration(4, &[&backend]));
--- a/crates/balancer-proxy/tests/startup_configuration.rs
+++ b/crates/balancer-proxy/tests/startup_configuration.rs
@@ -11,14 +11,14 @@
 
 #[test]
 fn exits_with_one_log_line_on_an_invalid_configuration() {
-    let mut missing = default_settings();
-    missing.as_object_mut().unwrap().remove("classes");
+    let mut missing_classes = default_settings();
+    missing_classes.as_object_mut().unwrap().remove("classes");
     let mut wrong_type = default_settings();
     wrong_type["rules"]["cold"] = json!("soon");
-    let mut negative = default_settings();
-    negative["classes"][0]["on-time"] = json!(-1);
+    let mut negative_objective = default_settings();
+    negative_objective["classes"][0]["on-time"] = json!(-1);
     let empty_list = endpoint_list(1, true, &[]);
-    let invalid_configurations = [missing, wrong_type, negative]
+    let invalid_configurations = [missing_classes, wrong_type, negative_objective]
         .map(|settings| configuration(&settings, &empty_list).to_string())
         .into_iter()
         .chain(["{".to_string()]);
@@ -31,8 +31,9 @@
     }
 }
 
-/// Starts a proxy that must fail, and returns its log.
-fn failed_start(configuration: &Value, variables: &[(&str, &str)], removed: &[&str]) -> String {
+/// Starts a proxy with these environment variables set and removed, checks that the start fails, and returns
+/// the log.
+fn log_of_failed_start(configuration: &Value, variables: &[(&str, &str)], removed: &[&str]) -> String {
     let ProxyCommand { mut command, .. } =
         proxy_command(&configuration.to_string(), silent_discovery().address);
     command.envs(variables.iter().copied());
@@ -44,7 +45,8 @@
     String::from_utf8(output.stderr).unwrap()
 }
 
-/// Operators saw `Address already in use` without the address, and could not tell which of the two was meant.
+/// Guards against a log line `Address already in use` without the address, from which operators cannot tell
+/// whether it means the address for clients or the management address.
 #[test]
 fn a_failed_start_names_the_address_that_is_in_use() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -52,24 +54,25 @@
     let configuration = configuration(&default_settings(), &endpoint_list(1, true, &[]));
 
     for variable in ["RELAY_LISTEN", "RELAY_MANAGEMENT"] {
-        let log = failed_start(&configuration, &[(variable, &address)], &[]);
+        let log = log_of_failed_start(&configuration, &[(variable, &address)], &[]);
 
         let expected = format!("balancer-proxy: cannot listen on {address}: ");
         assert!(log.starts_with(&expected), "{variable}: {log}");
     }
 }
 
-/// Operators saw the name of an environment variable that was not set, for an invalid address in the file.
+/// Guards against a log line that names an environment variable that is not set, for an invalid address in
+/// the configuration file.
 #[test]
-fn a_failed_start_names_where_an_invalid_address_was_read() {
-    let mut in_file = configuration(&default_settings(), &endpoint_list(1, true, &[]));
+fn a_failed_start_names_the_variable_or_key_of_an_invalid_address() {
+    let mut file_configuration = configuration(&default_settings(), &endpoint_list(1, true, &[]));
     let addresses =
         [("RELAY_LISTEN", "listen"), ("RELAY_DISCOVERY", "discovery"), ("RELAY_MANAGEMENT", "management")];
     for (variable, key) in addresses {
-        let from_environment = failed_start(&in_file, &[(variable, "nowhere")], &[]);
-        in_file[key] = json!("nowhere");
-        let from_file = failed_start(&in_file, &[], &[variable]);
-        in_file.as_object_mut().unwrap().remove(key);
+        let from_environment = log_of_failed_start(&file_configuration, &[(variable, "nowhere")], &[]);
+        file_configuration[key] = json!("nowhere");
+        let from_file = log_of_failed_start(&file_configuration, &[], &[variable]);
+        file_configuration.as_object_mut().unwrap().remove(key);
 
         for (log, name) in [(from_environment, variable), (from_file, key)] {
             let expected = format!("balancer-proxy: {name}: expected address:port, got 'nowhere'");
@@ -98,7 +101,7 @@
     };
 
     assert_eq!(status_of_class("look"), 200);
-    // Where the effect is absent or unknown, a second attempt might do harm.
+    // A class whose effect is absent or unknown gets no second attempt, which might be unsafe.
     for class in ["order", "save"] {
         let before = backend.request_count();
         assert_eq!(status_of_class(class), 502);
--- a/crates/balancer-proxy/tests/streaming_memory.rs
+++ b/crates/balancer-proxy/tests/streaming_memory.rs
@@ -1,4 +1,4 @@
-//! The memory of a proxy that streams many long bodies at once.
+//! The memory that a proxy uses while it streams many long bodies at the same time.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use common::waiting::{TEST_TIMEOUT, wait_for};
 use std::io::Write;
 
-/// Upper bound on the memory of a proxy while many long bodies are streamed, in kilobytes.
+/// Upper bound on the resident memory of a proxy while many long bodies are streamed, in kilobytes.
 const MAX_MEMORY_KB: usize = 32 << 10;
 
 /// Returns the resident memory of the process in kilobytes.
@@ -20,7 +20,8 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-/// Starts a backend that responds with this long body, and reads no body of a POST during the test.
+/// Starts a backend that responds to a GET with this long body, and neither reads the body of a POST nor
+/// responds to it during the test.
 fn backend_with_long_response(body: &'static [u8]) -> StubServer {
     StubServer::with_connection_handler(move |stream| {
         let Some(head) = read_head(stream) else { return };
@@ -43,7 +44,7 @@
     for _ in 0..20 {
         let mut stream = proxy.begin_request(&request("look", 9000));
         let head = read_head(&mut stream).expect("a head");
-        readers.push((stream, head)); // which reads no more for now
+        readers.push((stream, head)); // the body is read after the first measurement
     }
     let mut writers = Vec::new();
     for _ in 0..20 {
@@ -55,7 +56,7 @@
 
     wait_for("attempts", || backend.connection_count() == 40);
 
-    // 1.3 GB are being streamed.
+    // The bodies that are being streamed have 1.3 GB in total.
     assert!(memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", memory_kb(&proxy));
     drop(writers);
     let readers: Vec<_> = readers
--- a/crates/balancer-proxy/tests/upgrade.rs
+++ b/crates/balancer-proxy/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Upgrade: a second process takes over the address of the first without a lost request.
+//! Upgrade: a second process takes over the address of the first, and no request is lost.
 
 mod common;
 
@@ -15,8 +15,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Sends requests until `is_done`, on a new connection each or on one that is reused while the proxy
-/// keeps it open. Returns the number of requests served.
+/// Sends requests until `is_done` is set, each on a new connection or, if `reuses_connection` is set, on one
+/// connection for as long as the proxy keeps it open. Returns the number of requests served.
 fn send_until_done(address: SocketAddr, is_done: &AtomicBool, reuses_connection: bool) -> usize {
     let mut open_stream = None;
     let mut served = 0;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn responds_to_requests_in_the_old_process_backlog_when_its_accepting_ends() {
+fn responds_to_requests_in_the_backlog_when_the_old_process_stops_accepting() {
     let backend = StubServer::responding_with("hello");
     let shared_address = SharedAddress::new();
     let configuration = default_configuration(&[&backend]);
@@ -91,7 +91,7 @@
     next.wait_until_ready();
 
     old.signal("-STOP");
-    // The system distributes them over both processes.
+    // Both processes can accept these connections.
     let clients: Vec<_> = (0..30).map(|_| old.begin_request(&request("order", 9000))).collect();
     old.signal("-TERM");
     old.signal("-CONT");
@@ -104,12 +104,12 @@
 }
 
 #[test]
-fn a_second_process_gets_the_list_of_discovery_before_it_is_ready() {
+fn a_second_process_fetches_the_endpoint_list_before_it_is_ready() {
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let shared_address = SharedAddress::new();
     let configuration = default_configuration(&[&backends[0]]);
     let _old = shared_address.start(&configuration);
-    // The cached list is outdated: there is another backend now.
+    // The cached list is outdated: discovery lists another backend.
     let current_list =
         endpoint_list(9, true, &[listed_endpoint("s-1", backends[1].address, "SERVING")]).to_string();
     let discovery = StubServer::new(move |_, message| {
@@ -147,7 +147,7 @@
     let mut configuration = default_configuration(&[&backend]);
     configuration["limits"]["sockets"] = json!(160);
     let old = shared_address.start(&configuration);
-    // Idle connections, as many as it keeps open.
+    // The clients open as many idle connections as the old process keeps open.
     let clients: Vec<_> = (0..80)
         .map(|_| {
             let mut stream = old.connect();
@@ -157,12 +157,12 @@
         })
         .collect();
     assert!(old.open_descriptors() > 80);
-    std::thread::sleep(Duration::from_millis(2200)); // until they may be closed
+    std::thread::sleep(Duration::from_millis(2200)); // until the idle connections may be closed
 
     let next = shared_address.start(&configuration);
     next.wait_until_ready();
 
-    wait_for("capacity", || {
+    wait_for("decrease of the open descriptors", || {
         old.open_descriptors() + next.open_descriptors() <= 160 && old.open_descriptors() <= 80
     });
     drop(clients);
--- a/crates/balancer-proxy/tests/upgrade_maintenance.rs
+++ b/crates/balancer-proxy/tests/upgrade_maintenance.rs
@@ -1,5 +1,5 @@
-//! Maintenance of backends while one process replaces another on one address, and by the state files
-//! that the two share.
+//! Maintenance of backends while one process replaces another on one address. The two processes share the
+//! maintenance in state files.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 #[test]
-fn maintenance_holds_in_both_processes_and_after_one_is_killed() {
+fn maintenance_is_in_force_in_both_processes_and_after_one_is_killed() {
     let backends = ["zero", "one", "two"].map(StubServer::responding_with);
     let shared_address = SharedAddress::new();
     let configuration = default_configuration(&[&backends[0], &backends[1], &backends[2]]);
@@ -20,7 +20,7 @@
     next.wait_until_ready();
     assert_eq!(next.stats()["ejected"], json!(1));
 
-    // A call to one process holds in the other too.
+    // A management call to one process takes effect in the other process too.
     assert!(next.management_call("maint-off s-0\n").starts_with("OK"));
     wait_for("end of maintenance", || old.stats()["ejected"] == json!(0));
     assert!(old.management_call("maint-on s-1\n").starts_with("OK"));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_truncated_maintenance_store_prevents_neither_a_start_nor_known_maintenance() {
+fn a_truncated_maintenance_store_is_restored_by_a_running_process_and_allows_a_start() {
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let shared_address = SharedAddress::new();
     let configuration = default_configuration(&[&backends[0], &backends[1]]);
@@ -58,7 +58,7 @@
 
     std::fs::write(&store, &complete[..complete.len() / 2]).unwrap();
 
-    // The process that knows of the maintenance writes the store again.
+    // The running process still holds the maintenance records in memory, and writes the store again.
     wait_for("maintenance store", || std::fs::read(&store).is_ok_and(|bytes| bytes == complete));
     drop(old);
     std::fs::write(&store, &complete[..complete.len() / 2]).unwrap();
--- a/crates/balancer-proxy/tests/withheld_last_byte.rs
+++ b/crates/balancer-proxy/tests/withheld_last_byte.rs
@@ -1,5 +1,6 @@
-//! The last byte of a request, which an attempt withholds for a moment in which a disconnect of the client
-//! can still be noticed.
+//! The last byte of a request. An attempt withholds the byte for a short time, in which the proxy can still
+//! detect that the client has disconnected. These tests guard against a byte that is sent right after a stall
+//! of the process, before the proxy has checked for a disconnect.
 
 mod common;
 
@@ -17,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// All bytes that have arrived over a connection.
+/// Returns the bytes that have arrived on a connection, without waiting for more.
 fn read_available(stream: &mut TcpStream) -> String {
     let mut buffer = [0; 4096];
     stream.set_nonblocking(true).unwrap();
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn does_not_send_the_withheld_last_byte_right_after_a_standstill_of_the_process() {
+fn does_not_send_the_withheld_last_byte_right_after_a_stall_of_the_process() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -64,13 +65,17 @@
             assert!(!poll_attempt().await);
             received += &read_available(&mut stream);
         }
-        // The time for which the byte is withheld passes, and the process notices the end long after.
+        // The time for which the byte is withheld ends while the process is stalled for 200 ms.
         let_runtime_run().await;
         std::thread::sleep(Duration::from_millis(200));
         assert!(!poll_attempt().await);
-        assert_eq!(read_available(&mut stream), "", "the client may have disconnected meanwhile");
+        assert_eq!(
+            read_available(&mut stream),
+            "",
+            "the byte was sent although the client may have disconnected during the stall"
+        );
         assert!(!written.is_set());
-        // If the client has not disconnected, the request is sent, however slow the process may be.
+        // The client has not disconnected, so the byte is sent, even if the process stalls again.
         let_runtime_run().await;
         std::thread::sleep(Duration::from_millis(200));
         assert!(!poll_attempt().await);
