--- a/crates/balancer-proxy/tests/soak/client.rs
+++ b/crates/balancer-proxy/tests/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients that use each connection for as long as it stays open, until the end of the play.
+//! Clients that send requests until the end of a scenario run, and use each connection while it stays open.
 
 use crate::common::configuration::request;
 use crate::common::http::read_message;
@@ -9,13 +9,13 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// The bytes of a body that the proxy streams, as it is longer than those that it buffers.
+/// The length of a body that the proxy streams because the body exceeds the buffered length.
 const STREAMED_BODY_BYTES: usize = 80 * 1024;
 /// The longest pause of a client between two requests.
-const MAX_PAUSE_MS: u64 = 15;
+const MAX_PAUSE_BETWEEN_REQUESTS_MS: u64 = 15;
 /// The pause after a connection was refused.
-const REFUSED_PAUSE: Duration = Duration::from_millis(5);
-/// Longest wait for a response: over every deadline.
+const PAUSE_AFTER_REFUSED_CONNECTION: Duration = Duration::from_millis(5);
+/// The longest wait for a response, longer than every deadline.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// How a request ended for its client.
@@ -23,18 +23,18 @@
 pub enum Outcome {
     /// A complete response with this status.
     Response(u16),
-    /// The connection ended, or broke, without a complete response.
+    /// The connection was closed or reset without a complete response.
     ConnectionEnded,
-    /// No response in any time.
+    /// No response arrived within the response timeout.
     TimedOut,
-    /// The connection was refused or reset before it was open.
+    /// The connection could not be established.
     Refused,
 }
 
 /// One request of a client.
 #[derive(Clone, Debug)]
 pub struct Exchange {
-    /// `X-Txn`, by which backends know the request.
+    /// The value of `X-Txn`, by which the backends record the request.
     pub id: String,
     /// The class of the request.
     pub class: &'static str,
@@ -48,34 +48,34 @@
     pub outcome: Outcome,
 }
 
-/// What a client does.
+/// The parameters of a client.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientPlan {
+pub struct ClientParameters {
     /// The address of the proxy.
     pub address: SocketAddr,
-    /// The seed of the pauses and classes.
+    /// The seed of the pauses, the classes and the choice of streamed bodies.
     pub seed: u64,
-    /// The longest time that the client waits, as its requests say.
+    /// The deadline that the client states in its requests.
     pub deadline: Duration,
-    /// Whether some bodies are long.
+    /// Whether some request bodies are long enough to be streamed.
     pub has_streamed_bodies: bool,
 }
 
-/// Sends requests until the end of the play. Returns all of them.
-pub fn run(plan: ClientPlan, is_over: &AtomicBool) -> Vec<Exchange> {
-    let random = &mut SmallRng::seed_from_u64(plan.seed);
+/// Sends requests until `is_over` is set. Returns all exchanges.
+pub fn run_client(parameters: ClientParameters, is_over: &AtomicBool) -> Vec<Exchange> {
+    let random = &mut SmallRng::seed_from_u64(parameters.seed);
     let mut open_stream: Option<BufReader<TcpStream>> = None;
     let mut exchanges = Vec::new();
     while !is_over.load(Ordering::SeqCst) {
         let class = ["look", "save", "order"][random.random_range(0..3)];
-        let is_streamed = plan.has_streamed_bodies && class == "order" && random.random_bool(0.1);
-        let text = request_text(class, plan.deadline, is_streamed);
+        let is_streamed = parameters.has_streamed_bodies && class == "order" && random.random_bool(0.1);
+        let text = request_text(class, parameters.deadline, is_streamed);
         let is_reused = open_stream.is_some();
         let sent_at = Instant::now();
-        let (outcome, kept) = exchange(open_stream.take(), plan.address, &text);
-        open_stream = kept;
+        let (outcome, reusable_stream) = exchange(open_stream.take(), parameters.address, &text);
+        open_stream = reusable_stream;
         exchanges.push(Exchange {
-            id: id_of(&text),
+            id: request_id(&text),
             class,
             sent_at,
             ended_at: Instant::now(),
@@ -83,8 +83,10 @@
             outcome,
         });
         match outcome {
-            Outcome::Refused => std::thread::sleep(REFUSED_PAUSE),
-            _ => std::thread::sleep(Duration::from_millis(random.random_range(0..MAX_PAUSE_MS))),
+            Outcome::Refused => std::thread::sleep(PAUSE_AFTER_REFUSED_CONNECTION),
+            _ => std::thread::sleep(Duration::from_millis(
+                random.random_range(0..MAX_PAUSE_BETWEEN_REQUESTS_MS),
+            )),
         }
     }
     exchanges
@@ -99,7 +101,7 @@
     text.replace("Content-Length: 4\r\n\r\nbody", &format!("Content-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-fn id_of(text: &str) -> String {
+fn request_id(text: &str) -> String {
     let line = text.lines().find_map(|line| line.strip_prefix("X-Txn: "));
     line.unwrap_or_default().to_string()
 }
@@ -118,7 +120,7 @@
         },
     };
     let _ = stream.get_ref().set_read_timeout(Some(RESPONSE_TIMEOUT));
-    // A response may come before the whole request is written, and is read then, too.
+    // A write error is ignored: a response that came before the whole request was written is read as well.
     let _ = stream.get_mut().write_all(text.as_bytes());
     let Some(message) = read_message(&mut stream) else {
         let is_silent = matches!(
--- a/crates/balancer-proxy/tests/soak/discovery.rs
+++ b/crates/balancer-proxy/tests/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery of a play, which never sends a list.
+//! The discovery of a scenario run, which never sends an endpoint list.
 
 use super::scenario::Discovery;
 use crate::common::closed_address::ClosedAddress;
@@ -6,12 +6,12 @@
 use crate::common::stub_server::{Reply, StubServer, silent_discovery};
 use std::net::SocketAddr;
 
-/// A discovery, for as long as the value exists.
+/// A discovery that exists until the value is dropped.
 pub enum DiscoveryStub {
     /// A server that receives calls.
     Server(StubServer),
     /// An address on which nothing listens.
-    Absent(ClosedAddress),
+    Unreachable(ClosedAddress),
 }
 
 impl DiscoveryStub {
@@ -19,7 +19,7 @@
     pub fn start(behaviour: Discovery) -> Self {
         match behaviour {
             Discovery::Silent => Self::Server(silent_discovery()),
-            Discovery::Refusing => Self::Absent(ClosedAddress::new()),
+            Discovery::Refusing => Self::Unreachable(ClosedAddress::new()),
             Discovery::Closing => Self::Server(StubServer::new(|_, _| Reply::Close)),
             Discovery::Failing => Self::Server(StubServer::new(|_, _| {
                 Reply::Respond(response("500 Internal Server Error", "no list"))
@@ -31,7 +31,7 @@
     pub fn address(&self) -> SocketAddr {
         match self {
             Self::Server(server) => server.address,
-            Self::Absent(closed) => closed.address,
+            Self::Unreachable(closed) => closed.address,
         }
     }
 }
--- a/crates/balancer-proxy/tests/soak/scenario.rs
+++ b/crates/balancer-proxy/tests/soak/scenario.rs
@@ -1,91 +1,92 @@
-//! What happens in one play of the soak, drawn from its seed.
+//! The scenarios of the soak test, each drawn at random from its seed.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-/// Time from the longest deadline to SIGKILL, the earliest that the protocol page allows.
+/// The time from the longest deadline to SIGKILL, the shortest that the protocol page allows.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// The behaviour of a backend of which the rest respond at once.
+/// The fault of the first backend. The other backends respond normally.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadBackend {
-    /// All backends respond.
+pub enum BackendFault {
+    /// The first backend responds normally too.
     None,
-    /// One backend closes each connection after its request.
+    /// The first backend closes each connection after its request.
     Resetting,
-    /// One backend never responds.
+    /// The first backend never responds.
     Silent,
 }
 
-/// The behaviour of discovery, which never sends a list: the processes serve from the cached one.
+/// The behaviour of discovery, which never sends an endpoint list: the processes use their cached list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
     /// Calls get no response.
     Silent,
-    /// Nothing listens.
+    /// Connections are refused, because nothing listens on the address.
     Refusing,
     /// Each connection is closed after its call.
     Closing,
-    /// Calls get an error.
+    /// Calls get an error response.
     Failing,
 }
 
 /// A signal that is sent to the old process.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedSignal {
-    /// The time from the first SIGTERM; the signal comes that long before it if `is_before` is set.
+    /// The time between the signal and the first SIGTERM.
     pub offset: Duration,
-    /// Whether the signal comes before the first SIGTERM.
+    /// Whether the signal is sent before the first SIGTERM, instead of after it.
     pub is_before: bool,
     /// The signal as an option of `kill`.
     pub signal: &'static str,
 }
 
-/// One play.
+/// One scenario.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The seed.
+    /// The seed from which the scenario was drawn.
     pub seed: u64,
     /// Whether a successor takes over before SIGTERM.
     pub has_successor: bool,
-    /// The connections that send a part of a head and no more.
+    /// The number of connections that send a part of a request head and no more.
     pub unfinished_heads: usize,
-    /// The behaviour of one of the backends.
-    pub bad_backend: BadBackend,
-    /// Whether a backend is taken out of service by operators.
+    /// The fault of the first backend.
+    pub backend_fault: BackendFault,
+    /// Whether operators put the first backend into maintenance.
     pub has_maintenance: bool,
     /// Whether some request bodies are long enough to be streamed.
     pub has_streamed_bodies: bool,
     /// The longest deadline of a request.
     pub longest_deadline: Duration,
-    /// The time of service before SIGTERM.
-    pub service: Duration,
-    /// The signals beside the first SIGTERM.
+    /// The time for which the old process serves clients before a successor starts or, without one, before
+    /// SIGTERM.
+    pub service_time: Duration,
+    /// The signals in addition to the first SIGTERM.
     pub signals: Vec<TimedSignal>,
     /// The behaviour of discovery.
     pub discovery: Discovery,
 }
 
 impl Scenario {
-    /// Draws the play of a seed.
+    /// Draws the scenario of a seed.
     pub fn draw(seed: u64) -> Self {
         let random = &mut SmallRng::seed_from_u64(seed);
         let milliseconds = |random: &mut SmallRng, range| Duration::from_millis(random.random_range(range));
-        let has_crowd = random.random_bool(0.3);
+        let has_unfinished_heads = random.random_bool(0.3);
         Self {
             seed,
             has_successor: random.random_bool(0.5),
-            unfinished_heads: if has_crowd { random.random_range(100..300) } else { 0 },
-            bad_backend: match random.random_range(0..4) {
-                0 => BadBackend::Resetting,
-                1 => BadBackend::Silent,
-                _ => BadBackend::None,
+            unfinished_heads: if has_unfinished_heads { random.random_range(100..300) } else { 0 },
+            backend_fault: match random.random_range(0..4) {
+                0 => BackendFault::Resetting,
+                1 => BackendFault::Silent,
+                _ => BackendFault::None,
             },
             has_maintenance: random.random_bool(0.4),
             has_streamed_bodies: random.random_bool(0.4),
             longest_deadline: milliseconds(random, 600..2000),
-            service: milliseconds(random, 400..900),
+            service_time: milliseconds(random, 400..900),
             signals: draw_signals(random),
             discovery: match random.random_range(0..4) {
                 0 => Discovery::Refusing,
@@ -97,7 +98,7 @@
     }
 
     /// Returns the time from SIGTERM to SIGKILL.
-    pub fn kill_delay(&self) -> Duration {
+    pub fn sigkill_delay(&self) -> Duration {
         self.longest_deadline + SIGKILL_MARGIN
     }
 }
