--- a/crates/balancer-proxy/tests/queued_client_disconnects.rs
+++ b/crates/balancer-proxy/tests/queued_client_disconnects.rs
@@ -25,8 +25,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A proxy whose class `look` sends the requests of an ordering key one after another, with one request of
-/// that class in flight.
+/// A proxy that dispatches requests of class `look` with the same ordering key one after another. One request
+/// of that class is in flight.
 struct OccupiedOrderingKey {
     proxy: ProxyProcess,
     /// The backend, which holds the response to the first request until the response is released.
--- a/crates/balancer-proxy/tests/race_conditions.rs
+++ b/crates/balancer-proxy/tests/race_conditions.rs
@@ -77,7 +77,7 @@
             Some(200) => assert_eq!(counts, [1, 0, 0]),
             Some(429 | 503) => assert_eq!(counts, [0, 1, 0]),
             Some(_) => assert_eq!(counts, [0, 0, 1]),
-            // A client that has disconnected is counted once or not at all.
+            // The request of a client that has disconnected is counted once or not at all.
             None => assert!(counts.iter().sum::<u64>() <= 1),
         }
         assert_eq!(
--- a/crates/balancer-proxy/tests/settings_reload.rs
+++ b/crates/balancer-proxy/tests/settings_reload.rs
@@ -62,7 +62,7 @@
     // The next request waits for its response.
     let mut waiting = proxy.begin_request(&request("order", 9000).replace("body", "held"));
     wait_for("attempt", || connections() == 1);
-    // The next request has a body that is still being streamed.
+    // The body of the next request is still being streamed.
     let mut streamed = proxy.begin_request(&request_with_framing("order", "Content-Length: 200000\r\n\r\n"));
     streamed.get_mut().write_all(&[b'x'; 100_000]).unwrap();
     wait_for("attempt", || connections() == 2);
--- a/crates/balancer-proxy/tests/settings_reload_by_two_processes.rs
+++ b/crates/balancer-proxy/tests/settings_reload_by_two_processes.rs
@@ -47,7 +47,7 @@
     old.replace_configuration(&versioned_configuration(4, &[&backend]));
     check_version_in_force(&[&old, &new], 4);
 
-    // The process that gets the signal is killed before it handles it.
+    // The process that gets the signal is killed before it handles the signal.
     old.signal("-STOP");
     old.replace_configuration(&versioned_configuration(5, &[&backend]));
     old.signal("-HUP");
