--- a/crates/balancer-proxy/tests/client_disconnects.rs
+++ b/crates/balancer-proxy/tests/client_disconnects.rs
@@ -5,13 +5,13 @@
 mod common;
 
 use common::client_disconnect::{
-    Disconnect, proxy_with_cancellation, received_of_class, wait_for_no_open_request,
+    Disconnect, proxy_with_cancellation, request_count_of_class, wait_for_no_open_request,
     wait_until_input_is_handled,
 };
 use common::configuration::{endpoint_list, listed_endpoint, request, request_with_framing, serving_list};
 use common::http::{exchange, read_body, read_head, read_message, response};
 use common::late_server::LateServer;
-use common::socket_table::{CLOSE_WAIT, ESTABLISHED, sockets_on_port, sockets_to_port};
+use common::socket_table::{TCP_CLOSE_WAIT, TCP_ESTABLISHED, sockets_on_port, sockets_to_port};
 use common::stub_server::StubServer;
 use common::waiting::{TEST_TIMEOUT, wait_for};
 use std::io::{ErrorKind, Read, Write};
@@ -86,11 +86,11 @@
         wait_for("attempt", || backend.connection_count() == 1);
 
         drop(stream);
-        wait_for("end of the client", || sockets_on_port(port, ESTABLISHED) == 0);
+        wait_for("end of the client", || sockets_on_port(port, TCP_ESTABLISHED) == 0);
         // The end has reached the proxy's system, as far as the buffers hold the bytes before the end. The
         // proxy closes its side, or has had ample time for that.
         let start = Instant::now();
-        while sockets_to_port(port, CLOSE_WAIT) > 0 && start.elapsed() < Duration::from_secs(3) {
+        while sockets_to_port(port, TCP_CLOSE_WAIT) > 0 && start.elapsed() < Duration::from_secs(3) {
             std::thread::sleep(Duration::from_millis(5));
         }
         release.send(()).unwrap();
@@ -136,7 +136,7 @@
     wait_until_input_is_handled(&proxy);
 
     assert_eq!(
-        received_of_class(&backend, "order"),
+        request_count_of_class(&backend, "order"),
         0,
         "{disconnect:?}, cancel {cancel}, sent before: {sent_before:?}"
     );
@@ -177,7 +177,7 @@
     wait_for("second connection attempt", || backend.has_pending_connection());
 
     let readable_stream = disconnect.disconnect(stream);
-    wait_for("close by the proxy", || sockets_to_port(port, CLOSE_WAIT) == 0);
+    wait_for("close by the proxy", || sockets_to_port(port, TCP_CLOSE_WAIT) == 0);
     let received = backend.accept_all();
 
     assert!(received.is_empty(), "{disconnect:?}, cancel {cancel}: {received:?}");
--- a/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
+++ b/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::client_disconnect::{
-    Disconnect, proxy_with_cancellation, received_of_class, wait_for_no_open_request,
+    Disconnect, proxy_with_cancellation, request_count_of_class, wait_for_no_open_request,
     wait_until_input_is_handled,
 };
 use common::configuration::{endpoint_list, listed_endpoint, request, serving_list};
 use common::http::{read_head, read_message, response};
-use common::stub_server::{Reply, StubServer, wait_for_end};
+use common::stub_server::{Reply, StubServer, wait_for_input_or_close};
 use common::waiting::{wait_for, wait_for_disconnect};
 use socket2::{Domain, Socket, Type};
 use std::io::{ErrorKind, Write};
@@ -66,7 +66,8 @@
     let proxy = proxy_with_cancellation(cancel, &serving_list(&[&backends[0], &backends[1]]));
     // The next timer of the request is due 0.8 s after the arrival, plus or minus a tenth.
     let stream = proxy.begin_request(&request("look", 2000));
-    let attempts = || received_of_class(&backends[0], "look") + received_of_class(&backends[1], "look");
+    let attempts =
+        || request_count_of_class(&backends[0], "look") + request_count_of_class(&backends[1], "look");
     wait_for("attempt", || attempts() == 1);
 
     let readable_stream = proxy.while_stopped(|| {
@@ -160,7 +161,7 @@
             let head = "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n";
             let _ = stream.get_mut().write_all(head.as_bytes());
             let _ = stream.get_mut().write_all(&[b'x'; 100_000]);
-            wait_for_end(stream);
+            wait_for_input_or_close(stream);
             let _ = report_close.lock().unwrap().send(());
         }
     })
--- a/crates/balancer-proxy/tests/common/body.rs
+++ b/crates/balancer-proxy/tests/common/body.rs
@@ -5,12 +5,12 @@
 use std::thread::JoinHandle;
 
 /// Bytes that depend on their position.
-pub fn pattern(length: usize) -> Vec<u8> {
+pub fn position_dependent_bytes(length: usize) -> Vec<u8> {
     (0..length).map(|index| (index ^ (index >> 8) ^ (index >> 16)) as u8).collect()
 }
 
 /// The data in chunked encoding, with chunk extensions and a trailer.
-pub fn chunked(data: &[u8], chunk_length: usize) -> Vec<u8> {
+pub fn encode_chunked(data: &[u8], chunk_length: usize) -> Vec<u8> {
     let mut encoded = Vec::new();
     for chunk in data.chunks(chunk_length) {
         write!(encoded, "{:x};a=b\r\n", chunk.len()).unwrap();
--- a/crates/balancer-proxy/tests/common/client_disconnect.rs
+++ b/crates/balancer-proxy/tests/common/client_disconnect.rs
@@ -9,7 +9,7 @@
 
 use super::configuration::{configuration_with_management, default_settings, request};
 use super::proxy_process::ProxyProcess;
-use super::socket_table::{ESTABLISHED, Ports, sockets_between};
+use super::socket_table::{ConnectionPorts, TCP_ESTABLISHED, sockets_between};
 use super::stub_server::{StubServer, silent_discovery};
 use super::waiting::wait_for;
 
@@ -56,8 +56,10 @@
     /// holds a copy of the socket, and a close has no effect before that copy is gone.
     pub fn disconnect(self, stream: BufReader<TcpStream>) -> Option<BufReader<TcpStream>> {
         let port = |address: std::io::Result<SocketAddr>| address.unwrap().port();
-        let proxy_side =
-            Ports { local: port(stream.get_ref().peer_addr()), remote: port(stream.get_ref().local_addr()) };
+        let proxy_side = ConnectionPorts {
+            local: port(stream.get_ref().peer_addr()),
+            remote: port(stream.get_ref().local_addr()),
+        };
         let readable_stream = match self {
             Self::Close | Self::CloseAfterPipelining => {
                 drop(stream);
@@ -73,7 +75,7 @@
                 Some(stream)
             }
         };
-        wait_for("end of the client", || sockets_between(proxy_side, ESTABLISHED) == 0);
+        wait_for("end of the client", || sockets_between(proxy_side, TCP_ESTABLISHED) == 0);
         readable_stream
     }
 }
@@ -88,7 +90,7 @@
 }
 
 /// The number of complete requests of this class that the backend has received.
-pub fn received_of_class(backend: &StubServer, class: &str) -> usize {
+pub fn request_count_of_class(backend: &StubServer, class: &str) -> usize {
     let requests = backend.requests.lock().unwrap();
     requests.iter().filter(|message| message.header("x-lane") == Some(class)).count()
 }
--- a/crates/balancer-proxy/tests/common/late_server.rs
+++ b/crates/balancer-proxy/tests/common/late_server.rs
@@ -6,7 +6,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-use super::socket_table::{SYN_SENT, local_ports_to};
+use super::socket_table::{TCP_SYN_SENT, local_ports_to};
 use super::waiting::{TEST_TIMEOUT, wait_for};
 
 /// A listener with a backlog of one connection. While the backlog is full, the system drops further
@@ -84,7 +84,7 @@
 
     /// Returns the ports of the peers that are waiting for their connections to be established.
     pub fn pending_ports(&self) -> Vec<u16> {
-        local_ports_to(self.address.port(), SYN_SENT)
+        local_ports_to(self.address.port(), TCP_SYN_SENT)
     }
 
     /// Accepts connections while peers are connecting, and returns all non-empty texts that peers write.
--- a/crates/balancer-proxy/tests/common/proxy_process.rs
+++ b/crates/balancer-proxy/tests/common/proxy_process.rs
@@ -67,7 +67,7 @@
     }
 
     /// Starts a proxy like [`ProxyProcess::in_front_of`], with a management address.
-    pub fn with_management(backends: &[&StubServer]) -> Self {
+    pub fn with_management_address(backends: &[&StubServer]) -> Self {
         let configuration = configuration_with_management(&default_settings(), &serving_list(backends));
         Self::with_configuration(&configuration, silent_discovery().address)
     }
--- a/crates/balancer-proxy/tests/common/scripted_discovery.rs
+++ b/crates/balancer-proxy/tests/common/scripted_discovery.rs
@@ -10,7 +10,7 @@
 
 use super::configuration::{endpoint_list, listed_endpoint, serving_list};
 use super::http::read_message;
-use super::stub_server::{StubServer, wait_for_end};
+use super::stub_server::{StubServer, wait_for_input_or_close};
 
 /// The start of a response that ends within its head.
 pub const PARTIAL_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Le";
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub struct ReceivedCall {
     /// When the call had arrived completely.
-    pub at: Instant,
+    pub received_at: Instant,
     /// The first line of the call.
     pub request_line: String,
 }
@@ -45,7 +45,8 @@
             while let Some(message) = read_message(stream) {
                 let earlier_calls = {
                     let mut received = received.lock().unwrap();
-                    received.push(ReceivedCall { at: Instant::now(), request_line: message.start_line });
+                    received
+                        .push(ReceivedCall { received_at: Instant::now(), request_line: message.start_line });
                     received.len() - 1
                 };
                 if handle_call(earlier_calls, stream).is_break() {
@@ -69,7 +70,7 @@
                     return ControlFlow::Break(());
                 }
                 1 => stream.get_mut().write_all(event_response.as_bytes()).unwrap(),
-                _ => wait_for_end(stream),
+                _ => wait_for_input_or_close(stream),
             }
             ControlFlow::Continue(())
         })
@@ -93,19 +94,19 @@
 pub fn write_and_hang(text: &'static str) -> impl Fn(&mut BufReader<TcpStream>) + Send + Sync + 'static {
     move |stream| {
         let _ = stream.get_mut().write_all(text.as_bytes());
-        wait_for_end(stream);
+        wait_for_input_or_close(stream);
     }
 }
 
 /// Two backends, the first of which leaves in favour of the second by a watch event.
-pub struct Replacement {
+pub struct BackendReplacement {
     /// The backend that leaves; its responses have the body `old`.
     pub old: StubServer,
     /// The backend that the event adds; its responses have the body `new`.
     pub new: StubServer,
 }
 
-impl Replacement {
+impl BackendReplacement {
     /// Starts both backends.
     pub fn start() -> Self {
         Self { old: StubServer::responding_with("old"), new: StubServer::responding_with("new") }
--- a/crates/balancer-proxy/tests/common/settings_reload.rs
+++ b/crates/balancer-proxy/tests/common/settings_reload.rs
@@ -26,7 +26,7 @@
 }
 
 /// Replaces the file, sends SIGHUP and waits until the file has been applied or rejected.
-pub fn reload(proxy: &ProxyProcess, configuration: &Value) {
+pub fn reload_configuration(proxy: &ProxyProcess, configuration: &Value) {
     let before = settings_metrics(proxy);
     proxy.replace_configuration(configuration);
     proxy.signal("-HUP");
--- a/crates/balancer-proxy/tests/common/shared_address.rs
+++ b/crates/balancer-proxy/tests/common/shared_address.rs
@@ -15,8 +15,8 @@
 
 /// An address and a state folder that an old and a new process share during an upgrade.
 pub struct SharedAddress {
-    listen: SocketAddr,
-    folder: PathBuf,
+    listen_address: SocketAddr,
+    state_folder: PathBuf,
 }
 
 impl SharedAddress {
@@ -24,26 +24,26 @@
     pub fn new() -> Self {
         let number = next_unique_number();
         let [.., high, low] = std::process::id().to_be_bytes();
-        let listen = SocketAddr::from(([127, 77, high, low], 20_000 + number as u16 % 10_000));
-        Self { listen, folder: empty_folder(number) }
+        let listen_address = SocketAddr::from(([127, 77, high, low], 20_000 + number as u16 % 10_000));
+        Self { listen_address, state_folder: empty_folder(number) }
     }
 
     /// Like [`SharedAddress::new`], with a state folder whose path is too long for the address of a Unix socket.
     pub fn in_folder_with_long_name() -> Self {
         let address = Self::new();
-        let folder = address.folder.join("folder-with-a-long-name-".repeat(5));
-        std::fs::create_dir_all(&folder).unwrap();
-        Self { folder, ..address }
+        let state_folder = address.state_folder.join("folder-with-a-long-name-".repeat(5));
+        std::fs::create_dir_all(&state_folder).unwrap();
+        Self { state_folder, ..address }
     }
 
     /// The path of a state file that the processes share.
     pub fn state_file(&self, extension: &str) -> PathBuf {
-        self.folder.join(format!("dewpier-{}", self.listen)).with_added_extension(extension)
+        self.state_folder.join(format!("dewpier-{}", self.listen_address)).with_added_extension(extension)
     }
 
     /// Removes the state folder.
     pub fn remove_folder(&self) {
-        std::fs::remove_dir_all(&self.folder).unwrap();
+        std::fs::remove_dir_all(&self.state_folder).unwrap();
     }
 
     /// Starts a process with a management address of its own and a silent discovery.
@@ -77,7 +77,7 @@
             self.proxy_command(configuration, silent_discovery().address);
         ProxyProcess {
             child: command.stderr(log).spawn().unwrap(),
-            address: self.listen,
+            address: self.listen_address,
             management: None,
             starting_log: Vec::new(),
             log: Arc::default(),
@@ -92,8 +92,8 @@
 
     fn proxy_command(&self, configuration: &Value, discovery: SocketAddr) -> ProxyCommand {
         let mut proxy_command = proxy_command(&configuration.to_string(), discovery);
-        proxy_command.command.env("RELAY_LISTEN", self.listen.to_string());
-        proxy_command.command.env("TMPDIR", &self.folder);
+        proxy_command.command.env("RELAY_LISTEN", self.listen_address.to_string());
+        proxy_command.command.env("TMPDIR", &self.state_folder);
         proxy_command
     }
 }
--- a/crates/balancer-proxy/tests/common/socket_table.rs
+++ b/crates/balancer-proxy/tests/common/socket_table.rs
@@ -1,15 +1,15 @@
 //! The states of TCP sockets, from the system's table of IPv4 sockets (`/proc/net/tcp`).
 
 /// State of an established connection, as the table writes it.
-pub const ESTABLISHED: &str = "01";
+pub const TCP_ESTABLISHED: &str = "01";
 /// State of a connection that is being established by this side.
-pub const SYN_SENT: &str = "02";
+pub const TCP_SYN_SENT: &str = "02";
 /// State of a connection that the peer has closed and this side has not.
-pub const CLOSE_WAIT: &str = "08";
+pub const TCP_CLOSE_WAIT: &str = "08";
 
 /// The ports of a connection, seen from one side.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct Ports {
+pub struct ConnectionPorts {
     /// This side's port.
     pub local: u16,
     /// The peer's port.
@@ -35,16 +35,16 @@
 
 /// Returns the number of sockets in this state with both ports: one side of a single connection,
 /// whatever other connections the machine has.
-pub fn sockets_between(ports: Ports, state: &str) -> usize {
+pub fn sockets_between(ports: ConnectionPorts, state: &str) -> usize {
     sockets_in(state).into_iter().filter(|other| *other == ports).count()
 }
 
-fn sockets_in(state: &str) -> Vec<Ports> {
+fn sockets_in(state: &str) -> Vec<ConnectionPorts> {
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let rows = table.lines().skip(1).map(|row| row.split_whitespace().collect::<Vec<_>>());
     // Columns: number, local address, remote address, state.
     let selected = rows.filter(|row| row[3] == state);
-    selected.map(|row| Ports { local: port(row[1]), remote: port(row[2]) }).collect()
+    selected.map(|row| ConnectionPorts { local: port(row[1]), remote: port(row[2]) }).collect()
 }
 
 /// Returns the port of an address such as `0100007F:1F90`.
--- a/crates/balancer-proxy/tests/common/state_folder.rs
+++ b/crates/balancer-proxy/tests/common/state_folder.rs
@@ -18,18 +18,18 @@
     }
 
     /// The path that the files of `127.0.0.1:7070` start with.
-    pub fn base(&self) -> PathBuf {
-        self.file("dewpier-127.0.0.1:7070")
+    pub fn base_path(&self) -> PathBuf {
+        self.file_path("dewpier-127.0.0.1:7070")
     }
 
     /// The path of the file of this name.
-    pub fn file(&self, name: &str) -> PathBuf {
+    pub fn file_path(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
 
     /// The content of the file of this name.
     pub fn read(&self, name: &str) -> String {
-        std::fs::read_to_string(self.file(name)).unwrap()
+        std::fs::read_to_string(self.file_path(name)).unwrap()
     }
 
     /// The contents of all files, by name.
@@ -41,8 +41,8 @@
 
     /// Creates a file with this content and locks it, as a running process of the old version does.
     pub fn lock_as_old_version(&self, name: &str, content: &str) -> File {
-        std::fs::write(self.file(name), content).unwrap();
-        let file = File::options().read(true).write(true).open(self.file(name)).unwrap();
+        std::fs::write(self.file_path(name), content).unwrap();
+        let file = File::options().read(true).write(true).open(self.file_path(name)).unwrap();
         file.try_lock().unwrap();
         file
     }
@@ -55,6 +55,6 @@
 }
 
 /// The contents of files by name, as [`StateFolder::contents`] returns them.
-pub fn contents<const N: usize>(files: [(&str, &str); N]) -> BTreeMap<String, String> {
+pub fn expected_contents<const N: usize>(files: [(&str, &str); N]) -> BTreeMap<String, String> {
     files.map(|(name, content)| (name.to_string(), content.to_string())).into()
 }
--- a/crates/balancer-proxy/tests/common/stub_server.rs
+++ b/crates/balancer-proxy/tests/common/stub_server.rs
@@ -128,9 +128,9 @@
                 return;
             }
             Reply::Close => return,
-            Reply::Hang => return wait_for_end(stream),
+            Reply::Hang => return wait_for_input_or_close(stream),
             Reply::HangAndReport(disconnected) => {
-                wait_for_end(stream);
+                wait_for_input_or_close(stream);
                 let _ = disconnected.send(());
                 return;
             }
@@ -144,6 +144,6 @@
 }
 
 /// Waits until the peer writes more or closes the connection.
-pub fn wait_for_end(stream: &mut BufReader<TcpStream>) {
+pub fn wait_for_input_or_close(stream: &mut BufReader<TcpStream>) {
     let _ = stream.read(&mut [0]);
 }
--- a/crates/balancer-proxy/tests/common/takeover.rs
+++ b/crates/balancer-proxy/tests/common/takeover.rs
@@ -26,7 +26,7 @@
 }
 
 /// A backend that responds at once, and an address whose processes know that backend.
-pub struct Service {
+pub struct TakeoverFixture {
     /// The backend.
     pub backend: StubServer,
     /// The address.
@@ -35,14 +35,14 @@
     pub configuration: Value,
 }
 
-impl Service {
+impl TakeoverFixture {
     /// Starts the backend, and no process yet.
     pub fn new() -> Self {
-        Self::at(SharedAddress::new())
+        Self::with_address(SharedAddress::new())
     }
 
-    /// Like [`Service::new`], at this address.
-    pub fn at(address: SharedAddress) -> Self {
+    /// Like [`TakeoverFixture::new`], at this address.
+    pub fn with_address(address: SharedAddress) -> Self {
         let backend = StubServer::responding_with("hello");
         let configuration = default_configuration(&[&backend]);
         Self { backend, address, configuration }
@@ -54,12 +54,12 @@
     }
 
     /// The socket on which the first process of the address offers its listener.
-    pub fn first_offer(&self) -> PathBuf {
+    pub fn first_offer_path(&self) -> PathBuf {
         self.address.state_file("seat-0.listener")
     }
 }
 
-impl Default for Service {
+impl Default for TakeoverFixture {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/balancer-proxy/tests/connection_limits.rs
+++ b/crates/balancer-proxy/tests/connection_limits.rs
@@ -224,7 +224,7 @@
 
 #[test]
 fn responds_to_all_management_calls_that_arrive_at_once() {
-    let proxy = ProxyProcess::with_management(&[&StubServer::responding_with("hello")]);
+    let proxy = ProxyProcess::with_management_address(&[&StubServer::responding_with("hello")]);
 
     proxy.signal("-STOP");
     let calls: Vec<_> = (0..50)
--- a/crates/balancer-proxy/tests/discovery_return.rs
+++ b/crates/balancer-proxy/tests/discovery_return.rs
@@ -7,9 +7,9 @@
 use common::http::response;
 use common::proxy_process::ProxyProcess;
 use common::scripted_discovery::{
-    PARTIAL_BODY, PARTIAL_HEAD, Replacement, ScriptedDiscovery, write_and_hang,
+    BackendReplacement, PARTIAL_BODY, PARTIAL_HEAD, ScriptedDiscovery, write_and_hang,
 };
-use common::stub_server::wait_for_end;
+use common::stub_server::wait_for_input_or_close;
 use common::waiting::wait_for;
 use serde_json::json;
 use std::io::Write;
@@ -30,7 +30,7 @@
             None if earlier_calls == 0 => stream.get_mut().write_all(cached_list.as_bytes()).unwrap(),
             None => return ControlFlow::Break(()),
             Some(0) => {
-                wait_for_end(stream);
+                wait_for_input_or_close(stream);
                 return ControlFlow::Break(());
             }
             Some(1) => {
@@ -38,7 +38,7 @@
                 return ControlFlow::Break(());
             }
             Some(2) => stream.get_mut().write_all(event.as_bytes()).unwrap(),
-            Some(_) => wait_for_end(stream),
+            Some(_) => wait_for_input_or_close(stream),
         }
         ControlFlow::Continue(())
     })
@@ -61,7 +61,7 @@
 
 fn receives_the_event_after_a_chain_of_faults(chain: FaultChain, seed: usize) {
     let FaultChain { registry_mode, closed_calls } = chain;
-    let backends = Replacement::start();
+    let backends = BackendReplacement::start();
     let event = response("200 OK", &backends.event(2, "DRAINING").to_string());
     let cached_list = response("200 OK", &backends.cached_list().to_string());
     let partial_response = [PARTIAL_HEAD, PARTIAL_BODY][seed % 2];
@@ -81,7 +81,7 @@
 
     wait_for("list", || discovery.call_count() >= closed_calls + 5);
 
-    let time_of_call = |index: usize| discovery.call(index).at;
+    let time_of_call = |index: usize| discovery.call(index).received_at;
     let elapsed = time_of_call(closed_calls + 3) - time_of_call(closed_calls + 1);
     let case = format!("{registry_mode}, {closed_calls} closed, seed {seed}");
     assert!(elapsed < Duration::from_secs(6), "{case}: {elapsed:?}");
--- a/crates/balancer-proxy/tests/endpoint_updates.rs
+++ b/crates/balancer-proxy/tests/endpoint_updates.rs
@@ -7,7 +7,7 @@
 use common::http::{HttpMessage, read_message, response};
 use common::late_server::LateServer;
 use common::proxy_process::ProxyProcess;
-use common::scripted_discovery::{Replacement, ScriptedDiscovery};
+use common::scripted_discovery::{BackendReplacement, ScriptedDiscovery};
 use common::stub_server::{Reply, StubServer};
 use common::waiting::wait_for;
 use serde_json::json;
@@ -19,7 +19,7 @@
 fn applies_changes_whose_generation_restarts_and_asks_for_the_full_list() {
     // The cached list is of generation 1; changes of generation 0 come from a restarted discovery.
     for (generation, asks_for_full_list) in [(0, true), (1, false), (2, false)] {
-        let backends = Replacement::start();
+        let backends = BackendReplacement::start();
         let event = response("200 OK", &backends.event(generation, "DRAINING").to_string());
         let discovery = ScriptedDiscovery::with_failing_first_call(|_| {}, event);
         let proxy =
@@ -72,7 +72,7 @@
 
 #[test]
 fn keeps_the_cached_list_while_discovery_fails_and_repeats_its_calls() {
-    let backends = Replacement::start();
+    let backends = BackendReplacement::start();
     let event = backends.event(2, "DELETED").to_string();
     let is_working = Arc::new(AtomicBool::new(false));
     let may_respond = is_working.clone();
--- a/crates/balancer-proxy/tests/endpoint_watch.rs
+++ b/crates/balancer-proxy/tests/endpoint_watch.rs
@@ -7,9 +7,9 @@
 use common::http::response;
 use common::proxy_process::ProxyProcess;
 use common::scripted_discovery::{
-    PARTIAL_BODY, PARTIAL_HEAD, Replacement, ScriptedDiscovery, write_and_hang,
+    BackendReplacement, PARTIAL_BODY, PARTIAL_HEAD, ScriptedDiscovery, write_and_hang,
 };
-use common::stub_server::{Reply, StubServer, wait_for_end};
+use common::stub_server::{Reply, StubServer, wait_for_input_or_close};
 use common::waiting::{TEST_TIMEOUT, wait_for};
 use serde_json::json;
 use socket2::SockRef;
@@ -53,7 +53,7 @@
     };
     let endless_body = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     vec![
-        Fault::new("no response", wait_for_end),
+        Fault::new("no response", wait_for_input_or_close),
         Fault::new("closed", |_| {}),
         Fault::new("reset", reset),
         Fault::new("partial head", write_and_hang(PARTIAL_HEAD)),
@@ -66,7 +66,7 @@
 }
 
 /// Starts a proxy that knows the old backend, with this discovery.
-fn start_proxy(backends: &Replacement, discovery: &StubServer) -> ProxyProcess {
+fn start_proxy(backends: &BackendReplacement, discovery: &StubServer) -> ProxyProcess {
     ProxyProcess::start(&default_settings(), &backends.cached_list(), discovery.address)
 }
 
@@ -75,7 +75,7 @@
     std::thread::scope(|scope| {
         for Fault { name, handler } in faults() {
             scope.spawn(move || {
-                let backends = Replacement::start();
+                let backends = BackendReplacement::start();
                 // Indented, as lists may be.
                 let event = serde_json::to_string_pretty(&backends.event(2, "DRAINING")).unwrap();
                 let discovery =
@@ -97,7 +97,7 @@
 
 #[test]
 fn repeats_a_watch_without_a_complete_response_before_its_event_counts_as_notified() {
-    let backends = Replacement::start();
+    let backends = BackendReplacement::start();
     let full_response = response("200 OK", &backends.event(2, "DRAINING").to_string());
     let half_response = full_response[..full_response.len() / 2].to_string();
     for partial_response in [None, Some(half_response)] {
@@ -132,7 +132,7 @@
     let backend = StubServer::responding_with("hello");
     let start_with_seed = |seed: usize| {
         let discovery = ScriptedDiscovery::new(|_, stream| {
-            wait_for_end(stream);
+            wait_for_input_or_close(stream);
             ControlFlow::Break(())
         });
         let mut configuration = configuration(&default_settings(), &serving_list(&[&backend]));
@@ -146,7 +146,7 @@
         .iter()
         .map(|WatchingProxy { discovery, .. }| {
             wait_for("second call", || discovery.call_count() >= 2);
-            discovery.call(1).at - discovery.call(0).at
+            discovery.call(1).received_at - discovery.call(0).received_at
         })
         .collect();
 
--- a/crates/balancer-proxy/tests/example_configuration.rs
+++ b/crates/balancer-proxy/tests/example_configuration.rs
@@ -6,7 +6,7 @@
 use common::http::response;
 use common::proxy_process::ProxyProcess;
 use common::scripted_discovery::ScriptedDiscovery;
-use common::stub_server::{StubServer, wait_for_end};
+use common::stub_server::{StubServer, wait_for_input_or_close};
 use common::waiting::wait_for;
 use serde_json::{Value, json};
 use std::io::Write;
@@ -26,7 +26,7 @@
     let list = endpoint_list(1, true, &[listed_endpoint("s-0", backend.address, "SERVING")]).to_string();
     ScriptedDiscovery::new(move |earlier_calls, stream| {
         if earlier_calls > 0 {
-            wait_for_end(stream);
+            wait_for_input_or_close(stream);
             return ControlFlow::Break(());
         }
         stream.get_mut().write_all(response("200 OK", &list).as_bytes()).unwrap();
--- a/crates/balancer-proxy/tests/instance_lock_format.rs
+++ b/crates/balancer-proxy/tests/instance_lock_format.rs
@@ -10,7 +10,7 @@
 use common::configuration::{default_configuration, request};
 use common::http::exchange;
 use common::shared_address::SharedAddress;
-use common::state_folder::{StateFolder, contents};
+use common::state_folder::{StateFolder, expected_contents};
 use common::stub_server::StubServer;
 use common::waiting::wait_for;
 use serde_json::json;
@@ -27,17 +27,17 @@
     let folder = StateFolder::new("first");
     let old = folder.lock_as_old_version("dewpier-127.0.0.1:7070.seat-0", "listening");
     let settings = "00c0ffee00c0ffee, version 7\n";
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.seat-0.settings"), settings).unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.seat-0.settings"), settings).unwrap();
 
-    let lock = acquire(&folder.base());
+    let lock = acquire(&folder.base_path());
 
     assert!(lock.other_process().is_running() && lock.other_is_listening());
     assert!(!lock.other_settings_differ("00c0ffee00c0ffee, version 7\n"));
     assert!(lock.other_settings_differ("00c0ffee00c0ffee, version 8\n"));
     // It holds the second lock, as the old version sees.
-    let second = File::open(folder.file("dewpier-127.0.0.1:7070.seat-1")).unwrap();
+    let second = File::open(folder.file_path("dewpier-127.0.0.1:7070.seat-1")).unwrap();
     assert!(matches!(second.try_lock_shared(), Err(std::fs::TryLockError::WouldBlock)));
-    let expected = contents([
+    let expected = expected_contents([
         ("dewpier-127.0.0.1:7070.seat-0", "listening"),
         ("dewpier-127.0.0.1:7070.seat-0.settings", "00c0ffee00c0ffee, version 7\n"),
         ("dewpier-127.0.0.1:7070.seat-1", ""),
@@ -56,7 +56,7 @@
     let folder = StateFolder::new("starting");
     let _old = folder.lock_as_old_version("dewpier-127.0.0.1:7070.seat-1", "");
 
-    let lock = acquire(&folder.base());
+    let lock = acquire(&folder.base_path());
 
     assert!(lock.other_process().is_running() && !lock.other_is_listening());
     assert!(!lock.other_settings_differ("00c0ffee00c0ffee\n"), "it has published none");
@@ -67,11 +67,11 @@
     let folder = StateFolder::new("third");
     let _first = folder.lock_as_old_version("dewpier-127.0.0.1:7070.seat-0", "");
     let _second = folder.lock_as_old_version("dewpier-127.0.0.1:7070.seat-1", "listening");
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.seat-0.settings"), "1\n").unwrap();
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.seat-1.settings"), "2\n").unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.seat-0.settings"), "1\n").unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.seat-1.settings"), "2\n").unwrap();
     let before = folder.contents();
 
-    let lock = acquire(&folder.base());
+    let lock = acquire(&folder.base_path());
     lock.announce_listening().unwrap();
     lock.publish_fingerprint("3\n").unwrap();
 
@@ -84,19 +84,19 @@
 #[test]
 fn files_that_a_killed_old_process_left_are_taken_over() {
     let folder = StateFolder::new("left");
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.seat-0"), "listening").unwrap();
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.seat-0.settings"), "1\n").unwrap();
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.seat-1"), "listening").unwrap();
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.seat-1.settings"), "2\n").unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.seat-0"), "listening").unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.seat-0.settings"), "1\n").unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.seat-1"), "listening").unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.seat-1.settings"), "2\n").unwrap();
 
-    let lock = acquire(&folder.base());
+    let lock = acquire(&folder.base_path());
 
     assert!(
         !lock.other_process().is_running()
             && !lock.other_is_listening()
             && !lock.other_settings_differ("3\n")
     );
-    let expected = contents([
+    let expected = expected_contents([
         ("dewpier-127.0.0.1:7070.seat-0", ""),
         ("dewpier-127.0.0.1:7070.seat-0.settings", ""),
         ("dewpier-127.0.0.1:7070.seat-1", "listening"),
@@ -109,16 +109,16 @@
 fn lock_files_are_written_byte_for_byte_as_the_old_version_reads_them() {
     let folder = StateFolder::new("written");
 
-    let lock = acquire(&folder.base());
+    let lock = acquire(&folder.base_path());
     lock.announce_listening().unwrap();
     lock.publish_fingerprint("00c0ffee00c0ffee, version 7\n").unwrap();
 
-    let expected = contents([
+    let expected = expected_contents([
         ("dewpier-127.0.0.1:7070.seat-0", "listening"),
         ("dewpier-127.0.0.1:7070.seat-0.settings", "00c0ffee00c0ffee, version 7\n"),
     ]);
     assert_eq!(folder.contents(), expected);
-    let first = File::open(folder.file("dewpier-127.0.0.1:7070.seat-0")).unwrap();
+    let first = File::open(folder.file_path("dewpier-127.0.0.1:7070.seat-0")).unwrap();
     assert!(matches!(first.try_lock_shared(), Err(std::fs::TryLockError::WouldBlock)));
     // Shorter settings replace longer ones.
     lock.publish_fingerprint("00c0ffee00c0ffee\n").unwrap();
--- a/crates/balancer-proxy/tests/listener_handover.rs
+++ b/crates/balancer-proxy/tests/listener_handover.rs
@@ -16,7 +16,7 @@
 use common::configuration::request;
 use common::http::{connect, exchange};
 use common::proxy_process::{ProxyProcess, exit_code};
-use common::takeover::{Service, assert_all_served, begin_requests};
+use common::takeover::{TakeoverFixture, assert_all_served, begin_requests};
 use std::fs::File;
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -26,7 +26,7 @@
 
 #[test]
 fn the_successor_serves_what_waits_when_the_old_process_is_killed() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
     let next = service.start();
     next.wait_until_ready();
@@ -44,7 +44,7 @@
 
 #[test]
 fn the_successor_accepts_what_arrives_while_the_old_process_is_stopped() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
     let next = service.start();
     next.wait_until_ready();
@@ -56,7 +56,7 @@
 
 #[test]
 fn the_old_process_serves_alone_again_when_its_successor_is_killed() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
     let mut next = service.start();
 
@@ -75,12 +75,12 @@
 
 #[test]
 fn a_successor_that_ends_half_way_leaves_the_offer_as_it_was() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
 
     // It ends before it has read the descriptor.
     for _ in 0..20 {
-        drop(UnixStream::connect(service.first_offer()).unwrap());
+        drop(UnixStream::connect(service.first_offer_path()).unwrap());
     }
 
     let next = service.start();
@@ -91,7 +91,7 @@
 
 #[test]
 fn two_successors_at_once_accept_from_the_same_queue() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
     let (mut second, third) = std::thread::scope(|scope| {
         let second = scope.spawn(|| service.start());
@@ -115,7 +115,7 @@
 
 #[test]
 fn takes_over_three_times_in_a_row() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut running = service.start();
     for _ in 0..3 {
         let next = service.start();
@@ -131,9 +131,9 @@
 
 #[test]
 fn binds_a_listener_beside_an_older_version_that_offers_none() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
-    std::fs::remove_file(service.first_offer()).unwrap();
+    std::fs::remove_file(service.first_offer_path()).unwrap();
 
     let next = service.start();
     next.wait_until_ready();
@@ -145,7 +145,7 @@
 
 #[test]
 fn shares_the_address_with_an_older_version_that_asks_for_no_listener() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
     // An older version has a lock and a listener of its own.
     let lock = File::create(service.address.state_file("seat-1")).unwrap();
@@ -167,7 +167,7 @@
 
 #[test]
 fn tells_that_the_listener_was_handed_over() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
 
     let next = service.start();
--- a/crates/balancer-proxy/tests/listener_offer.rs
+++ b/crates/balancer-proxy/tests/listener_offer.rs
@@ -6,7 +6,7 @@
 use common::proxy_process::exit_code;
 use common::shared_address::SharedAddress;
 use common::stub_server::silent_discovery;
-use common::takeover::{Service, assert_all_served, begin_requests};
+use common::takeover::{TakeoverFixture, assert_all_served, begin_requests};
 use common::waiting::wait_for;
 use rustix::net::{RecvAncillaryBuffer, RecvFlags, recvmsg};
 use std::io::IoSliceMut;
@@ -24,11 +24,11 @@
 
 #[test]
 fn replaces_the_socket_of_a_process_that_was_killed() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut killed = service.start();
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
-    assert!(service.first_offer().exists(), "the socket of the killed process");
+    assert!(service.first_offer_path().exists(), "the socket of the killed process");
 
     let restarted = service.start();
 
@@ -40,23 +40,23 @@
 
 #[test]
 fn removes_the_socket_at_the_end() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut process = service.start();
-    assert!(service.first_offer().exists());
+    assert!(service.first_offer_path().exists());
 
     process.signal("-TERM");
 
     assert_eq!(exit_code(&mut process.child), Some(0));
-    assert!(!service.first_offer().exists());
+    assert!(!service.first_offer_path().exists());
 }
 
 #[test]
 fn binds_a_listener_when_the_offer_hands_over_nothing() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
-    std::fs::remove_file(service.first_offer()).unwrap();
+    std::fs::remove_file(service.first_offer_path()).unwrap();
     // It accepts no connection, and the successor waits for the descriptor in vain.
-    let _hanging = UnixListener::bind(service.first_offer()).unwrap();
+    let _hanging = UnixListener::bind(service.first_offer_path()).unwrap();
 
     let next = service.start();
 
@@ -67,9 +67,9 @@
 
 #[test]
 fn starts_and_takes_over_where_the_path_is_too_long_for_a_socket() {
-    let service = Service::at(SharedAddress::in_folder_with_long_name());
+    let service = TakeoverFixture::with_address(SharedAddress::in_folder_with_long_name());
     let mut old = service.start();
-    assert!(!service.first_offer().exists());
+    assert!(!service.first_offer_path().exists());
 
     let next = service.start();
     next.wait_until_ready();
@@ -82,22 +82,22 @@
 
 #[test]
 fn a_process_without_management_address_offers_nothing_and_keeps_its_address_to_itself() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.address.start_without_management(&service.configuration);
 
     let mut second = service.address.spawn(&service.configuration, silent_discovery().address);
 
     assert_eq!(exit_code(&mut second), Some(1), "the address is in use");
-    assert!(!service.first_offer().exists());
+    assert!(!service.first_offer_path().exists());
     assert_eq!(old.exchange(&request("look", 9000)).status(), 200);
 }
 
 #[test]
 fn other_users_cannot_connect_to_the_socket() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let _process = service.start();
 
-    let mode = service.first_offer().metadata().unwrap().permissions().mode();
+    let mode = service.first_offer_path().metadata().unwrap().permissions().mode();
 
     assert_eq!(mode & 0o777, 0o600);
 }
@@ -129,16 +129,16 @@
     if std::fs::metadata("/proc/self").unwrap().uid() != 0 {
         return; // only root can run a program as another user
     }
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let process = service.start();
-    std::fs::set_permissions(service.first_offer(), PermissionsExt::from_mode(0o666)).unwrap();
+    std::fs::set_permissions(service.first_offer_path(), PermissionsExt::from_mode(0o666)).unwrap();
     // Folders on the way may be closed to the other user.
     let open_folder = tempfile::tempdir_in("/tmp").unwrap();
     std::fs::set_permissions(open_folder.path(), PermissionsExt::from_mode(0o755)).unwrap();
     let program = open_folder.path().join("test");
     link(&std::env::current_exe().unwrap(), &program);
     let socket = open_folder.path().join("socket");
-    link(&service.first_offer(), &socket);
+    link(&service.first_offer_path(), &socket);
 
     let status = Command::new(&program)
         .args(["--exact", "connects_as_another_user"])
--- a/crates/balancer-proxy/tests/maintenance.rs
+++ b/crates/balancer-proxy/tests/maintenance.rs
@@ -16,7 +16,7 @@
 #[test]
 fn management_calls_start_and_end_maintenance() {
     let backends = ["zero", "one"].map(StubServer::responding_with);
-    let proxy = ProxyProcess::with_management(&[&backends[0], &backends[1]]);
+    let proxy = ProxyProcess::with_management_address(&[&backends[0], &backends[1]]);
     assert!(proxy.management_call("maint-on s-7\n").starts_with("ERR"));
     assert!(proxy.management_call("maint-off s-7\n").starts_with("ERR"));
     assert!(proxy.management_call("maint-on\n").starts_with("ERR"));
--- a/crates/balancer-proxy/tests/maintenance_record_format.rs
+++ b/crates/balancer-proxy/tests/maintenance_record_format.rs
@@ -10,7 +10,7 @@
 use common::configuration::{default_configuration, request};
 use common::proxy_process::ProxyProcess;
 use common::shared_address::SharedAddress;
-use common::state_folder::{StateFolder, contents};
+use common::state_folder::{StateFolder, expected_contents};
 use common::stub_server::StubServer;
 use common::waiting::wait_for;
 use serde_json::json;
@@ -132,9 +132,9 @@
 #[test]
 fn opening_a_maintenance_store_writes_nothing() {
     let folder = StateFolder::new("store");
-    std::fs::write(folder.file("dewpier-127.0.0.1:7070.book"), OLD_RECORD).unwrap();
+    std::fs::write(folder.file_path("dewpier-127.0.0.1:7070.book"), OLD_RECORD).unwrap();
 
-    let _store = MaintenanceStore::open(&folder.base());
+    let _store = MaintenanceStore::open(&folder.base_path());
 
-    assert_eq!(folder.contents(), contents([("dewpier-127.0.0.1:7070.book", OLD_RECORD)]));
+    assert_eq!(folder.contents(), expected_contents([("dewpier-127.0.0.1:7070.book", OLD_RECORD)]));
 }
--- a/crates/balancer-proxy/tests/management.rs
+++ b/crates/balancer-proxy/tests/management.rs
@@ -46,7 +46,7 @@
 #[test]
 fn responds_to_calls_and_to_anything_else_with_err() {
     let backend = StubServer::responding_with("hello");
-    let proxy = ProxyProcess::with_management(&[&backend]);
+    let proxy = ProxyProcess::with_management_address(&[&backend]);
     let mut invalid_utf8 = proxy.connect_management();
     invalid_utf8.get_mut().write_all(b"\xff\xfe status\n").unwrap();
 
@@ -64,7 +64,7 @@
 #[test]
 fn closes_connections_without_a_complete_call_which_delay_no_other() {
     let backend = StubServer::responding_with("hello");
-    let proxy = ProxyProcess::with_management(&[&backend]);
+    let proxy = ProxyProcess::with_management_address(&[&backend]);
     let start = Instant::now();
     let incomplete: Vec<_> = (0..100)
         .map(|index| {
@@ -102,7 +102,7 @@
         2 => Reply::Respond(response("500 Internal Server Error", "")),
         _ => Reply::HangAndReport(report_disconnect.clone()),
     });
-    let proxy = ProxyProcess::with_management(&[&backend]);
+    let proxy = ProxyProcess::with_management_address(&[&backend]);
     let stats = proxy.stats();
     for class in ["look", "save", "order"] {
         assert_eq!(results(&stats, class), [0, 0, 0]);
@@ -154,7 +154,7 @@
             _ => Reply::Respond(response("200 OK", "hello")),
         })
     });
-    let proxy = ProxyProcess::with_management(&[&backends[0], &backends[1]]);
+    let proxy = ProxyProcess::with_management_address(&[&backends[0], &backends[1]]);
 
     assert_eq!(proxy.exchange(&request("look", 4000)).status(), 200);
 
--- a/crates/balancer-proxy/tests/queued_client_disconnects.rs
+++ b/crates/balancer-proxy/tests/queued_client_disconnects.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::client_disconnect::{
-    Disconnect, proxy_with_cancellation, received_of_class, wait_for_no_open_request,
+    Disconnect, proxy_with_cancellation, request_count_of_class, wait_for_no_open_request,
     wait_until_input_is_handled,
 };
 use common::configuration::{
@@ -15,7 +15,7 @@
 use common::http::{HttpMessage, read_message, response};
 use common::late_server::LateServer;
 use common::proxy_process::{ProxyProcess, exit_code};
-use common::socket_table::{CLOSE_WAIT, sockets_to_port};
+use common::socket_table::{TCP_CLOSE_WAIT, sockets_to_port};
 use common::stub_server::{StubServer, silent_discovery};
 use common::waiting::{TEST_TIMEOUT, wait_for};
 use serde_json::json;
@@ -117,7 +117,7 @@
         });
         wait_until_input_is_handled(&proxy);
 
-        assert_eq!(received_of_class(&backend, "order"), 0, "{disconnect:?}");
+        assert_eq!(request_count_of_class(&backend, "order"), 0, "{disconnect:?}");
         drop(readable_stream);
     }
 }
@@ -138,7 +138,7 @@
                 wait_until_input_is_handled(&proxy);
 
                 assert_eq!(
-                    received_of_class(&backend, "order"),
+                    request_count_of_class(&backend, "order"),
                     0,
                     "{disconnect:?}, cancel {cancel}, {response_first}"
                 );
@@ -160,8 +160,8 @@
     assert_eq!(read_message(&mut first_client).expect("a response").status(), 200);
     wait_until_input_is_handled(&proxy);
     let case = format!("{disconnect:?}, cancel {cancel}, {response_first}");
-    assert_eq!(received_of_class(&backend, "look"), 1, "{case}");
-    assert_eq!(received_of_class(&backend, "order"), 0, "{case}");
+    assert_eq!(request_count_of_class(&backend, "look"), 1, "{case}");
+    assert_eq!(request_count_of_class(&backend, "order"), 0, "{case}");
     // The key is free for the next request.
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
     drop(readable_stream);
@@ -200,7 +200,7 @@
 
             assert_eq!(read_message(&mut first_client).expect("a response").status(), 200);
             wait_until_input_is_handled(&proxy);
-            assert_eq!(received_of_class(&backend, "order"), 0, "{disconnect:?}, {response_first}");
+            assert_eq!(request_count_of_class(&backend, "order"), 0, "{disconnect:?}, {response_first}");
             drop(readable_stream);
         }
     }
@@ -227,7 +227,7 @@
     // The limit is reached by requests that wait behind the first, and by connections without a request.
     let (mut waiting, rejected) = fill_client_connections(&proxy, first_client);
     let without_request: Vec<_> = (0..waiting.len() / 7 + 2).map(|_| proxy.connect()).collect();
-    let awaits_close = |port| sockets_to_port(port, CLOSE_WAIT) == 1;
+    let awaits_close = |port| sockets_to_port(port, TCP_CLOSE_WAIT) == 1;
 
     let (readable_stream, mut remaining_client) = proxy.while_stopped(|| {
         // Two clients come, and one of them disconnects. Then capacity for both becomes free, as others
@@ -248,7 +248,7 @@
     assert_eq!(read_message(&mut waiting[0]).expect("a response").status(), 200);
     drop((rejected, without_request));
     wait_for_no_open_request(&proxy);
-    assert_eq!(received_of_class(&backend, "order"), 1, "{disconnect:?}");
+    assert_eq!(request_count_of_class(&backend, "order"), 1, "{disconnect:?}");
     drop(readable_stream);
 }
 
--- a/crates/balancer-proxy/tests/race_conditions.rs
+++ b/crates/balancer-proxy/tests/race_conditions.rs
@@ -43,7 +43,7 @@
                 let _ = report_write.lock().unwrap().send(());
             }
         });
-        let proxy = ProxyProcess::with_management(&[&backend]);
+        let proxy = ProxyProcess::with_management_address(&[&backend]);
         let client = proxy.begin_request(&request("order", remaining_ms));
         wait_for("attempt", || proxy.stats()["forwards"] == 1);
         Self { proxy, client: Some(client), release_response, response_written }
--- a/crates/balancer-proxy/tests/request_streaming.rs
+++ b/crates/balancer-proxy/tests/request_streaming.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::body::{chunked, pattern, write_in_background};
+use common::body::{encode_chunked, position_dependent_bytes, write_in_background};
 use common::configuration::{request, request_with_framing};
 use common::http::{exchange, read_message, response};
 use common::proxy_process::ProxyProcess;
@@ -17,11 +17,11 @@
 fn streams_a_long_body_unchanged_in_either_framing() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
-    let body = pattern(3_000_000);
+    let body = position_dependent_bytes(3_000_000);
     for (framing, bytes) in [
         (format!("Content-Length: {}\r\n\r\n", body.len()), body.clone()),
-        ("Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n".to_string(), chunked(&body, 70_001)),
-        ("Transfer-Encoding: chunked\r\n\r\n".to_string(), chunked(&body, 1_000)),
+        ("Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n".to_string(), encode_chunked(&body, 70_001)),
+        ("Transfer-Encoding: chunked\r\n\r\n".to_string(), encode_chunked(&body, 1_000)),
     ] {
         let mut stream = proxy.connect();
         let head = request_with_framing("order", &framing).into_bytes();
@@ -49,12 +49,12 @@
         })
     });
     let proxy = ProxyProcess::in_front_of(&[&backends[0], &backends[1]]);
-    let body = pattern(60_000);
+    let body = position_dependent_bytes(60_000);
     let mut stream = proxy.connect();
     let head = request("save", 4000).replace("Content-Length: 4\r\n\r\nbody", "");
 
     stream.get_mut().write_all(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes()).unwrap();
-    stream.get_mut().write_all(&chunked(&body, 999)).unwrap();
+    stream.get_mut().write_all(&encode_chunked(&body, 999)).unwrap();
 
     assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
     for backend in &backends {
@@ -72,7 +72,7 @@
     });
     let proxy = ProxyProcess::in_front_of(&[&backends[0], &backends[1]]);
     let mut stream = proxy.connect();
-    let body = pattern(30_000_000);
+    let body = position_dependent_bytes(30_000_000);
     let head = request_with_framing("save", &format!("Content-Length: {}\r\n\r\n", body.len()));
 
     let writer = write_in_background(&stream, vec![head.into_bytes(), body]);
@@ -94,7 +94,7 @@
     let mut stream = proxy.connect();
     let head = request_with_framing("order", "Content-Length: 1000000\r\n\r\n");
     stream.get_mut().write_all(head.as_bytes()).unwrap();
-    stream.get_mut().write_all(&pattern(100_000)).unwrap();
+    stream.get_mut().write_all(&position_dependent_bytes(100_000)).unwrap();
 
     let status = read_message(&mut stream).map(|reply| reply.status());
 
@@ -120,7 +120,7 @@
     // A head and a short body take 2 s together; a long body arrives at 100 kB a second.
     let text = request("save", 9000);
     let short = paced(text.as_bytes(), text.len() / 19, Duration::from_millis(100));
-    let body = pattern(300_000);
+    let body = position_dependent_bytes(300_000);
     let head = request_with_framing("order", "Content-Length: 300000\r\n\r\n").into_bytes();
     let mut long = vec![PacedPart { bytes: head, pause: Duration::from_millis(500) }];
     long.extend(paced(&body, 20_000, Duration::from_millis(200)));
--- a/crates/balancer-proxy/tests/response_streaming.rs
+++ b/crates/balancer-proxy/tests/response_streaming.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::body::{chunked, pattern};
+use common::body::{encode_chunked, position_dependent_bytes};
 use common::configuration::request;
 use common::http::{read_body, read_head, read_message};
 use common::proxy_process::ProxyProcess;
@@ -35,10 +35,10 @@
 
 #[test]
 fn streams_a_long_response_unchanged_before_it_is_complete() {
-    let body = pattern(2_000_000);
+    let body = position_dependent_bytes(2_000_000);
     for (framing, encoded_body) in [
         (format!("Content-Length: {}", body.len()), body.clone()),
-        ("Transfer-Encoding: chunked\r\nTrailer: X-Sum".to_string(), chunked(&body, 10_000)),
+        ("Transfer-Encoding: chunked\r\nTrailer: X-Sum".to_string(), encode_chunked(&body, 10_000)),
     ] {
         let headers = format!("Content-Type: text/x\r\nX-Other: y\r\n{framing}");
         let (backend, release) = backend_that_pauses(headers, encoded_body);
@@ -63,13 +63,13 @@
 
 #[test]
 fn a_client_can_tell_that_a_response_is_incomplete() {
-    let body = pattern(400_000);
+    let body = position_dependent_bytes(400_000);
     for (framing, encoded_body) in [
         (format!("Content-Length: {}", body.len()), body.clone()),
-        ("Transfer-Encoding: chunked".to_string(), chunked(&body, 10_000)),
+        ("Transfer-Encoding: chunked".to_string(), encode_chunked(&body, 10_000)),
     ] {
         let (backend, release) = backend_that_pauses(framing, encoded_body);
-        let proxy = ProxyProcess::with_management(&[&backend]);
+        let proxy = ProxyProcess::with_management_address(&[&backend]);
         let mut stream = proxy.begin_request(&request("order", 9000));
         let head = read_head(&mut stream).expect("a head");
         assert!(!stream.fill_buf().unwrap().is_empty());
--- a/crates/balancer-proxy/tests/settings_reload.rs
+++ b/crates/balancer-proxy/tests/settings_reload.rs
@@ -6,7 +6,7 @@
 use common::configuration::{default_settings, request, request_with_framing};
 use common::http::{HttpMessage, exchange, read_head, read_message, response};
 use common::proxy_process::ProxyProcess;
-use common::settings_reload::{reload, settings_metrics, start_proxy, versioned_configuration};
+use common::settings_reload::{reload_configuration, settings_metrics, start_proxy, versioned_configuration};
 use common::stub_server::{Reply, StubServer, silent_discovery};
 use common::waiting::{TEST_TIMEOUT, wait_for};
 use serde_json::{Value, json};
@@ -72,7 +72,7 @@
         json!([named_class("order", "single_shot"), named_class("gaze", "free")]);
     configuration["settings"]["projects"] = json!([{"name": "other", "quota-per-s": 1.0}, {"name": "acme"}]);
     configuration["settings"]["caps"]["max-attempts"] = json!(1);
-    reload(&proxy, &configuration);
+    reload_configuration(&proxy, &configuration);
 
     assert_eq!(settings_metrics(&proxy), [Some(2), Some(1), Some(0)]);
     // The class of the first is removed, that of the second has another index.
@@ -101,7 +101,7 @@
     // A class that returns counts on.
     configuration["settings"] = default_settings();
     configuration["settings"]["version"] = json!(3);
-    reload(&proxy, &configuration);
+    reload_configuration(&proxy, &configuration);
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
     assert_eq!((succeeded("order"), succeeded("look"), succeeded("gaze")), (json!(4), json!(2), Value::Null));
     assert_eq!(proxy.stats()["outstanding"], json!(0));
@@ -195,7 +195,7 @@
         configuration["settings"]["zones"] = zones;
         configuration["settings"]["zone"] = json!(own_zone);
         configuration["settings"]["version"] = json!(version);
-        reload(&proxy, &configuration);
+        reload_configuration(&proxy, &configuration);
 
         assert!(!check_most_responses(&proxy, &[expected]).contains(&b"zero".to_vec()));
         assert!(proxy.stats()["ejected"].as_u64() >= Some(1));
@@ -215,13 +215,13 @@
 
     configuration["settings"]["registry-mode"] = json!("automatic");
     configuration["settings"]["version"] = json!(2);
-    reload(&proxy, &configuration);
+    reload_configuration(&proxy, &configuration);
     wait_for("watch", || discovery.request_count() == 1);
 
     configuration["settings"]["registry-mode"] = json!("subscribe");
     configuration["settings"]["rules"]["ask-within"] = json!(0.05);
     configuration["settings"]["version"] = json!(3);
-    reload(&proxy, &configuration);
+    reload_configuration(&proxy, &configuration);
     assert_eq!(discovery.request_count(), 1, "the watch in progress stays");
     let is_poll = |call: &HttpMessage| call.start_line.contains("timeout_ms=50 ");
     wait_for("poll", || discovery.requests.lock().unwrap().iter().any(is_poll));
@@ -236,7 +236,7 @@
     wait_for("attempt", || backend.request_count() == 1);
     configuration["settings"]["classes"] = json!([{"name": "look", "effect": "free", "hard-limit": 0.2}]);
     configuration["settings"]["version"] = json!(2);
-    reload(&proxy, &configuration);
+    reload_configuration(&proxy, &configuration);
 
     proxy.signal("-TERM");
     wait_for("graceful shutdown", || proxy.management_call("status\n").starts_with("ERR"));
--- a/crates/balancer-proxy/tests/soak/backends.rs
+++ b/crates/balancer-proxy/tests/soak/backends.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::{BadBackend, Scenario};
 use crate::common::http::{HttpMessage, read_message, response};
-use crate::common::stub_server::{StubServer, wait_for_end};
+use crate::common::stub_server::{StubServer, wait_for_input_or_close};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -46,7 +46,7 @@
             arrivals.lock().unwrap().entry(id).or_default().push(arrival);
             match bad_backend {
                 BadBackend::Resetting => return,
-                BadBackend::Silent => return wait_for_end(stream),
+                BadBackend::Silent => return wait_for_input_or_close(stream),
                 BadBackend::None => {}
             }
             std::thread::sleep(response_time(&message));
--- a/crates/balancer-proxy/tests/streaming_memory.rs
+++ b/crates/balancer-proxy/tests/streaming_memory.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::body::{pattern, write_in_background};
+use common::body::{position_dependent_bytes, write_in_background};
 use common::configuration::{request, request_with_framing};
 use common::http::{read_body, read_head};
 use common::proxy_process::ProxyProcess;
@@ -36,7 +36,7 @@
 
 #[test]
 fn many_long_bodies_and_responses_at_once_use_little_memory() {
-    let body: &'static [u8] = pattern(32 << 20).leak();
+    let body: &'static [u8] = position_dependent_bytes(32 << 20).leak();
     let backend = backend_with_long_response(body);
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut readers = Vec::new();
