--- a/crates/balancer-proxy/tests/common/body.rs
+++ b/crates/balancer-proxy/tests/common/body.rs
@@ -1,15 +1,15 @@
-//! Long bodies, whole and in chunked encoding.
+//! Generation of long request and response bodies, chunked encoding, and writing in the background.
 
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
 use std::thread::JoinHandle;
 
-/// Bytes that depend on their position.
+/// Returns bytes whose values depend on their position, so that a test detects lost or reordered bytes.
 pub fn position_dependent_bytes(length: usize) -> Vec<u8> {
     (0..length).map(|index| (index ^ (index >> 8) ^ (index >> 16)) as u8).collect()
 }
 
-/// The data in chunked encoding, with chunk extensions and a trailer.
+/// Returns the data in chunked encoding, with chunk extensions and a trailer.
 pub fn encode_chunked(data: &[u8], chunk_length: usize) -> Vec<u8> {
     let mut encoded = Vec::new();
     for chunk in data.chunks(chunk_length) {
@@ -21,13 +21,13 @@
     encoded
 }
 
-/// Writes from another thread, as a client does that reads while it writes.
+/// Writes the parts from another thread, so that the caller can read from the connection meanwhile.
 pub fn write_in_background(stream: &BufReader<TcpStream>, parts: Vec<Vec<u8>>) -> JoinHandle<()> {
     let mut stream = stream.get_ref().try_clone().unwrap();
     std::thread::spawn(move || {
         for part in parts {
             if stream.write_all(&part).is_err() {
-                return; // the response came before the end of the body
+                return; // the proxy responded and closed before the end of the body
             }
         }
     })
--- a/crates/balancer-proxy/tests/common/client_disconnect.rs
+++ b/crates/balancer-proxy/tests/common/client_disconnect.rs
@@ -1,4 +1,4 @@
-//! The ways in which a client can disconnect, and what tests of disconnects share.
+//! The ways in which a client can disconnect, and helpers of the tests of disconnects.
 
 use std::io::BufReader;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -16,31 +16,31 @@
 /// How a client disconnects while its request is open.
 #[derive(Clone, Copy, Debug)]
 pub enum Disconnect {
-    /// It closes the connection.
+    /// The client closes the connection.
     Close,
-    /// It resets the connection.
+    /// The client resets the connection.
     Reset,
-    /// It closes the connection with another request pipelined behind the first.
+    /// The client closes the connection after it has pipelined another request behind the first.
     CloseAfterPipelining,
-    /// It resets the connection with another request pipelined behind the first.
+    /// The client resets the connection after it has pipelined another request behind the first.
     ResetAfterPipelining,
-    /// It closes its sending side and still reads, which the proxy cannot tell from a close.
+    /// The client closes its sending side and still reads. The proxy cannot distinguish this from a close.
     HalfClose,
 }
 
 impl Disconnect {
-    /// Every way.
+    /// All ways to disconnect.
     pub const ALL: [Self; 5] =
         [Self::Close, Self::Reset, Self::CloseAfterPipelining, Self::ResetAfterPipelining, Self::HalfClose];
-    /// The ways without a pipelined request.
+    /// The ways to disconnect without a pipelined request.
     pub const WITHOUT_PIPELINING: [Self; 3] = [Self::Close, Self::Reset, Self::HalfClose];
 
-    /// Whether the connection ends by a reset.
+    /// Returns whether the client resets the connection.
     pub fn resets(self) -> bool {
         matches!(self, Self::Reset | Self::ResetAfterPipelining)
     }
 
-    /// What the client writes: this text and, where the way pipelines, another request.
+    /// Returns the text that the client writes: `text`, and another request if the client pipelines.
     pub fn written_text(self, text: &str) -> String {
         match self {
             Self::CloseAfterPipelining | Self::ResetAfterPipelining => {
@@ -50,10 +50,11 @@
         }
     }
 
-    /// Disconnects; returns the stream if it can still be read.
+    /// Disconnects the client and returns the stream if the client can still read from it.
     ///
-    /// The end has reached the proxy's system when this returns: a process that is being spawned
-    /// holds a copy of the socket, and a close has no effect before that copy is gone.
+    /// Waits until the kernel has processed the disconnect on the proxy's side of the connection. A
+    /// process that is being spawned holds a copy of the socket, and a close takes effect only once that
+    /// copy is gone.
     pub fn disconnect(self, stream: BufReader<TcpStream>) -> Option<BufReader<TcpStream>> {
         let port = |address: std::io::Result<SocketAddr>| address.unwrap().port();
         let proxy_side = ConnectionPorts {
@@ -75,12 +76,12 @@
                 Some(stream)
             }
         };
-        wait_for("end of the client", || sockets_between(proxy_side, TCP_ESTABLISHED) == 0);
+        wait_for("the client's disconnect", || sockets_between(proxy_side, TCP_ESTABLISHED) == 0);
         readable_stream
     }
 }
 
-/// Starts a proxy with a management address, with or without cancellation of attempts.
+/// Starts a proxy that has a management address, with cancellation of attempts allowed or not.
 pub fn proxy_with_cancellation(cancellation_allowed: bool, cached_endpoints: &Value) -> ProxyProcess {
     let mut settings = default_settings();
     settings["caps"]["cancel"] = json!(cancellation_allowed);
@@ -89,7 +90,7 @@
     ProxyProcess::with_configuration(&configuration, silent_discovery().address)
 }
 
-/// The number of complete requests of this class that the backend has received.
+/// Returns the number of complete requests of this class that the backend has received.
 pub fn request_count_of_class(backend: &StubServer, class: &str) -> usize {
     let requests = backend.requests.lock().unwrap();
     requests.iter().filter(|message| message.header("x-lane") == Some(class)).count()
@@ -97,13 +98,13 @@
 
 /// Waits until the proxy has no open request.
 pub fn wait_for_no_open_request(proxy: &ProxyProcess) {
-    wait_for("end of the open requests", || proxy.stats()["outstanding"] == 0);
+    wait_for("the end of all open requests", || proxy.stats()["outstanding"] == 0);
 }
 
-/// Waits until the proxy has handled everything written to it before.
+/// Waits until the proxy has handled all input that was written to it before this call.
 ///
-/// A request that is not forwarded ends as rejected or failed. One that comes after it on another
-/// connection is served once the proxy has handled the earlier input.
+/// A request that is not forwarded ends as rejected or failed. A later request on another connection is
+/// served only after the proxy has handled the earlier input.
 pub fn wait_until_input_is_handled(proxy: &ProxyProcess) {
     wait_for_no_open_request(proxy);
     assert_eq!(proxy.exchange(&request("save", 9000)).status(), 200);
--- a/crates/balancer-proxy/tests/common/closed_address.rs
+++ b/crates/balancer-proxy/tests/common/closed_address.rs
@@ -5,9 +5,9 @@
 
 /// An address that refuses connections for as long as the value exists.
 ///
-/// Its socket is bound and never listens. The address of a listener that was closed would not do: another test may
-/// get the port, and a process that is being spawned holds a copy of the listener, to which connections are
-/// established.
+/// The socket is bound and never listens. The address of a closed listener is not suitable: another test
+/// may be assigned its port, and a process that is being spawned holds a copy of the listener, to which
+/// connections are still established.
 pub struct ClosedAddress {
     /// The address that refuses connections.
     pub address: SocketAddr,
@@ -15,7 +15,7 @@
 }
 
 impl ClosedAddress {
-    /// Reserves an address.
+    /// Reserves an address on the loopback interface.
     pub fn new() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
--- a/crates/balancer-proxy/tests/common/configuration.rs
+++ b/crates/balancer-proxy/tests/common/configuration.rs
@@ -1,4 +1,4 @@
-//! Configuration files, endpoint lists and requests that fit one another.
+//! Configuration files, endpoint lists and requests that use the same classes and tenant.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use super::stub_server::StubServer;
 use super::waiting::next_unique_number;
 
-/// Settings with one class of each effect: `look` is safe, `save` idempotent, `order` unsafe.
+/// Returns settings with one class of each effect: `look` is safe, `save` idempotent, `order` unsafe.
 pub fn default_settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "all", "window": 5.0, "on-time": 20.0,
@@ -26,36 +26,36 @@
     })
 }
 
-/// A configuration file with these settings and this cached endpoint list.
+/// Returns a configuration file with these settings and this cached endpoint list.
 pub fn configuration(settings: &Value, cached_endpoints: &Value) -> Value {
     json!({"name": "n0", "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192,
            "sockets": 1024}, "known": cached_endpoints, "settings": settings})
 }
 
-/// A configuration file with [`default_settings`] and these backends in its cached list.
+/// Returns a configuration file with [`default_settings`] and these backends in its cached endpoint list.
 pub fn default_configuration(backends: &[&StubServer]) -> Value {
     configuration(&default_settings(), &serving_list(backends))
 }
 
-/// A configuration file like [`configuration`], with a management address that the system chooses.
+/// Returns a file like that of [`configuration`], with a management address whose port the system chooses.
 pub fn configuration_with_management(settings: &Value, cached_endpoints: &Value) -> Value {
     let mut configuration = configuration(settings, cached_endpoints);
     configuration["management"] = json!("127.0.0.1:0");
     configuration
 }
 
-/// An endpoint as discovery lists it; `lifecycle` is `SERVING`, `DRAINING` or `DELETED`.
+/// Returns an endpoint as discovery lists it; `lifecycle` is `SERVING`, `DRAINING` or `DELETED`.
 pub fn listed_endpoint(id: &str, address: SocketAddr, lifecycle: &str) -> Value {
     json!({"instanceId": id, "hostPort": address.to_string(), "zone": "a", "machineType": "m",
            "cell": 0, "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0})
 }
 
-/// An endpoint list as discovery sends it: the full list where `reset` is set, else changes.
+/// Returns an endpoint list as discovery sends it: the full list if `reset` is set, else changes.
 pub fn endpoint_list(generation: u64, reset: bool, endpoints: &[Value]) -> Value {
     json!({"generation": generation, "reset": reset, "instances": endpoints})
 }
 
-/// The full list, of generation 1, of these backends as `s-0`, `s-1` and so on, all in service.
+/// Returns a full list of generation 1 with these backends as `s-0`, `s-1` and so on, all `SERVING`.
 pub fn serving_list(backends: &[&StubServer]) -> Value {
     let listed = |(index, backend): (usize, &&StubServer)| {
         listed_endpoint(&format!("s-{index}"), backend.address, "SERVING")
@@ -63,10 +63,10 @@
     endpoint_list(1, true, &backends.iter().enumerate().map(listed).collect::<Vec<_>>())
 }
 
-/// A request that the proxy responds to itself: with 200 if it is ready, else with 503.
+/// A readiness check. The proxy itself responds with 200 if it is ready, else with 503.
 pub const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n";
 
-/// A request of a class of [`default_settings`], with a short body.
+/// Returns a request of a class of [`default_settings`], with a body of 4 bytes.
 pub fn request(class: &str, remaining_ms: u64) -> String {
     let id = next_unique_number();
     let (method, key) = match class {
@@ -80,7 +80,7 @@
     )
 }
 
-/// A request like [`request`] whose framing headers, and body if any, are replaced by these.
+/// Returns a request like [`request`] with its `Content-Length` header and body replaced by `framing`.
 pub fn request_with_framing(class: &str, framing: &str) -> String {
     request(class, 9000).replace("Content-Length: 4\r\n\r\nbody", framing)
 }
--- a/crates/balancer-proxy/tests/common/http.rs
+++ b/crates/balancer-proxy/tests/common/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages as tests write and read them.
+//! Reading and writing of HTTP/1.1 messages in tests.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,19 +10,19 @@
 pub struct HttpMessage {
     /// The request line or status line.
     pub start_line: String,
-    /// Names in lower case, in the order in which they came.
+    /// The names, in lower case, and values of the headers in the order of arrival.
     pub headers: Vec<(String, String)>,
     /// The body with its framing removed.
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// The value of the first header of this name, given in lower case.
+    /// Returns the value of the first header of this name. The name is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(header_name, _)| header_name == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status code of a response; 0 if the start line has none.
+    /// Returns the status code of a response, or 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
@@ -41,17 +41,17 @@
 /// If the connection ends without a complete response.
 pub fn exchange(stream: &mut BufReader<TcpStream>, request: &str) -> HttpMessage {
     stream.get_mut().write_all(request.as_bytes()).unwrap();
-    read_message(stream).expect("a response")
+    read_message(stream).expect("no complete response")
 }
 
-/// The next message of a connection; `None` if the connection ends before the message is complete.
+/// Reads the next message. Returns `None` if the connection ends before the message is complete.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
     let mut message = read_head(stream)?;
     message.body = read_body(stream, &message)?;
     Some(message)
 }
 
-/// The head of the next message; `None` if the connection ends before the head is complete.
+/// Reads the head of the next message. Returns `None` if the connection ends before the head is complete.
 pub fn read_head(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
     let mut message = HttpMessage::default();
     let mut line = String::new();
@@ -69,7 +69,7 @@
     None
 }
 
-/// The body that belongs to a head; `None` if the connection ends before the body is complete.
+/// Reads the body that belongs to a head. Returns `None` if the connection ends before the body is complete.
 pub fn read_body(stream: &mut BufReader<TcpStream>, head: &HttpMessage) -> Option<Vec<u8>> {
     if head.header("transfer-encoding") == Some("chunked") {
         return read_chunked_body(stream);
@@ -90,7 +90,7 @@
         let chunk_start = body.len();
         body.resize(chunk_start + chunk_length, 0);
         stream.read_exact(&mut body[chunk_start..]).ok()?;
-        // The line end behind the chunk, or, without trailers, the one behind the last chunk.
+        // This line ends the chunk. After the last chunk it is the first trailer or the empty line.
         line.clear();
         stream.read_line(&mut line).ok()?;
         if chunk_length == 0 {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Reads up to the empty line that ends the trailers; `line` holds the line that was read last.
+/// Reads up to the empty line that ends the trailers. `line` holds the line that was read last.
 fn skip_trailers(stream: &mut BufReader<TcpStream>, line: &mut String) -> Option<()> {
     while !line.trim().is_empty() {
         line.clear();
@@ -109,7 +109,7 @@
     Some(())
 }
 
-/// The text of a response with a body of known length.
+/// Returns the text of a response with a `Content-Length` header and this body.
 pub fn response(status: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/balancer-proxy/tests/common/late_server.rs
+++ b/crates/balancer-proxy/tests/common/late_server.rs
@@ -1,4 +1,4 @@
-//! A server whose connections are established only once it accepts.
+//! A server with a backlog of one connection, to delay the establishment of further connections.
 
 use std::io::{BufReader, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,8 +9,8 @@
 use super::socket_table::{TCP_SYN_SENT, local_ports_to};
 use super::waiting::{TEST_TIMEOUT, wait_for};
 
-/// A listener with a backlog of one connection. While the backlog is full, the system drops further
-/// connection attempts, which are then repeated by the peer's system.
+/// A listener with a backlog of one connection. While the backlog is full, the kernel drops further
+/// connection attempts, and the peer's kernel repeats them.
 pub struct LateServer {
     /// The address on which the server listens.
     pub address: SocketAddr,
@@ -27,7 +27,7 @@
         server
     }
 
-    /// Starts a server to which connections are established until its backlog is filled.
+    /// Starts a server whose backlog is empty, so that one connection is established before it accepts.
     pub fn with_empty_backlog() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -38,31 +38,31 @@
         Self { address, listener, backlog: None }
     }
 
-    /// Fills the backlog: no further connection is established until one is accepted.
+    /// Fills the backlog, so that no further connection is established until the server accepts one.
     pub fn fill_backlog(&mut self) {
         self.backlog = Some(TcpStream::connect(self.address).unwrap());
     }
 
-    /// Accepts the next connection of the backlog.
+    /// Waits for the next established connection and accepts it.
     ///
     /// # Panics
     /// If no connection is established within [`TEST_TIMEOUT`].
     pub fn accept(&self) -> BufReader<TcpStream> {
         let mut accepted = None;
-        wait_for("established connection", || {
+        wait_for("an established connection", || {
             accepted = self.accept_established();
             accepted.is_some()
         });
         accepted.unwrap()
     }
 
-    /// Accepts the next connection, or returns `None` once every peer that was connecting has given up.
+    /// Accepts the next connection. Returns `None` once no peer is connecting any more.
     ///
     /// # Panics
     /// If a peer is still connecting after [`TEST_TIMEOUT`].
     pub fn accept_while_pending(&self) -> Option<BufReader<TcpStream>> {
         let mut accepted = None;
-        wait_for("end of the connection attempts", || {
+        wait_for("the end of all connection attempts", || {
             let is_pending = self.has_pending_connection();
             accepted = self.accept_established();
             accepted.is_some() || !is_pending
@@ -70,7 +70,7 @@
         accepted
     }
 
-    /// Accepts a connection of the backlog, if there is one.
+    /// Accepts a connection of the backlog, or returns `None` if the backlog is empty.
     fn accept_established(&self) -> Option<BufReader<TcpStream>> {
         let (stream, _) = self.listener.accept().ok()?;
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -82,15 +82,15 @@
         !self.pending_ports().is_empty()
     }
 
-    /// Returns the ports of the peers that are waiting for their connections to be established.
+    /// Returns the local ports of the peers that are waiting for their connections to be established.
     pub fn pending_ports(&self) -> Vec<u16> {
         local_ports_to(self.address.port(), TCP_SYN_SENT)
     }
 
-    /// Accepts connections while peers are connecting, and returns all non-empty texts that peers write.
+    /// Accepts connections until no peer is connecting, and returns the non-empty texts that peers write.
     pub fn accept_all(&self) -> Vec<String> {
         let mut received = Vec::new();
-        wait_for("end of the connection attempts", || {
+        wait_for("the end of all connection attempts", || {
             let is_pending = self.has_pending_connection();
             while let Some(stream) = self.accept_established() {
                 let text = read_available(stream.into_inner());
--- a/crates/balancer-proxy/tests/common/proxy_process.rs
+++ b/crates/balancer-proxy/tests/common/proxy_process.rs
@@ -1,4 +1,4 @@
-//! The proxy's program as a child process.
+//! The proxy program as a child process of a test.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -14,15 +14,15 @@
 use super::temporary::{configuration_path, empty_folder};
 use super::waiting::{next_unique_number, wait_for};
 
-/// The command that runs the proxy's program, not yet started.
+/// A command that runs the proxy program and has not been started.
 pub struct ProxyCommand {
-    /// The program with its environment.
+    /// The command of the program with its environment.
     pub command: Command,
     /// The configuration file that the environment names.
     pub configuration_path: PathBuf,
 }
 
-/// The program with this configuration text, this discovery and a temporary folder of its own.
+/// Returns a command with this configuration text, this discovery and a temporary folder of its own.
 pub fn proxy_command(configuration: &str, discovery: SocketAddr) -> ProxyCommand {
     let number = next_unique_number();
     let configuration_path = configuration_path(number);
@@ -34,17 +34,17 @@
     ProxyCommand { command, configuration_path }
 }
 
-/// A running proxy, which is killed when this is dropped.
+/// A running proxy. The process is killed when the value is dropped.
 pub struct ProxyProcess {
-    /// The process.
+    /// The child process.
     pub child: Child,
     /// The address for clients.
     pub address: SocketAddr,
-    /// The management address, if the configuration asks for one.
+    /// The management address, if the configuration sets one.
     pub management: Option<SocketAddr>,
-    /// The lines logged before the proxy listens.
+    /// The lines that the proxy logged up to the line `listening on`.
     pub starting_log: Vec<String>,
-    /// The lines logged since the proxy listens.
+    /// The lines that the proxy has logged since it listens.
     pub log: Arc<Mutex<Vec<String>>>,
     /// The configuration file, which the process reads again on a reload.
     pub configuration_path: PathBuf,
@@ -61,7 +61,7 @@
         Self::spawn(proxy_command(&configuration.to_string(), discovery))
     }
 
-    /// Starts a proxy with default settings that knows these backends.
+    /// Starts a proxy with default settings and these backends in its cached endpoint list.
     pub fn in_front_of(backends: &[&StubServer]) -> Self {
         Self::start(&default_settings(), &serving_list(backends), silent_discovery().address)
     }
@@ -79,7 +79,7 @@
         Self::with_configuration(&configuration, silent_discovery().address)
     }
 
-    /// Starts a proxy that the system allows this number of descriptors, with the same limit in its
+    /// Starts a proxy with this limit on its file descriptors, both in the process (`ulimit -n`) and in its
     /// configuration.
     pub fn with_descriptor_limit(configuration: &Value, discovery: SocketAddr, descriptors: usize) -> Self {
         let mut configuration = configuration.clone();
@@ -94,7 +94,7 @@
         Self::spawn(ProxyCommand { command, ..unlimited })
     }
 
-    /// Spawns the process and waits until it listens.
+    /// Starts the process and waits until it listens.
     pub fn spawn(proxy_command: ProxyCommand) -> Self {
         let ProxyCommand { mut command, configuration_path } = proxy_command;
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
@@ -103,18 +103,18 @@
         let mut starting_log = Vec::new();
         let address = loop {
             let mut line = String::new();
-            assert!(stderr.read_line(&mut line).unwrap() > 0, "the proxy has exited");
+            assert!(stderr.read_line(&mut line).unwrap() > 0, "the proxy exited before it listened");
             starting_log.push(line.trim().to_string());
             let message = line.trim().strip_prefix("balancer-proxy: ").unwrap_or_default();
             match message.split_once(" on ") {
                 Some(("listening", address)) => break address.parse().unwrap(),
                 Some(("management", address)) => management = Some(address.parse().unwrap()),
-                _ => {} // a warning
+                _ => {} // another log line, such as a warning
             }
         };
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let lines = log.clone();
-        // Read to the end, so that the proxy never blocks on a full pipe.
+        // The log is read to its end, so that its pipe never becomes full.
         std::thread::spawn(move || {
             for line in stderr.lines().map_while(Result::ok) {
                 lines.lock().unwrap().push(line);
@@ -142,14 +142,14 @@
 
     /// Opens a connection to the management address.
     pub fn connect_management(&self) -> BufReader<TcpStream> {
-        connect(self.management.expect("a management address"))
+        connect(self.management.expect("the proxy has no management address"))
     }
 
-    /// The response to a management call, up to the end of the connection.
+    /// Sends a management call and returns the response up to the end of the connection.
     pub fn management_call(&self, line: &str) -> String {
         let mut stream = self.connect_management();
         stream.get_mut().write_all(line.as_bytes()).unwrap();
-        let _ = stream.get_mut().shutdown(Shutdown::Write); // the proxy may have closed it already
+        let _ = stream.get_mut().shutdown(Shutdown::Write); // the proxy may have closed the connection
         let mut response = String::new();
         stream.read_to_string(&mut response).unwrap();
         response
@@ -157,17 +157,17 @@
 
     /// Waits until the management call `status` reports that the proxy is ready.
     pub fn wait_until_ready(&self) {
-        wait_for("ready", || self.management_call("status\n").starts_with("OK"));
+        wait_for("readiness of the proxy", || self.management_call("status\n").starts_with("OK"));
     }
 
-    /// The metrics, as the management call `stats` gives them.
+    /// Returns the metrics that the management call `stats` reports.
     pub fn stats(&self) -> Value {
         let text = self.management_call("stats\n");
         let stats = text.strip_suffix("\nEND\n").expect(&text);
         serde_json::from_str(stats).unwrap()
     }
 
-    /// The number of descriptors that the process has open.
+    /// Returns the number of open file descriptors of the process.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).unwrap().count()
     }
@@ -177,24 +177,24 @@
         self.replace_configuration_text(&configuration.to_string());
     }
 
-    /// Like [`ProxyProcess::replace_configuration`], by text that need not be valid.
+    /// Replaces the configuration file atomically by text, which may be invalid.
     pub fn replace_configuration_text(&self, text: &str) {
         let new_file = self.configuration_path.with_extension("new");
         std::fs::write(&new_file, text).unwrap();
         std::fs::rename(new_file, &self.configuration_path).unwrap();
     }
 
-    /// Sends a signal, given as an option of `kill`, such as `-TERM`.
+    /// Sends a signal to the process. The signal is given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, signal: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([signal, &id]).status().unwrap().success());
     }
 
-    /// Runs the function while the process is stopped by SIGSTOP, and lets the process go on.
+    /// Stops the process by SIGSTOP, runs the function and then resumes the process by SIGCONT.
     pub fn while_stopped<T>(&self, function: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        wait_for("stopped process", || {
+        wait_for("the process to stop", || {
             state().rsplit_once(") ").is_some_and(|(_, fields)| fields.starts_with('T'))
         });
         let result = function();
@@ -203,9 +203,9 @@
     }
 }
 
-/// Waits until the process has exited; returns its exit code, if it was not killed by a signal.
+/// Waits until the process has exited. Returns its exit code, or `None` if a signal killed the process.
 pub fn exit_code(child: &mut Child) -> Option<i32> {
-    wait_for("exit", || child.try_wait().unwrap().is_some());
+    wait_for("the exit of the process", || child.try_wait().unwrap().is_some());
     child.wait().unwrap().code()
 }
 
--- a/crates/balancer-proxy/tests/common/scripted_discovery.rs
+++ b/crates/balancer-proxy/tests/common/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery that a test scripts call by call, and the watch event that it announces.
+//! A stand-in for discovery that a test scripts call by call, and a watch event that replaces a backend.
 
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -20,13 +20,13 @@
 /// A call that a scripted discovery has received.
 #[derive(Clone)]
 pub struct ReceivedCall {
-    /// When the call had arrived completely.
+    /// The time at which the call had arrived completely.
     pub received_at: Instant,
-    /// The first line of the call.
+    /// The request line of the call.
     pub request_line: String,
 }
 
-/// A discovery that handles each call by its number, whichever connection it comes over.
+/// A stand-in for discovery that counts calls over all connections and handles each by its number.
 pub struct ScriptedDiscovery {
     /// The server that receives the calls.
     pub server: StubServer,
@@ -34,8 +34,8 @@
 }
 
 impl ScriptedDiscovery {
-    /// Handles each call by the function, which gets the number of earlier calls. The connection is
-    /// closed where the function breaks.
+    /// Starts a discovery that handles each call by the function. The function gets the number of earlier
+    /// calls. The connection is closed if the function returns [`ControlFlow::Break`].
     pub fn new(
         handle_call: impl Fn(usize, &mut BufReader<TcpStream>) -> ControlFlow<()> + Send + Sync + 'static,
     ) -> Self {
@@ -57,8 +57,8 @@
         Self { server, calls }
     }
 
-    /// A discovery whose first call fails by this fault; the second gets the response with the event,
-    /// and later ones get no response.
+    /// Starts a discovery whose first call fails by this fault. The second call gets the response with the
+    /// event, and later calls get no response.
     pub fn with_failing_first_call(
         fault: impl Fn(&mut BufReader<TcpStream>) + Send + Sync + 'static,
         event_response: String,
@@ -76,12 +76,12 @@
         })
     }
 
-    /// The number of calls received so far.
+    /// Returns the number of calls received so far.
     pub fn call_count(&self) -> usize {
         self.calls.lock().unwrap().len()
     }
 
-    /// The call that has this number of earlier calls.
+    /// Returns the call that was received after this number of earlier calls.
     ///
     /// # Panics
     /// If that call has not been received.
@@ -90,7 +90,7 @@
     }
 }
 
-/// Writes the text and holds the connection.
+/// Returns a connection handler that writes the text and keeps the connection open until the peer closes it.
 pub fn write_and_hang(text: &'static str) -> impl Fn(&mut BufReader<TcpStream>) + Send + Sync + 'static {
     move |stream| {
         let _ = stream.get_mut().write_all(text.as_bytes());
@@ -98,11 +98,11 @@
     }
 }
 
-/// Two backends, the first of which leaves in favour of the second by a watch event.
+/// Two backends and a watch event that replaces the first backend by the second.
 pub struct BackendReplacement {
-    /// The backend that leaves; its responses have the body `old`.
+    /// The backend that the event replaces. Its responses have the body `old`.
     pub old: StubServer,
-    /// The backend that the event adds; its responses have the body `new`.
+    /// The backend that the event adds. Its responses have the body `new`.
     pub new: StubServer,
 }
 
@@ -112,7 +112,7 @@
         Self { old: StubServer::responding_with("old"), new: StubServer::responding_with("new") }
     }
 
-    /// The event, with the old backend in this lifecycle.
+    /// Returns the event. `old_lifecycle` is the state of the old backend in it.
     pub fn event(&self, generation: u64, old_lifecycle: &str) -> Value {
         let endpoints = [
             listed_endpoint("s-0", self.old.address, old_lifecycle),
@@ -121,7 +121,7 @@
         endpoint_list(generation, false, &endpoints)
     }
 
-    /// The list before the event.
+    /// Returns the endpoint list from before the event.
     pub fn cached_list(&self) -> Value {
         serving_list(&[&self.old])
     }
--- a/crates/balancer-proxy/tests/common/shared_address.rs
+++ b/crates/balancer-proxy/tests/common/shared_address.rs
@@ -20,7 +20,7 @@
 }
 
 impl SharedAddress {
-    /// Chooses an address from a range from which the system never assigns one by itself.
+    /// Chooses an address from a range that the system does not use for automatic assignment.
     pub fn new() -> Self {
         let number = next_unique_number();
         let [.., high, low] = std::process::id().to_be_bytes();
@@ -28,7 +28,8 @@
         Self { listen_address, state_folder: empty_folder(number) }
     }
 
-    /// Like [`SharedAddress::new`], with a state folder whose path is too long for the address of a Unix socket.
+    /// Chooses an address like [`SharedAddress::new`]. The path of its state folder is too long for the
+    /// address of a Unix socket.
     pub fn in_folder_with_long_name() -> Self {
         let address = Self::new();
         let state_folder = address.state_folder.join("folder-with-a-long-name-".repeat(5));
@@ -36,7 +37,7 @@
         Self { state_folder, ..address }
     }
 
-    /// The path of a state file that the processes share.
+    /// Returns the path of the state file with this extension. The processes of the address share the file.
     pub fn state_file(&self, extension: &str) -> PathBuf {
         self.state_folder.join(format!("dewpier-{}", self.listen_address)).with_added_extension(extension)
     }
@@ -71,7 +72,7 @@
         ProxyProcess::spawn(ProxyCommand { command, configuration_path })
     }
 
-    /// Starts a process without a management address that logs to this pipe, and does not wait for it.
+    /// Starts a process without a management address that logs to this pipe. Does not wait until it listens.
     pub fn start_logging_to(&self, configuration: &Value, log: PipeWriter) -> ProxyProcess {
         let ProxyCommand { mut command, configuration_path } =
             self.proxy_command(configuration, silent_discovery().address);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Spawns a process without waiting until it listens.
+    /// Starts a process without a log. Does not wait until the process listens.
     pub fn spawn(&self, configuration: &Value, discovery: SocketAddr) -> Child {
         self.proxy_command(configuration, discovery).command.stderr(Stdio::null()).spawn().unwrap()
     }
--- a/crates/balancer-proxy/tests/common/socket_table.rs
+++ b/crates/balancer-proxy/tests/common/socket_table.rs
@@ -1,13 +1,13 @@
 //! The states of TCP sockets, from the system's table of IPv4 sockets (`/proc/net/tcp`).
 
-/// State of an established connection, as the table writes it.
+/// State of an established connection, as written in the table.
 pub const TCP_ESTABLISHED: &str = "01";
-/// State of a connection that is being established by this side.
+/// State of a connection that this side is establishing.
 pub const TCP_SYN_SENT: &str = "02";
-/// State of a connection that the peer has closed and this side has not.
+/// State of a connection that the peer has closed and this side has not closed.
 pub const TCP_CLOSE_WAIT: &str = "08";
 
-/// The ports of a connection, seen from one side.
+/// The ports of a connection as seen from one side.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionPorts {
     /// This side's port.
@@ -21,20 +21,20 @@
     local_ports_to(port, state).len()
 }
 
-/// Returns the own ports of the sockets in this state whose peer has this port.
+/// Returns the local ports of the sockets in this state whose peer has this port.
 pub fn local_ports_to(port: u16, state: &str) -> Vec<u16> {
     let mut sockets = sockets_in(state);
     sockets.retain(|ports| ports.remote == port);
     sockets.into_iter().map(|ports| ports.local).collect()
 }
 
-/// Returns the number of sockets in this state that have this port themselves.
+/// Returns the number of sockets in this state whose local port is this port.
 pub fn sockets_on_port(port: u16, state: &str) -> usize {
     sockets_in(state).into_iter().filter(|ports| ports.local == port).count()
 }
 
-/// Returns the number of sockets in this state with both ports: one side of a single connection,
-/// whatever other connections the machine has.
+/// Returns the number of sockets in this state with this local and this remote port. Other connections of
+/// the machine are not counted.
 pub fn sockets_between(ports: ConnectionPorts, state: &str) -> usize {
     sockets_in(state).into_iter().filter(|other| *other == ports).count()
 }
--- a/crates/balancer-proxy/tests/common/stub_server.rs
+++ b/crates/balancer-proxy/tests/common/stub_server.rs
@@ -1,4 +1,4 @@
-//! Servers that a test scripts: stand-ins for backends and for discovery.
+//! Stub servers, which stand in for backends and for discovery.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,17 +10,17 @@
 use super::http::{HttpMessage, read_message, response};
 use super::waiting::TEST_TIMEOUT;
 
-/// What a stub server does with a request.
+/// The reaction of a stub server to a request.
 pub enum Reply {
-    /// Writes the response and keeps the connection.
+    /// Writes the response and keeps the connection open.
     Respond(String),
-    /// Writes the response in two parts with a pause between.
+    /// Writes the response in two parts with a pause between the parts.
     RespondInParts { first: String, pause: Duration, rest: String },
-    /// Writes the response, closes without having announced it, and reports the close.
+    /// Writes a response without `Connection: close`, closes the connection and reports the close.
     RespondAndClose { response: String, closed: Sender<()> },
     /// Closes the connection without a response.
     Close,
-    /// Never responds; holds the connection until the peer closes it.
+    /// Never responds, and keeps the connection open until the peer closes it.
     Hang,
     /// Like [`Reply::Hang`], and reports that the peer has closed the connection.
     HangAndReport(Sender<()>),
@@ -28,7 +28,7 @@
 
 /// A server on a loopback address that serves each connection on a thread of its own.
 pub struct StubServer {
-    /// The address that it listens on.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     /// The complete requests received so far.
     pub requests: Arc<Mutex<Vec<HttpMessage>>>,
@@ -36,7 +36,8 @@
 }
 
 impl StubServer {
-    /// Replies to each request by the function, which gets the number of earlier requests.
+    /// Starts a server that replies to each request by the function. The function gets the number of earlier
+    /// requests and the request.
     pub fn new(reply: impl Fn(usize, &HttpMessage) -> Reply + Send + Sync + 'static) -> Self {
         let requests: Arc<Mutex<Vec<HttpMessage>>> = Arc::default();
         let received = requests.clone();
@@ -44,7 +45,8 @@
         Self { requests, ..server }
     }
 
-    /// Runs the function on each connection and closes the connection when the function returns.
+    /// Starts a server that runs the function on each connection and closes the connection when the function
+    /// returns.
     pub fn with_connection_handler(
         handle: impl Fn(&mut BufReader<TcpStream>) + Send + Sync + 'static,
     ) -> Self {
@@ -60,7 +62,7 @@
                 std::thread::spawn(move || {
                     let mut stream = BufReader::new(stream);
                     handle(&mut stream);
-                    // A drop would not do: a process that is being spawned holds a copy of the socket.
+                    // A drop is not enough: a process that is being spawned holds a copy of the socket.
                     let _ = stream.get_mut().shutdown(Shutdown::Both);
                 });
             }
@@ -68,12 +70,13 @@
         Self { address, requests: Arc::default(), connections }
     }
 
-    /// Responds to every request with status 200 and this body.
+    /// Starts a server that responds to every request with status 200 and this body.
     pub fn responding_with(body: &'static str) -> Self {
         Self::new(move |_, _| Reply::Respond(response("200 OK", body)))
     }
 
-    /// Like [`StubServer::responding_with`], but the first response waits for the returned sender.
+    /// Starts a server like [`StubServer::responding_with`]. The server holds its first response until the
+    /// returned sender sends.
     pub fn holding_first_response(body: &'static str) -> (Self, Sender<()>) {
         let (release, released) = channel();
         let released = Mutex::new(released);
@@ -86,18 +89,18 @@
         (server, release)
     }
 
-    /// The number of complete requests received so far.
+    /// Returns the number of complete requests received so far.
     pub fn request_count(&self) -> usize {
         self.requests.lock().unwrap().len()
     }
 
-    /// The number of connections accepted so far.
+    /// Returns the number of connections accepted so far.
     pub fn connection_count(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 }
 
-/// A discovery that never has a watch event.
+/// Starts a stand-in for discovery that never responds to a call.
 pub fn silent_discovery() -> StubServer {
     StubServer::new(|_, _| Reply::Hang)
 }
@@ -122,7 +125,7 @@
             }
             Reply::RespondAndClose { response, closed } => {
                 write(stream, &response);
-                // A drop would not do: a process that is being spawned holds a copy of the socket.
+                // A drop is not enough: a process that is being spawned holds a copy of the socket.
                 stream.get_mut().shutdown(Shutdown::Both).unwrap();
                 let _ = closed.send(());
                 return;
@@ -138,7 +141,7 @@
     }
 }
 
-/// Writes as far as the peer still reads.
+/// Writes the text, and ignores the error if the peer has closed the connection.
 fn write(stream: &mut BufReader<TcpStream>, text: &str) {
     let _ = stream.get_mut().write_all(text.as_bytes());
 }
--- a/crates/balancer-proxy/tests/common/takeover.rs
+++ b/crates/balancer-proxy/tests/common/takeover.rs
@@ -1,4 +1,4 @@
-//! Clients of an address that one process takes over from another.
+//! Fixture and helpers of tests in which one process takes over the address of another.
 
 use std::io::BufReader;
 use std::net::TcpStream;
@@ -12,12 +12,12 @@
 use super::shared_address::SharedAddress;
 use super::stub_server::StubServer;
 
-/// Begins this many requests, each on a connection of its own.
+/// Sends this number of requests, each on a connection of its own, and returns the connections.
 pub fn begin_requests(process: &ProxyProcess, count: usize) -> Vec<BufReader<TcpStream>> {
     (0..count).map(|_| process.begin_request(&request("order", 20_000))).collect()
 }
 
-/// Asserts that each of these requests is served.
+/// Asserts that each of these connections receives a response with status 200.
 pub fn assert_all_served(clients: Vec<BufReader<TcpStream>>) {
     for (index, mut stream) in clients.into_iter().enumerate() {
         let response = read_message(&mut stream);
@@ -25,23 +25,23 @@
     }
 }
 
-/// A backend that responds at once, and an address whose processes know that backend.
+/// A backend that responds at once, and an address whose processes have that backend in their cached list.
 pub struct TakeoverFixture {
-    /// The backend.
+    /// The backend of all processes.
     pub backend: StubServer,
-    /// The address.
+    /// The address that the processes share.
     pub address: SharedAddress,
-    /// The configuration of all processes.
+    /// The configuration of all processes, without a management address.
     pub configuration: Value,
 }
 
 impl TakeoverFixture {
-    /// Starts the backend, and no process yet.
+    /// Starts the backend and reserves an address. Starts no process.
     pub fn new() -> Self {
         Self::with_address(SharedAddress::new())
     }
 
-    /// Like [`TakeoverFixture::new`], at this address.
+    /// Starts the backend, with this address for the processes. Starts no process.
     pub fn with_address(address: SharedAddress) -> Self {
         let backend = StubServer::responding_with("hello");
         let configuration = default_configuration(&[&backend]);
@@ -53,7 +53,7 @@
         self.address.start(&self.configuration)
     }
 
-    /// The socket on which the first process of the address offers its listener.
+    /// Returns the path of the Unix socket on which the first process of the address offers its listener.
     pub fn first_offer_path(&self) -> PathBuf {
         self.address.state_file("seat-0.listener")
     }
