--- a/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
+++ b/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
@@ -1,5 +1,6 @@
-//! Clients that disconnect after the first attempt of their request: the request is neither retried nor
-//! hedged, whether or not attempts may be cancelled.
+//! Clients that disconnect after the first attempt of their request. The proxy must neither retry nor hedge
+//! the request, or it would run once more without a client. This holds whether or not attempts may be
+//! cancelled.
 
 mod common;
 
@@ -18,20 +19,20 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::Duration;
 
-/// Rejects a request as a backend does that sheds load before the request runs.
-const REJECTION: &str = "503 Service Unavailable\r\nX-Turned-Away: 1";
+/// Status and header of a response by which a backend sheds load before the request runs.
+const LOAD_SHEDDING_REJECTION: &str = "503 Service Unavailable\r\nX-Turned-Away: 1";
 
 #[test]
 fn does_not_retry_a_rejected_attempt_after_the_client_disconnected() {
     for cancel in [true, false] {
         for disconnect in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
-            let rejection = || response(REJECTION, "");
+            let rejection = || response(LOAD_SHEDDING_REJECTION, "");
             let backends = [0, 1].map(|_| StubServer::new(move |_, _| Reply::Respond(rejection())));
             let proxy = proxy_with_cancellation(cancel, &serving_list(&[&backends[0], &backends[1]]));
-            // The next timer of the request is due 0.4 s after the arrival.
+            // The next timer of the request falls due 0.4 s after its arrival.
             let stream = proxy.begin_request(&request("order", 1000));
             let attempts = || backends[0].request_count() + backends[1].request_count();
-            wait_for("attempt", || attempts() == 1);
+            wait_for("an attempt", || attempts() == 1);
 
             let readable_stream = disconnect.disconnect(stream);
             wait_for_no_open_request(&proxy);
@@ -46,16 +47,16 @@
 /// The state of the first attempt when the retry timer falls due.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum FirstAttempt {
-    /// The attempt has no response, so that a hedged request would be due.
+    /// The attempt has no response, so that a hedged attempt would be due.
     Hangs,
     /// The attempt was rejected, so that a retry would be due.
     IsRejected,
 }
 
-/// Lets the retry timer of a request fall due while the process is stopped and the client disconnects,
-/// and checks that the request is not sent again.
-fn timer_falls_due_with_the_disconnect(cancel: bool, disconnect: Disconnect, first_attempt: FirstAttempt) {
-    let rejection = || response(REJECTION, "");
+/// Lets the retry timer of a request fall due and its client disconnect while the process is stopped. Asserts
+/// that the request is not sent again.
+fn check_timer_due_with_disconnect(cancel: bool, disconnect: Disconnect, first_attempt: FirstAttempt) {
+    let rejection = || response(LOAD_SHEDDING_REJECTION, "");
     let backends = [0, 1].map(|_| {
         StubServer::new(move |_, message| match message.header("x-lane") {
             Some("look") if first_attempt == FirstAttempt::Hangs => Reply::Hang,
@@ -64,11 +65,11 @@
         })
     });
     let proxy = proxy_with_cancellation(cancel, &serving_list(&[&backends[0], &backends[1]]));
-    // The next timer of the request is due 0.8 s after the arrival, plus or minus a tenth.
+    // The next timer of the request falls due 0.8 s after its arrival, plus or minus 10 percent.
     let stream = proxy.begin_request(&request("look", 2000));
     let attempts =
         || request_count_of_class(&backends[0], "look") + request_count_of_class(&backends[1], "look");
-    wait_for("attempt", || attempts() == 1);
+    wait_for("an attempt", || attempts() == 1);
 
     let readable_stream = proxy.while_stopped(|| {
         std::thread::sleep(Duration::from_millis(1000));
@@ -82,17 +83,17 @@
 
 #[test]
 fn sends_nothing_at_a_timer_that_falls_due_together_with_the_disconnect() {
-    let test_with_cancellation = |cancel| {
+    let check_all_cases = |cancel| {
         for disconnect in Disconnect::WITHOUT_PIPELINING {
             for first_attempt in [FirstAttempt::Hangs, FirstAttempt::IsRejected] {
-                timer_falls_due_with_the_disconnect(cancel, disconnect, first_attempt);
+                check_timer_due_with_disconnect(cancel, disconnect, first_attempt);
             }
         }
     };
 
     std::thread::scope(|scope| {
-        scope.spawn(|| test_with_cancellation(true));
-        test_with_cancellation(false);
+        scope.spawn(|| check_all_cases(true));
+        check_all_cases(false);
     });
 }
 
@@ -103,7 +104,7 @@
         let proxy = proxy_with_cancellation(cancel, &serving_list(&[&backends[0], &backends[1]]));
         let stream = proxy.begin_request(&request("look", 2000));
         let attempts = || backends[0].request_count() + backends[1].request_count();
-        wait_for("attempt", || attempts() == 1);
+        wait_for("an attempt", || attempts() == 1);
 
         Disconnect::Close.disconnect(stream);
         wait_for_no_open_request(&proxy);
@@ -116,7 +117,7 @@
 #[test]
 fn does_not_retry_after_a_failed_connection_once_the_client_disconnected() {
     for cancel in [true, false] {
-        // The socket is bound, but not listening yet.
+        // The sockets are bound but do not listen yet, so that connections to them fail.
         let sockets = [0, 1].map(|_| {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
             socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -128,8 +129,8 @@
         });
         let proxy = proxy_with_cancellation(cancel, &endpoint_list(1, true, &endpoints));
         let stream = proxy.begin_request(&request("order", 1000));
-        // A connection over loopback fails before the next management call gets its response.
-        wait_for("attempt", || proxy.stats()["outstanding"] == 1);
+        // A connection over loopback fails before the next management call receives its response.
+        wait_for("an attempt", || proxy.stats()["outstanding"] == 1);
         assert_eq!(proxy.stats()["outstanding"], 1);
 
         Disconnect::Close.disconnect(stream);
@@ -148,9 +149,9 @@
     }
 }
 
-/// Starts a backend that never completes its responses of class `look`, and reports when the proxy closes
-/// the connection of such a response.
-fn incomplete_backend(report_close: Sender<()>) -> StubServer {
+/// Starts a backend that never completes its responses of class `look`. The backend reports when the proxy
+/// closes the connection of such a response.
+fn backend_of_incomplete_responses(report_close: Sender<()>) -> StubServer {
     let report_close = Mutex::new(report_close);
     StubServer::with_connection_handler(move |stream| {
         while let Some(message) = read_message(stream) {
@@ -172,10 +173,10 @@
     for cancel in [true, false] {
         for disconnect in Disconnect::WITHOUT_PIPELINING {
             let (report_close, closed) = channel();
-            let backends = [report_close.clone(), report_close].map(incomplete_backend);
+            let backends = [report_close.clone(), report_close].map(backend_of_incomplete_responses);
             let proxy = proxy_with_cancellation(cancel, &serving_list(&[&backends[0], &backends[1]]));
             let mut stream = proxy.begin_request(&request("look", 1000));
-            assert_eq!(read_head(&mut stream).expect("a head").status(), 200);
+            assert_eq!(read_head(&mut stream).expect("no complete head").status(), 200);
             let forwards_before = proxy.stats()["forwards"].clone();
 
             let readable_stream = disconnect.disconnect(stream);
--- a/crates/balancer-proxy/tests/clock.rs
+++ b/crates/balancer-proxy/tests/clock.rs
@@ -1,10 +1,10 @@
-//! The clock of the decision module, and its conversions from and to other clocks.
+//! The clock of the decision module, and its conversions from Unix time and to instants.
 
 use balancer_proxy::clock::Clock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 #[test]
-fn the_time_starts_at_zero_and_never_decreases() {
+fn time_is_never_negative_and_never_decreases() {
     let clock = Clock::start();
 
     let first = clock.now();
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_unix_time_of_the_start_is_time_zero() {
+fn converts_the_unix_time_of_the_start_to_zero() {
     let before = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64();
     let clock = Clock::start();
     let after = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn an_instant_is_the_start_plus_the_time() {
+fn converts_a_time_to_the_start_plus_that_time() {
     let clock = Clock::start();
 
     let instant = clock.instant_at(1.5);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_time_that_no_duration_can_represent_becomes_the_start() {
+fn converts_a_time_that_no_duration_can_represent_to_the_start() {
     let clock = Clock::start();
 
     for time in [-1.0, f64::INFINITY, f64::NAN] {
--- a/crates/balancer-proxy/tests/connection_limits.rs
+++ b/crates/balancer-proxy/tests/connection_limits.rs
@@ -1,4 +1,6 @@
-//! Many connections without a complete request, where there is little capacity for connections.
+//! Many connections without a complete request on a proxy with few file descriptors. Idle connections must
+//! not keep out requests, calls to discovery or management calls: without a free descriptor an accept or a
+//! connect fails with error 24 of the system (too many open files).
 
 mod common;
 
@@ -16,8 +18,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Starts a proxy with capacity for some twenty client connections.
-fn proxy_with_few_sockets(backend: &StubServer) -> ProxyProcess {
+/// Starts a proxy whose limit of 64 sockets leaves capacity for about 20 client connections.
+fn proxy_with_64_sockets(backend: &StubServer) -> ProxyProcess {
     ProxyProcess::with_socket_limit(&[backend], 64)
 }
 
@@ -28,9 +30,9 @@
 #[test]
 fn serves_requests_among_more_idle_connections_than_the_limit() {
     let backend = StubServer::responding_with("hello");
-    let proxy = proxy_with_few_sockets(&backend);
+    let proxy = proxy_with_64_sockets(&backend);
     let idle = open_connections(&proxy, 60);
-    std::thread::sleep(Duration::from_millis(1600)); // until they have been idle for long enough
+    std::thread::sleep(Duration::from_millis(1600)); // until the proxy may close them as idle
 
     for _ in 0..10 {
         assert_eq!(proxy.exchange(&request("order", 9000)).status(), 200);
@@ -42,8 +44,8 @@
 #[test]
 fn responds_to_a_request_that_arrives_as_its_idle_connection_is_chosen_for_closing() {
     let backend = StubServer::responding_with("hello");
-    let proxy = proxy_with_few_sockets(&backend);
-    // The number of connections is near the limit, and the proxy may close all that were idle for 2 s.
+    let proxy = proxy_with_64_sockets(&backend);
+    // The number of connections is near the limit, so that the proxy may close those idle for 2 s.
     let mut idle: Vec<_> = (0..10)
         .map(|_| {
             let mut stream = proxy.connect();
@@ -54,7 +56,7 @@
     std::thread::sleep(Duration::from_millis(2200));
 
     proxy.signal("-STOP");
-    // New connections come first, so that idle ones are closed before the requests are read.
+    // The new connections arrive first, so that the proxy closes idle ones before it reads the requests.
     let new = open_connections(&proxy, 40);
     for stream in &mut idle {
         stream.get_mut().write_all(request("order", 9000).as_bytes()).unwrap();
@@ -62,23 +64,23 @@
     proxy.signal("-CONT");
 
     for stream in &mut idle {
-        assert_eq!(read_message(stream).expect("a response").status(), 200);
+        assert_eq!(read_message(stream).expect("no complete response").status(), 200);
     }
     drop(new);
 }
 
-/// A connection on which only readiness was asked for is in use by a health checker, which asks again on it.
+/// A connection with only readiness requests belongs to a health checker, which sends further ones on it.
 #[test]
-fn keeps_a_connection_that_asks_for_readiness_among_silent_ones() {
+fn keeps_a_health_check_connection_open_while_closing_silent_ones() {
     let backend = StubServer::responding_with("hello");
-    let proxy = proxy_with_few_sockets(&backend);
+    let proxy = proxy_with_64_sockets(&backend);
     let mut health_checker = proxy.connect();
     assert_eq!(exchange(&mut health_checker, READINESS_REQUEST).status(), 200);
     let silent = open_connections(&proxy, 8);
-    std::thread::sleep(Duration::from_millis(550)); // until silent connections may be closed, and idle ones not
+    std::thread::sleep(Duration::from_millis(550)); // silent connections may be closed, idle ones not
 
     let new = open_connections(&proxy, 20);
-    wait_for("closed connections", || {
+    wait_for("a closed connection", || {
         silent.iter().any(|stream| {
             stream.get_ref().set_nonblocking(true).unwrap();
             stream.get_ref().peek(&mut [0]).is_ok_and(|length| length == 0)
@@ -90,28 +92,28 @@
 }
 
 #[test]
-fn closes_connections_behind_their_responses_near_the_limit() {
+fn closes_connections_after_their_responses_near_the_limit() {
     let backend = StubServer::responding_with("hello");
-    let proxy = proxy_with_few_sockets(&backend);
+    let proxy = proxy_with_64_sockets(&backend);
     let closes =
         |proxy: &ProxyProcess| proxy.exchange(&request("look", 9000)).header("connection") == Some("close");
     assert!(!closes(&proxy));
 
     let idle = open_connections(&proxy, 15);
-    wait_for("close", || closes(&proxy));
+    wait_for("a response with `Connection: close`", || closes(&proxy));
 
     drop(idle);
-    wait_for("capacity", || !closes(&proxy));
+    wait_for("a response without `Connection: close`", || !closes(&proxy));
 }
 
 #[test]
 fn responds_to_every_request_completed_as_its_connection_is_closed_for_lack_of_capacity() {
-    // The responses take longer than the proxy waits for a connection that it closes.
+    // Each response takes longer than the time for which the proxy waits on a connection that it closes.
     let backend = StubServer::new(|_, _| {
         std::thread::sleep(Duration::from_millis(600));
         Reply::Respond(response("200 OK", "hello"))
     });
-    let proxy = proxy_with_few_sockets(&backend);
+    let proxy = proxy_with_64_sockets(&backend);
     let clients: Vec<_> = (0..18)
         .map(|index| {
             let mut stream = proxy.connect();
@@ -134,13 +136,13 @@
         .collect();
 
     let served = clients.into_iter().map(|client| client.join().unwrap()).filter(|served| *served).count();
-    assert_eq!(served, backend.request_count(), "what has been forwarded gets its response");
+    assert_eq!(served, backend.request_count(), "some forwarded requests got no response");
     assert!(served > 0);
     drop(new);
 }
 
-/// Starts a discovery that sends no response until the flag is set, and then responds with the list.
-fn discovery_that_is_down_at_first(is_up: Arc<AtomicBool>, list: String) -> StubServer {
+/// Starts a discovery that sends no response until `is_up` is set, and then responds with the list.
+fn discovery_returning_on_flag(is_up: Arc<AtomicBool>, list: String) -> StubServer {
     StubServer::new(move |_, message| {
         if is_up.load(Ordering::SeqCst) && !message.start_line.contains("since=2&") {
             Reply::Respond(response("200 OK", &list))
@@ -150,47 +152,49 @@
     })
 }
 
-/// The connections that fill the descriptors of the proxy as discovery returns.
+/// The connections that use up the file descriptors of the proxy when discovery returns.
 #[derive(Clone, Copy, Debug)]
-struct Clients {
-    /// Whether the connections that are idle before have had a request.
-    had_request: bool,
-    /// The number of connections to the management address, if the proxy has one.
-    management_calls: Option<usize>,
+struct DescriptorLoad {
+    /// Whether each idle client connection has carried a request before.
+    idle_clients_had_request: bool,
+    /// The number of connections to the management address, or `None` if the proxy has no such address.
+    management_connections: Option<usize>,
 }
 
-/// Uses up the capacity with idle connections. Then opens many more at once, also to the management
-/// address if the proxy has one, just as discovery returns.
-fn reaches_discovery_as_it_returns(clients: Clients) {
-    let Clients { had_request, management_calls } = clients;
+/// Uses up the file descriptors with idle connections, then opens many more at the moment when discovery
+/// returns, also to the management address if the proxy has one. Asserts that the proxy receives the list
+/// within 6 s and logs no lack of descriptors.
+fn check_discovery_reached_as_it_returns(load: DescriptorLoad) {
+    let DescriptorLoad { idle_clients_had_request, management_connections } = load;
     let (old, new) = (StubServer::responding_with("old"), StubServer::responding_with("new"));
     let endpoints =
         [listed_endpoint("s-0", old.address, "DRAINING"), listed_endpoint("s-1", new.address, "SERVING")];
     let is_up = Arc::new(AtomicBool::new(false));
     let list = endpoint_list(2, true, &endpoints).to_string();
-    let discovery = discovery_that_is_down_at_first(is_up.clone(), list);
+    let discovery = discovery_returning_on_flag(is_up.clone(), list);
     let mut configuration = configuration(&default_settings(), &serving_list(&[&old]));
-    if management_calls.is_some() {
+    if management_connections.is_some() {
         configuration["management"] = json!("127.0.0.1:0");
     }
     let proxy = ProxyProcess::with_descriptor_limit(&configuration, discovery.address, 64);
     let mut idle = open_connections(&proxy, 24);
-    for stream in idle.iter_mut().filter(|_| had_request) {
+    for stream in idle.iter_mut().filter(|_| idle_clients_had_request) {
         let _ = stream.get_mut().write_all(request("look", 9000).as_bytes());
-        let _ = read_message(stream); // it may be rejected for lack of capacity
+        let _ = read_message(stream); // the request may be rejected for lack of capacity
     }
-    std::thread::sleep(Duration::from_millis(2200)); // until they may be closed
+    std::thread::sleep(Duration::from_millis(2200)); // until the proxy may close them
 
     proxy.signal("-STOP");
     let new_connections = open_connections(&proxy, 100);
-    let management: Vec<_> = (0..management_calls.unwrap_or(0)).map(|_| proxy.connect_management()).collect();
+    let management: Vec<_> =
+        (0..management_connections.unwrap_or(0)).map(|_| proxy.connect_management()).collect();
     is_up.store(true, Ordering::SeqCst);
     let start = Instant::now();
     proxy.signal("-CONT");
 
     let is_next_watch = |call: &HttpMessage| call.start_line.contains("since=2&");
-    wait_for("list", || discovery.requests.lock().unwrap().iter().any(is_next_watch));
-    assert!(start.elapsed() < Duration::from_secs(6), "{clients:?}: {:?}", start.elapsed());
+    wait_for("the list of discovery", || discovery.requests.lock().unwrap().iter().any(is_next_watch));
+    assert!(start.elapsed() < Duration::from_secs(6), "{load:?}: {:?}", start.elapsed());
     for _ in 0..3 {
         assert_eq!(proxy.exchange(&request("order", 9000)).body, b"new");
     }
@@ -198,16 +202,16 @@
         assert!(proxy.management_call("status\n").starts_with("OK"));
     }
     let log = proxy.log.lock().unwrap().join("\n");
-    assert!(!log.contains("os error 24"), "{clients:?}: {log}");
+    assert!(!log.contains("os error 24"), "{load:?}: {log}");
     drop((idle, new_connections, management));
 }
 
 #[test]
 fn reaches_discovery_as_it_returns_while_clients_fill_all_descriptors() {
     std::thread::scope(|scope| {
-        for had_request in [false, true] {
-            let clients = Clients { had_request, management_calls: None };
-            scope.spawn(move || reaches_discovery_as_it_returns(clients));
+        for idle_clients_had_request in [false, true] {
+            let load = DescriptorLoad { idle_clients_had_request, management_connections: None };
+            scope.spawn(move || check_discovery_reached_as_it_returns(load));
         }
     });
 }
@@ -215,9 +219,9 @@
 #[test]
 fn reaches_discovery_as_it_returns_while_clients_and_management_calls_fill_all_descriptors() {
     std::thread::scope(|scope| {
-        for had_request in [false, true] {
-            let clients = Clients { had_request, management_calls: Some(60) };
-            scope.spawn(move || reaches_discovery_as_it_returns(clients));
+        for idle_clients_had_request in [false, true] {
+            let load = DescriptorLoad { idle_clients_had_request, management_connections: Some(60) };
+            scope.spawn(move || check_discovery_reached_as_it_returns(load));
         }
     });
 }
--- a/crates/balancer-proxy/tests/discovery_reload.rs
+++ b/crates/balancer-proxy/tests/discovery_reload.rs
@@ -1,4 +1,5 @@
-//! Reload by SIGHUP of a configuration that names another discovery: the list comes from that one.
+//! Reload by SIGHUP of a configuration with another address of discovery. The proxy must fetch the endpoint
+//! list from the new address, also if the first calls there fail or its generations are lower.
 
 mod common;
 
@@ -12,8 +13,8 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// A discovery that has this full list and no later event.
-fn discovery_with_list(generation: u64, backend: &StubServer) -> StubServer {
+/// Starts a discovery that sends a full list with this generation and backend, and no later event.
+fn discovery_of_backend(generation: u64, backend: &StubServer) -> StubServer {
     let endpoint = listed_endpoint(&format!("s-{generation}"), backend.address, "SERVING");
     let full_list = endpoint_list(generation, true, &[endpoint]).to_string();
     StubServer::new(move |_, message| {
@@ -26,30 +27,30 @@
 }
 
 #[test]
-fn takes_the_list_from_the_discovery_that_a_reloaded_file_names() {
+fn fetches_the_endpoint_list_from_the_discovery_in_a_reloaded_configuration() {
     let backends = ["old", "new", "newest"].map(StubServer::responding_with);
     let mut configuration = configuration(&default_settings(), &serving_list(&[&backends[0]]));
     let first = silent_discovery();
     let mut proxy = ProxyProcess::with_configuration(&configuration, first.address);
-    wait_for("watch", || first.request_count() == 1);
+    wait_for("a watch", || first.request_count() == 1);
     assert_eq!(proxy.exchange(&request("look", 9000)).body, b"old");
 
-    // The generation of the last one is lower: generations of different discoveries are not compared.
+    // The last discovery has a lower generation. Generations of different discoveries are not compared.
     let mut discoveries = Vec::new();
     for (generation, body, backend) in [(7, "new", &backends[1]), (3, "newest", &backends[2])] {
-        let discovery = discovery_with_list(generation, backend);
+        let discovery = discovery_of_backend(generation, backend);
         configuration["discovery"] = json!(discovery.address.to_string());
         proxy.replace_configuration(&configuration);
         proxy.signal("-HUP");
-        wait_for("list", || proxy.exchange(&request("look", 9000)).body == body.as_bytes());
-        wait_for("watch", || discovery.request_count() >= 2);
+        wait_for("the new endpoint list", || proxy.exchange(&request("look", 9000)).body == body.as_bytes());
+        wait_for("a watch", || discovery.request_count() >= 2);
         let calls = discovery.requests.lock().unwrap().clone();
         assert!(calls[0].start_line.starts_with("GET /api/targets HTTP"), "{}", calls[0].start_line);
         assert!(calls[1].start_line.contains(&format!("since={generation}&")), "{}", calls[1].start_line);
         discoveries.push(discovery);
     }
 
-    // An invalid file changes nothing, also repeatedly and during a graceful shutdown.
+    // An invalid file changes nothing, also if it is reloaded repeatedly or during a graceful shutdown.
     for text in ["{", "{}", &configuration.to_string().replace("127.0.0.1:", "nowhere:")] {
         proxy.replace_configuration_text(text);
         proxy.signal("-HUP");
@@ -60,9 +61,9 @@
     assert_eq!(exit_code(&mut proxy.child), Some(0));
 }
 
-/// Moves a proxy by SIGHUP to a discovery that leaves the first call without a response and sends half
-/// of the response to the second.
-fn receives_the_list_after_two_failed_calls(registry_mode: &str, seed: u64) {
+/// Switches a proxy by SIGHUP to a discovery that does not respond to the first call and sends half of the
+/// response to the second. Asserts that the proxy receives the list within 4 s.
+fn check_list_received_after_two_failed_calls(registry_mode: &str, seed: u64) {
     let backends = ["old", "new"].map(StubServer::responding_with);
     let new_list = endpoint_list(2, true, &[listed_endpoint("s-1", backends[1].address, "SERVING")]);
     let full_response = response("200 OK", &new_list.to_string());
@@ -83,7 +84,7 @@
     proxy.replace_configuration(&configuration);
     let signalled = Instant::now();
     proxy.signal("-HUP");
-    wait_for("list", || discovery.request_count() >= 4);
+    wait_for("the new endpoint list", || discovery.request_count() >= 4);
     let elapsed = signalled.elapsed();
 
     assert!(elapsed < Duration::from_secs(4), "{registry_mode}, seed {seed}: {elapsed:?}");
@@ -95,7 +96,7 @@
     std::thread::scope(|scope| {
         for registry_mode in ["automatic", "subscribe"] {
             for seed in [1, 2] {
-                scope.spawn(move || receives_the_list_after_two_failed_calls(registry_mode, seed));
+                scope.spawn(move || check_list_received_after_two_failed_calls(registry_mode, seed));
             }
         }
     });
--- a/crates/balancer-proxy/tests/discovery_return.rs
+++ b/crates/balancer-proxy/tests/discovery_return.rs
@@ -1,5 +1,5 @@
-//! The return of discovery after a chain of faults: the event that it has by then is received in time,
-//! and failed calls are not repeated without a pause.
+//! The return of discovery after a series of failed calls. The proxy must receive the pending event within
+//! 6 s, however long its backoff has grown, and must not repeat failed calls without a pause.
 
 mod common;
 
@@ -16,9 +16,9 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// A discovery that returns after faults. Its first call is answered with the cached list. It closes
-/// `closed_calls` calls, leaves one without a response, just after which it has the event, sends part
-/// of the response to the next, and responds to the one after that.
+/// Starts a discovery that returns after faults. It responds to the first call with the cached list and
+/// closes the connections of the next `closed_calls` calls. The call after these gets no response; the event
+/// is pending from then on. The next call gets part of a response, and the one after that gets the event.
 fn returning_discovery(
     closed_calls: usize,
     partial_response: &'static str,
@@ -44,14 +44,14 @@
     })
 }
 
-/// How the proxy learns of changes, and how many calls fail before discovery returns.
+/// The way in which the proxy receives changes, and the number of calls that fail by a closed connection.
 #[derive(Clone, Copy)]
 struct FaultChain {
     registry_mode: &'static str,
     closed_calls: usize,
 }
 
-/// Watched or polled, with backoff at its shortest and at its longest.
+/// Watches (`automatic`) and polls (`subscribe`), each with the shortest and with the longest backoff.
 const FAULT_CHAINS: [FaultChain; 4] = [
     FaultChain { registry_mode: "automatic", closed_calls: 0 },
     FaultChain { registry_mode: "automatic", closed_calls: 7 },
@@ -59,7 +59,8 @@
     FaultChain { registry_mode: "subscribe", closed_calls: 3 },
 ];
 
-fn receives_the_event_after_a_chain_of_faults(chain: FaultChain, seed: usize) {
+/// Asserts that the proxy receives the event within 6 s after a chain of faults and pauses after failures.
+fn check_event_received_after_fault_chain(chain: FaultChain, seed: usize) {
     let FaultChain { registry_mode, closed_calls } = chain;
     let backends = BackendReplacement::start();
     let event = response("200 OK", &backends.event(2, "DRAINING").to_string());
@@ -73,13 +74,13 @@
     configuration["seed"] = json!(format!("{seed:x}"));
     let proxy = ProxyProcess::with_configuration(&configuration, discovery.server.address);
     if registry_mode == "subscribe" {
-        // It polls at once when its discovery moves, and otherwise some time within 30 s.
+        // The proxy polls at once if the address of discovery changes, and otherwise within 30 s.
         configuration["discovery"] = json!(discovery.server.address.to_string());
         proxy.replace_configuration(&configuration);
         proxy.signal("-HUP");
     }
 
-    wait_for("list", || discovery.call_count() >= closed_calls + 5);
+    wait_for("the call after the event", || discovery.call_count() >= closed_calls + 5);
 
     let time_of_call = |index: usize| discovery.call(index).received_at;
     let elapsed = time_of_call(closed_calls + 3) - time_of_call(closed_calls + 1);
@@ -89,8 +90,8 @@
         assert_eq!(proxy.exchange(&request("look", 9000)).body, b"new", "{case}");
     }
     assert!(discovery.call(closed_calls + 4).request_line.contains("since=2&"), "{case}");
-    // Failed calls are not repeated without a pause. A poll may come in between, as it does once
-    // after the start.
+    // Failed calls are not repeated without a pause. The last pause is checked, as a poll comes between two
+    // calls once after the start.
     if closed_calls > 0 && registry_mode == "automatic" {
         let last_pause = time_of_call(closed_calls + 1) - time_of_call(closed_calls);
         assert!(last_pause > Duration::from_millis(400), "{case}: {last_pause:?}");
@@ -102,7 +103,7 @@
     std::thread::scope(|scope| {
         for chain in FAULT_CHAINS {
             for seed in [1, 2, 3] {
-                scope.spawn(move || receives_the_event_after_a_chain_of_faults(chain, seed));
+                scope.spawn(move || check_event_received_after_fault_chain(chain, seed));
             }
         }
     });
--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -1,5 +1,5 @@
-//! Backends that are replaced again and again: a removed backend is forgotten, but not before the last
-//! attempt that uses it has ended.
+//! Backends that are replaced again and again. The engine must discard the state of a removed backend, or its
+//! memory would grow with each replacement, but not before the last attempt on that backend has ended.
 
 mod common;
 
@@ -18,11 +18,11 @@
 use std::time::Duration;
 
 /// Interval at which a test evaluates a condition of the engine.
-const CONDITION_INTERVAL: Duration = Duration::from_millis(20);
+const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Settings of an inner balancer with one class of requests that may be retried at will. The class allows
-/// a request more time than the test takes, so that an attempt without a response stays in flight.
-fn safe_settings() -> Settings {
+/// Returns settings of an inner balancer with one class of safe requests. The class allows a request more time
+/// than the test takes, so that an attempt without a response stays in flight.
+fn settings_of_one_safe_class() -> Settings {
     let class = RequestClass {
         latency_objective: TEST_TIMEOUT.as_secs_f64(),
         max_timeout: TEST_TIMEOUT.as_secs_f64(),
@@ -32,11 +32,11 @@
     Settings { classes: vec![class], tier: Tier(1), ..Settings::default() }
 }
 
-fn listed(id: u32, address: SocketAddr) -> ListedEndpoint {
+fn listed_endpoint(id: u32, address: SocketAddr) -> ListedEndpoint {
     ListedEndpoint { endpoint: Endpoint { id: BackendId(id), ..Endpoint::default() }, address }
 }
 
-/// Starts an engine with a short grace period for backends that are removed.
+/// Starts an engine with a drain grace period of 100 ms.
 fn start_engine() -> Rc<Engine> {
     let proxy = ProxySettings {
         connect_timeout: TEST_TIMEOUT,
@@ -46,17 +46,17 @@
         ..ProxySettings::default()
     };
     let metrics = Metrics::new(&proxy);
-    Engine::start(SettingsSnapshot { balancer: safe_settings(), proxy }.into(), 1, 10, metrics)
+    Engine::start(SettingsSnapshot { balancer: settings_of_one_safe_class(), proxy }.into(), 1, 10, metrics)
 }
 
 #[test]
-fn the_engine_forgets_a_removed_backend_once_no_attempt_is_in_flight() {
+fn engine_discards_a_removed_backend_once_no_attempt_on_it_is_in_flight() {
     let (report_disconnect, disconnected) = channel();
     let backend = StubServer::new(move |_, _| Reply::HangAndReport(report_disconnect.clone()));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let engine = start_engine();
-        engine.on_watch_event(WatchEvent::Full(vec![listed(1, backend.address)]));
+        engine.on_watch_event(WatchEvent::Full(vec![listed_endpoint(1, backend.address)]));
         let payload = ForwardedRequest {
             method: hyper::Method::GET,
             uri: "/api".parse().unwrap(),
@@ -66,29 +66,32 @@
         let request = Request { timeout: TEST_TIMEOUT.as_secs_f64(), ..Request::default() };
         let id = next_unique_number() as u64;
         let submitted = engine.submit(id, request, payload).unwrap();
-        let pause = || tokio::time::sleep(CONDITION_INTERVAL);
+        let pause = || tokio::time::sleep(CONDITION_POLL_INTERVAL);
         while backend.request_count() == 0 {
             pause().await;
         }
 
         for id in 2..50 {
-            engine.on_watch_event(WatchEvent::Full(vec![listed(id, backend.address)]));
+            engine.on_watch_event(WatchEvent::Full(vec![listed_endpoint(id, backend.address)]));
         }
 
-        // The bound is many times the grace period and the interval of the sweeps.
+        // The bound is many times the grace period and the interval at which the engine removes expired backends.
         let mut pauses = 0;
         while (2..49).any(|id| engine.is_backend_known(BackendId(id))) {
             pause().await;
             pauses += 1;
-            assert!(pauses < 1000, "the removed backends are not forgotten");
+            assert!(pauses < 1000, "the engine still holds removed backends without attempts");
         }
-        assert!(engine.is_backend_known(BackendId(49)), "the one that is listed");
-        assert!(engine.is_backend_known(BackendId(1)), "the one with an attempt in flight");
+        assert!(engine.is_backend_known(BackendId(49)), "the one that is listed_endpoint");
+        assert!(
+            engine.is_backend_known(BackendId(1)),
+            "the engine discarded a backend with an attempt in flight"
+        );
         engine.abandon(submitted.id);
         while engine.is_backend_known(BackendId(1)) {
             pause().await;
             pauses += 1;
-            assert!(pauses < 2000, "the backend of the ended attempt is not forgotten");
+            assert!(pauses < 2000, "the engine still holds the backend of the ended attempt");
         }
     });
     wait_for_disconnect(&disconnected);
--- a/crates/balancer-proxy/tests/endpoint_watch.rs
+++ b/crates/balancer-proxy/tests/endpoint_watch.rs
@@ -1,5 +1,6 @@
-//! The watch of the endpoint list at discovery: however a watch fails, the event that it missed is
-//! received in time.
+//! The watch of the endpoint list at discovery. A watch can fail without a closed connection: by no response,
+//! or by one that never ends. In each case the proxy must repeat the watch soon enough to receive the missed
+//! event within 6 s.
 
 mod common;
 
@@ -18,7 +19,7 @@
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
-/// What discovery does with a connection over which a call has come.
+/// Handles a connection to discovery after a call has arrived on it.
 type ConnectionHandler = Box<dyn Fn(&mut BufReader<TcpStream>) + Send + Sync>;
 
 /// A way in which a call to discovery can fail.
@@ -33,7 +34,7 @@
     }
 }
 
-/// Writes the start, and the piece over and over until the connection ends.
+/// Returns a connection handler that writes `start`, then `piece` every 20 ms until the connection ends.
 fn write_without_end(
     start: &'static str,
     piece: &'static str,
@@ -46,7 +47,7 @@
     }
 }
 
-/// The ways in which a call to discovery can fail.
+/// Returns the faults of a call to discovery.
 fn faults() -> Vec<Fault> {
     let reset = |stream: &mut BufReader<TcpStream>| {
         SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
@@ -65,7 +66,7 @@
     ]
 }
 
-/// Starts a proxy that knows the old backend, with this discovery.
+/// Starts a proxy with this discovery and the old backend in its cached endpoint list.
 fn start_proxy(backends: &BackendReplacement, discovery: &StubServer) -> ProxyProcess {
     ProxyProcess::start(&default_settings(), &backends.cached_list(), discovery.address)
 }
@@ -76,14 +77,14 @@
         for Fault { name, handler } in faults() {
             scope.spawn(move || {
                 let backends = BackendReplacement::start();
-                // Indented, as lists may be.
+                // The JSON is indented, as endpoint lists may be.
                 let event = serde_json::to_string_pretty(&backends.event(2, "DRAINING")).unwrap();
                 let discovery =
                     ScriptedDiscovery::with_failing_first_call(handler, response("200 OK", &event));
                 let proxy = start_proxy(&backends, &discovery.server);
                 let start = Instant::now();
 
-                wait_for("list", || discovery.call_count() >= 3);
+                wait_for("the call after the event", || discovery.call_count() >= 3);
 
                 assert!(start.elapsed() < Duration::from_secs(6), "{name}: {:?}", start.elapsed());
                 for _ in 0..5 {
@@ -114,21 +115,21 @@
         let start = Instant::now();
         let proxy = start_proxy(&backends, &discovery);
 
-        wait_for("next watch", || discovery.request_count() >= 3);
+        wait_for("the next watch", || discovery.request_count() >= 3);
 
-        assert!(start.elapsed() < Duration::from_secs(6), "noticed after {:?}", start.elapsed());
+        assert!(start.elapsed() < Duration::from_secs(6), "received the event after {:?}", start.elapsed());
         assert_eq!(proxy.exchange(&request("look", 20_000)).body, b"new");
     }
 }
 
-/// A proxy with a discovery of its own.
+/// A proxy and its own discovery.
 struct WatchingProxy {
     _process: ProxyProcess,
     discovery: ScriptedDiscovery,
 }
 
 #[test]
-fn proxies_do_not_repeat_together_the_watches_of_a_discovery_that_went_silent() {
+fn proxies_repeat_their_watches_at_different_times_after_discovery_stops_responding() {
     let backend = StubServer::responding_with("hello");
     let start_with_seed = |seed: usize| {
         let discovery = ScriptedDiscovery::new(|_, stream| {
@@ -145,7 +146,7 @@
     let delays: Vec<Duration> = proxies
         .iter()
         .map(|WatchingProxy { discovery, .. }| {
-            wait_for("second call", || discovery.call_count() >= 2);
+            wait_for("a second call", || discovery.call_count() >= 2);
             discovery.call(1).received_at - discovery.call(0).received_at
         })
         .collect();
