--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -20,8 +20,8 @@
 /// Interval at which a test evaluates a condition of the engine.
 const CONDITION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Returns settings of an inner balancer with one class of safe requests. The class allows a request more time
-/// than the test takes, so that an attempt without a response stays in flight.
+/// Returns settings of an inner balancer with one class of safe requests. The class allows a request more
+/// time than the test takes, so that an attempt without a response stays in flight.
 fn settings_of_one_safe_class() -> Settings {
     let class = RequestClass {
         latency_objective: TEST_TIMEOUT.as_secs_f64(),
@@ -75,14 +75,14 @@
             engine.on_watch_event(WatchEvent::Full(vec![listed_endpoint(id, backend.address)]));
         }
 
-        // The bound is many times the grace period and the interval at which the engine removes expired backends.
+        // The bound is many times the grace period and the interval of the removal of expired backends.
         let mut pauses = 0;
         while (2..49).any(|id| engine.is_backend_known(BackendId(id))) {
             pause().await;
             pauses += 1;
             assert!(pauses < 1000, "the engine still holds removed backends without attempts");
         }
-        assert!(engine.is_backend_known(BackendId(49)), "the one that is listed_endpoint");
+        assert!(engine.is_backend_known(BackendId(49)), "the engine discarded the listed backend");
         assert!(
             engine.is_backend_known(BackendId(1)),
             "the engine discarded a backend with an attempt in flight"
--- a/crates/balancer-proxy/tests/faulty_backends.rs
+++ b/crates/balancer-proxy/tests/faulty_backends.rs
@@ -47,7 +47,7 @@
         let status = proxy.exchange(&request("order", 19_000)).status();
 
         assert!(status != 200 && status != 429 && status != 503, "{status} for {bytes:.60}");
-        // The client would wait for 19 s.
+        // The failure comes far sooner than the 19 s for which the client would wait.
         assert!(start.elapsed() < Duration::from_secs(10), "{:?} for {bytes:.60}", start.elapsed());
         assert_eq!(backend.request_count(), 1, "{bytes:.60}");
     }
@@ -83,13 +83,13 @@
 
 /// Time after which the kernel repeats a connection attempt that the backend's kernel dropped.
 const SYN_RETRANSMISSION_DELAY: Duration = Duration::from_secs(1);
-/// Connect timeout of the proxy. The proxy starts a second connection attempt after half of it: well after the
-/// test has found the first attempt, and before the kernel repeats the first attempt.
+/// Connect timeout of the proxy. The proxy starts a second connection attempt after half of it: well after
+/// the test has found the first attempt, and before the kernel repeats the first attempt.
 const PROXY_CONNECT_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// Sends a request to a backend that drops the first connection attempt. Returns the port of that attempt and
-/// the port of the connection that carried the request. Returns `None` if this process was delayed until after
-/// the second attempt before it emptied the backlog of the backend.
+/// Sends a request to a backend that drops the first connection attempt. Returns the port of that attempt
+/// and the port of the connection that carried the request. Returns `None` if this process was delayed, so
+/// that the proxy started its second attempt before the backlog of the backend was empty.
 fn exchange_after_a_dropped_connection_attempt() -> Option<ExchangePorts> {
     let backend = LateServer::with_full_backlog();
     let mut settings = default_settings();
@@ -110,7 +110,7 @@
     drop(backend.accept()); // from here on, connections can be established
     let mut stream = backend.accept_while_pending()?;
     if read_message(&mut stream).is_none() {
-        // The proxy was delayed until both connections were established, and has closed this one without a request.
+        // The proxy was delayed until both connections were established, and closed this one unused.
         stream = backend.accept_while_pending().expect("no connection carried the request");
         read_message(&mut stream).expect("no complete request");
     }
--- a/crates/balancer-proxy/tests/forwarding.rs
+++ b/crates/balancer-proxy/tests/forwarding.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn fails_an_unsafe_request_that_may_have_run_without_a_retry() {
+fn does_not_retry_an_unsafe_request_that_may_have_run() {
     let backends = [StubServer::new(|_, _| Reply::Close), StubServer::new(|_, _| Reply::Close)];
     let proxy = ProxyProcess::in_front_of(&[&backends[0], &backends[1]]);
 
@@ -53,8 +53,8 @@
 
 #[test]
 fn rejects_an_unsafe_request_that_reached_no_backend() {
-    let closed = ClosedAddress::new();
-    let cached_list = endpoint_list(1, true, &[listed_endpoint("s-1", closed.address, "SERVING")]);
+    let closed_address = ClosedAddress::new();
+    let cached_list = endpoint_list(1, true, &[listed_endpoint("s-1", closed_address.address, "SERVING")]);
     let proxy = ProxyProcess::start(&default_settings(), &cached_list, silent_discovery().address);
 
     assert_eq!(proxy.exchange(&request("order", 1000)).status(), 503);
@@ -80,7 +80,7 @@
     let backend = StubServer::new(move |_, _| Reply::HangAndReport(report_disconnect.clone()));
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let client = proxy.begin_request(&request("order", 20_000));
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
 
     let start = Instant::now();
     drop(client);
--- a/crates/balancer-proxy/tests/full_log.rs
+++ b/crates/balancer-proxy/tests/full_log.rs
@@ -1,11 +1,6 @@
-//! A log that nobody reads.
-//!
-//! What happened: a pipe for the log that was open, but full, stopped the proxy. No request was served any more, and
-//! no signal was handled, until somebody read the pipe.
-//!
-//! Why: the one thread of the proxy wrote the lines itself, and waited in the write.
-//!
-//! What showed it: the first test below, in which the pipe is full from the start; the proxy did not even listen.
+//! A log pipe that is open, but that nobody reads. Once the pipe is full, a write to it blocks. If the only
+//! thread of the proxy wrote the log itself, the proxy would serve no request and handle no signal until the
+//! pipe is read. With a pipe that is full from the start it would not even listen.
 
 mod common;
 
@@ -17,22 +12,22 @@
 use std::io::{BufRead, BufReader, PipeReader, PipeWriter, Write};
 use std::net::TcpStream;
 
-/// Reloads that are refused, each with a line in the log: more than wait to be written.
-const REFUSED_RELOADS: usize = 600;
-/// A write at least as long as any buffer of a pipe that the system grants.
-const FILLING: usize = 1 << 20;
+/// Number of rejected reloads, each with a line in the log. The proxy queues fewer lines for writing.
+const REJECTED_RELOAD_COUNT: usize = 600;
+/// Length of the write that fills a pipe, at least that of the largest pipe buffer that the system grants.
+const PIPE_FILL_BYTES: usize = 1 << 20;
 
-/// Returns a pipe that is full.
+/// Returns the two ends of a full pipe.
 fn full_pipe() -> (PipeReader, PipeWriter) {
     let (reader, writer) = std::io::pipe().unwrap();
     let mut filling = writer.try_clone().unwrap();
-    // The writer waits once the pipe is full, until the pipe is read.
-    std::thread::spawn(move || filling.write_all(&[b'x'; FILLING]));
-    wait_for("full pipe", || is_full(&writer));
+    // The write blocks once the pipe is full, until the pipe is read.
+    std::thread::spawn(move || filling.write_all(&[b'x'; PIPE_FILL_BYTES]));
+    wait_for("a full pipe", || is_full(&writer));
     (reader, writer)
 }
 
-/// Returns whether a write to the pipe would wait.
+/// Returns whether a write to the pipe would block.
 fn is_full(writer: &PipeWriter) -> bool {
     let mut descriptors = [rustix::event::PollFd::new(writer, rustix::event::PollFlags::OUT)];
     let now = rustix::event::Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -43,12 +38,13 @@
 fn start_with_full_log(backend: &StubServer) -> (ProxyProcess, PipeReader) {
     let (reader, writer) = full_pipe();
     let proxy = SharedAddress::new().start_logging_to(&default_configuration(&[backend]), writer);
-    wait_for("listener", || TcpStream::connect(proxy.address).is_ok());
+    wait_for("the listener of the proxy", || TcpStream::connect(proxy.address).is_ok());
     (proxy, reader)
 }
 
-/// Lets the proxy refuse a configuration, and waits until it has, as it serves requests in turn with reloads.
-fn refuse_a_reload(proxy: &ProxyProcess) {
+/// Lets the proxy reject a configuration, and sends a request to wait until it has. The proxy serves requests
+/// in turn with reloads.
+fn reload_rejected_configuration(proxy: &ProxyProcess) {
     proxy.signal("-HUP");
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
 }
@@ -60,7 +56,7 @@
     let (mut proxy, _reader) = start_with_full_log(&backend);
     proxy.replace_configuration_text("no JSON");
     for _ in 0..10 {
-        refuse_a_reload(&proxy);
+        reload_rejected_configuration(&proxy);
     }
 
     proxy.signal("-TERM");
@@ -68,12 +64,12 @@
 }
 
 #[test]
-fn tells_how_many_lines_were_dropped_once_the_log_is_read_again() {
+fn logs_the_number_of_dropped_lines_once_the_log_is_read_again() {
     let backend = StubServer::responding_with("hello");
     let (proxy, reader) = start_with_full_log(&backend);
     proxy.replace_configuration_text("no JSON");
-    for _ in 0..REFUSED_RELOADS {
-        refuse_a_reload(&proxy);
+    for _ in 0..REJECTED_RELOAD_COUNT {
+        reload_rejected_configuration(&proxy);
     }
 
     let lines = BufReader::new(reader).lines().map_while(Result::ok);
--- a/crates/balancer-proxy/tests/graceful_shutdown.rs
+++ b/crates/balancer-proxy/tests/graceful_shutdown.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown by SIGTERM: a request that arrives completely on an open connection before the
-//! process is gone gets a response, and a request that is still arriving is waited for.
+//! Graceful shutdown by SIGTERM. A request that arrives completely on an open connection before the process
+//! exits must get a response, and the process must wait for a request that is still arriving. Otherwise
+//! clients would see connections reset in a rolling restart.
 
 mod common;
 
@@ -19,17 +20,17 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// Longer than the time to SIGKILL, which is at most 3.7 s after SIGTERM.
-const BEYOND_THE_KILL: Duration = Duration::from_millis(3900);
+/// Time after SIGTERM that exceeds the time to SIGKILL, which is at most 3.7 s.
+const DURATION_BEYOND_SIGKILL: Duration = Duration::from_millis(3900);
 
-/// Sends a signal, given as an option of `kill`. Returns whether the process existed.
+/// Sends a signal, which is given as an option of `kill`. Returns whether the process existed.
 #[must_use]
 fn send_signal(child: &Child, signal: &str) -> bool {
     Command::new("kill").args([signal, &child.id().to_string()]).status().unwrap().success()
 }
 
 /// Waits until the proxy closes its idle connections, including this one.
-fn wait_for_idle_close(idle: &mut BufReader<TcpStream>) {
+fn wait_until_idle_connections_are_closed(idle: &mut BufReader<TcpStream>) {
     assert_eq!(idle.read(&mut [0]).unwrap(), 0);
 }
 
@@ -40,29 +41,29 @@
     let mut idle = proxy.connect();
     assert_eq!(exchange(&mut idle, READINESS_REQUEST).status(), 200);
     let mut busy = proxy.begin_request(&request("order", 20_000));
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
 
     proxy.signal("-TERM");
-    wait_for("graceful shutdown", || proxy.exchange(READINESS_REQUEST).status() == 503);
+    wait_for("the start of the graceful shutdown", || proxy.exchange(READINESS_REQUEST).status() == 503);
     let (mut new, mut unused) = (proxy.connect(), proxy.connect());
 
-    // Each connection is served more than once, and is then closed.
+    // The proxy serves more than one request on each connection before it closes the connection.
     for _ in 0..2 {
         for stream in [&mut idle, &mut new] {
             assert_eq!(exchange(stream, &request("look", 20_000)).status(), 200);
         }
     }
     for stream in [&mut idle, &mut new, &mut unused] {
-        assert!(read_message(stream).is_none(), "an idle connection is closed");
+        assert!(read_message(stream).is_none(), "an idle connection was not closed");
     }
     release.send(()).unwrap();
-    assert_eq!(read_message(&mut busy).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut busy).expect("no complete response").status(), 200);
     assert_eq!(exit_code(&mut proxy.child), Some(0));
 }
 
 #[test]
-fn keeps_idle_connections_open_until_a_proxy_restarted_before_is_back() {
-    // In a rolling restart, a proxy was seen to return up to 2.2 s after the signal to the next one.
+fn keeps_idle_connections_open_for_at_least_2_2_s_after_sigterm() {
+    // In a rolling restart, a proxy can take until 2.2 s after the signal to the next proxy to return.
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut idle = proxy.connect();
@@ -70,10 +71,10 @@
 
     let signalled = Instant::now();
     proxy.signal("-TERM");
-    wait_for("graceful shutdown", || proxy.exchange(READINESS_REQUEST).status() == 503);
+    wait_for("the start of the graceful shutdown", || proxy.exchange(READINESS_REQUEST).status() == 503);
 
     assert_eq!(exchange(&mut idle, &request("look", 9000)).status(), 200);
-    assert!(read_message(&mut idle).is_none(), "an idle connection is closed in the end");
+    assert!(read_message(&mut idle).is_none(), "an idle connection was not closed in the end");
     let elapsed = signalled.elapsed();
     assert!(elapsed >= Duration::from_millis(2200), "closed after {elapsed:?}");
 }
@@ -83,7 +84,7 @@
     let backend = StubServer::responding_with("hello");
     let mut proxy = ProxyProcess::in_front_of(&[&backend]);
     let _incomplete = proxy.begin_request(request("look", 9000).strip_suffix("dy").unwrap());
-    // The response on a later connection shows that this one has been accepted.
+    // The response on a later connection shows that the proxy has accepted this one.
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
 
     proxy.signal("-TERM");
@@ -91,16 +92,17 @@
     assert_eq!(exit_code(&mut proxy.child), Some(0));
 }
 
-/// A request that is arriving as the idle connections are closed.
+/// A request that is still arriving when the proxy closes idle connections.
 struct PartialRequest {
+    /// The class of the request.
     class: &'static str,
     /// Whether an earlier request was served on the connection.
     follows_earlier_request: bool,
-    /// The number of bytes that arrive late.
+    /// The number of bytes that arrive only after idle connections are closed.
     late_bytes: usize,
 }
 
-/// Requests that lack the end of a head, of a later head, or of a body.
+/// Requests without the end of their head or body, as the first or a later request of their connection.
 const PARTIAL_REQUESTS: [PartialRequest; 4] = [
     PartialRequest { class: "look", follows_earlier_request: false, late_bytes: 30 },
     PartialRequest { class: "look", follows_earlier_request: true, late_bytes: 30 },
@@ -128,8 +130,8 @@
         (stream, rest.to_vec(), partial)
     });
 
-    wait_for_idle_close(&mut idle);
-    // By now a process without an open request would have exited.
+    wait_until_idle_connections_are_closed(&mut idle);
+    // After this time a process without an open request would have exited.
     std::thread::sleep(Duration::from_millis(700));
 
     for (stream, rest, partial) in &mut arriving {
@@ -144,7 +146,7 @@
 
 #[test]
 fn responds_to_requests_in_the_listeners_backlog_when_accepting_ends() {
-    // Whether a last accept or the end of accepting comes first is drawn anew each time.
+    // The order of the last accept and the end of accepting is random in each round.
     for _ in 0..6 {
         let backend = StubServer::responding_with("hello");
         let mut proxy = ProxyProcess::in_front_of(&[&backend]);
@@ -158,7 +160,7 @@
         proxy.signal("-CONT");
 
         for mut stream in clients {
-            let reply = read_message(&mut stream).expect("a response");
+            let reply = read_message(&mut stream).expect("no complete response");
             assert!([200, 503].contains(&reply.status()), "{}", reply.start_line);
         }
         assert_eq!(exit_code(&mut proxy.child), Some(0));
@@ -170,33 +172,33 @@
     let backend = StubServer::new(move |_, _| Reply::Hang);
     let mut proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut buffered = proxy.begin_request(&request("order", 20_000));
-    // The body is long, and complete only later.
+    // The body is long, and its last byte follows only after the signal.
     let mut streamed = proxy.connect();
     let body = vec![b'x'; 100_000];
     let head = request_with_framing("save", &format!("Content-Length: {}\r\n\r\n", body.len() + 1));
     streamed.get_mut().write_all(head.as_bytes()).unwrap();
     streamed.get_mut().write_all(&body).unwrap();
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
 
     let start = Instant::now();
     proxy.signal("-TERM");
-    // Neither signal ends the graceful shutdown or delays it.
+    // Neither of these signals ends or delays the graceful shutdown.
     proxy.signal("-TERM");
     proxy.signal("-HUP");
     streamed.get_mut().write_all(b"x").unwrap();
 
     for stream in [&mut buffered, &mut streamed] {
-        let reply = read_message(stream).expect("a response");
+        let reply = read_message(stream).expect("no complete response");
         assert!(reply.status() >= 500, "{}", reply.start_line);
         assert_eq!(reply.header("connection"), Some("close"));
     }
-    // The responses come long before the deadlines, as SIGKILL would come 3.7 s after the signal.
+    // SIGKILL would come 3.7 s after the signal, so the responses must come long before their deadlines.
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
     assert_eq!(exit_code(&mut proxy.child), Some(0));
 }
 
 #[test]
-fn a_response_read_only_after_the_process_has_exited_is_complete() {
+fn response_is_complete_though_the_client_reads_it_only_after_the_exit() {
     let text: &'static str = "x".repeat(60_000).leak();
     let backend = StubServer::responding_with(text);
     let mut proxy = ProxyProcess::in_front_of(&[&backend]);
@@ -204,20 +206,20 @@
     for stream in &mut streams {
         stream.get_mut().write_all(request("order", 9000).as_bytes()).unwrap();
     }
-    wait_for("attempts", || backend.request_count() == 3);
+    wait_for("all attempts", || backend.request_count() == 3);
 
     proxy.signal("-TERM");
     assert_eq!(exit_code(&mut proxy.child), Some(0));
 
     for stream in &mut streams {
-        assert_eq!(read_message(stream).expect("a response").body.len(), 60_000);
+        assert_eq!(read_message(stream).expect("no complete response").body.len(), 60_000);
     }
 }
 
-/// A response that has begun is owed in full, however long it takes: whoever wants the process gone sooner kills it.
-/// A platform may repeat SIGTERM, and a repetition must not cut short what the first one has granted.
+/// The proxy completes a response that has begun, however long that takes. Only SIGKILL ends the process
+/// sooner. A platform may repeat SIGTERM, and a repetition must not truncate the response.
 #[test]
-fn a_response_being_streamed_is_completed_after_sigterm_however_often_it_is_repeated() {
+fn completes_a_streamed_response_after_repeated_sigterm() {
     let rest = "x".repeat(100_000);
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 1 + rest.len());
     let (release, released) = channel();
@@ -235,26 +237,27 @@
 
     for _ in 0..3 {
         proxy.signal("-TERM");
-        std::thread::sleep(BEYOND_THE_KILL / 3);
+        std::thread::sleep(DURATION_BEYOND_SIGKILL / 3);
     }
     release.send(()).unwrap();
 
-    let response = read_message(&mut client).expect("a response");
+    let response = read_message(&mut client).expect("no complete response");
     assert_eq!((response.status(), response.body.len()), (200, 100_001));
     assert_eq!(exit_code(&mut proxy.child), Some(0));
 }
 
 #[test]
-fn sigterm_before_readiness_is_a_graceful_shutdown() {
+fn exits_gracefully_on_sigterm_before_readiness() {
     let backend = StubServer::responding_with("hello");
     let shared_address = SharedAddress::new();
     let mut configuration = configuration(&default_settings(), &serving_list(&[&backend]));
     let _old = shared_address.start(&configuration);
-    // While another process runs, the new one waits for a list before it listens; discovery is silent.
+    // While another process runs, the new one waits for an endpoint list before it listens. Discovery never
+    // responds, so that the new process stays in this state.
     let silent = silent_discovery();
     configuration["management"] = json!("127.0.0.1:0");
     let mut next = shared_address.spawn(&configuration, silent.address);
-    wait_for("poll", || silent.request_count() > 0);
+    wait_for("a call to discovery", || silent.request_count() > 0);
 
     assert!(send_signal(&next, "-TERM"));
 
@@ -262,7 +265,7 @@
 }
 
 #[test]
-fn goes_on_when_nobody_reads_its_log() {
+fn serves_and_shuts_down_after_its_log_pipe_is_closed() {
     let backend = StubServer::responding_with("hello");
     let configuration = configuration(&default_settings(), &serving_list(&[&backend]));
     let ProxyCommand { mut command, configuration_path } =
@@ -274,7 +277,7 @@
     let address = line.trim().strip_prefix("balancer-proxy: listening on ").unwrap().parse().unwrap();
     drop(log);
 
-    // Each reload logs an error.
+    // Each reload logs an error, and the write to the closed pipe fails.
     std::fs::write(&configuration_path, "{").unwrap();
     for _ in 0..3 {
         assert!(send_signal(&child, "-HUP"));
--- a/crates/balancer-proxy/tests/http_forms.rs
+++ b/crates/balancer-proxy/tests/http_forms.rs
@@ -1,4 +1,4 @@
-//! The less common forms of HTTP/1.1 messages: HEAD, pipelining, interim responses and HTTP/1.0.
+//! Less common forms of HTTP messages: HEAD, pipelining, interim responses and HTTP/1.0.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use common::stub_server::StubServer;
 use std::io::{Read, Write};
 
-/// Starts a backend that sends an interim response before each final one, and no body to HEAD.
+/// Starts a backend that sends an interim response before each final one, and no body in response to HEAD.
 fn backend_with_interim_responses() -> StubServer {
     StubServer::with_connection_handler(|stream| {
         while let Some(message) = read_message(stream) {
@@ -26,26 +26,26 @@
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut stream = proxy.connect();
 
-    // HEAD: the length without a body.
+    // HEAD: the response has a length, but no body.
     let head =
         request("look", 9000).replace("GET ", "HEAD ").replace("Content-Length: 4\r\n\r\nbody", "\r\n");
     stream.get_mut().write_all(head.as_bytes()).unwrap();
-    let reply = read_head(&mut stream).expect("a response");
+    let reply = read_head(&mut stream).expect("no complete response");
     assert_eq!((reply.status(), reply.header("content-length")), (200, Some("5")));
 
-    // Pipelining: responses in the order of the requests.
+    // Pipelining: the responses come in the order of the requests.
     let pipelined: String = ["save", "look", "order"].map(|class| request(class, 9000)).concat();
     stream.get_mut().write_all(pipelined.as_bytes()).unwrap();
     for _ in 0..3 {
-        assert_eq!(read_message(&mut stream).expect("a response").body, b"hello");
+        assert_eq!(read_message(&mut stream).expect("no complete response").body, b"hello");
     }
 
     // Expect: the client sends its body after an interim response.
     let expecting = request("save", 9000).replace("X-Lane", "Expect: 100-continue\r\nX-Lane");
     stream.get_mut().write_all(expecting.strip_suffix("body").unwrap().as_bytes()).unwrap();
-    assert_eq!(read_head(&mut stream).expect("an interim response").status(), 100);
+    assert_eq!(read_head(&mut stream).expect("no interim response").status(), 100);
     stream.get_mut().write_all(b"body").unwrap();
-    assert_eq!(read_message(&mut stream).expect("a response").body, b"hello");
+    assert_eq!(read_message(&mut stream).expect("no complete response").body, b"hello");
 
     // HTTP/1.0 without a Connection header: the connection is closed after the response.
     stream.get_mut().write_all(request("save", 9000).replace("HTTP/1.1", "HTTP/1.0").as_bytes()).unwrap();
--- a/crates/balancer-proxy/tests/instance_lock.rs
+++ b/crates/balancer-proxy/tests/instance_lock.rs
@@ -1,4 +1,5 @@
-//! The instance locks by which the processes on one address detect one another.
+//! The instance locks by which the processes of one address detect one another. A lock must not outlive its
+//! process, and state that an earlier process has left in the file must not count for a new one.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use common::shared_address::SharedAddress;
 
 #[test]
-fn an_instance_lock_is_free_again_after_its_process_has_exited() {
+fn instance_lock_is_free_again_after_its_process_has_exited() {
     let shared_address = SharedAddress::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
@@ -16,11 +17,11 @@
 
         let second = InstanceLock::acquire(&path).await.unwrap();
         assert!(first.other_process().is_running() && second.other_process().is_running());
-        assert!(!first.other_is_listening(), "it does not accept connections yet");
+        assert!(!first.other_is_listening(), "the second process does not accept connections yet");
         second.announce_listening().unwrap();
         assert!(first.other_is_listening() && !second.other_is_listening());
 
-        // A third process goes without a lock, and disturbs neither of the others.
+        // A third process gets no lock and does not affect the other two.
         let third = InstanceLock::acquire(&path).await.unwrap();
         assert!(third.other_process().is_running() && third.other_is_listening());
 
@@ -29,7 +30,7 @@
         let again = InstanceLock::acquire(&path).await.unwrap();
         assert!(
             first.other_process().is_running() && !first.other_is_listening(),
-            "what the process before has written does not count"
+            "the state that the earlier process has written must not count"
         );
         drop(again);
     });
