--- a/crates/balancer-proxy/tests/http_forms.rs
+++ b/crates/balancer-proxy/tests/http_forms.rs
@@ -1,4 +1,5 @@
-//! Less common forms of HTTP messages: HEAD, pipelining, interim responses and HTTP/1.0.
+//! Less common forms of HTTP messages: HEAD, pipelining, interim responses and HTTP/1.0. An error in finding
+//! the end of such a message would mix up the messages of a connection.
 
 mod common;
 
