--- a/crates/balancer-proxy/tests/forwarding.rs
+++ b/crates/balancer-proxy/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! Requests forwarded to backends, and the responses that clients get when an attempt fails. An unsafe request
-//! that may have run must not run again, and no request may reach a backend after its grace period.
+//! Requests forwarded to backends, and the responses that clients get when an attempt fails. An unsafe
+//! request that may have run must not run again, and no request may reach a backend after its grace period.
 
 mod common;
 
