--- a/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
+++ b/crates/balancer-proxy/tests/client_disconnects_before_retry.rs
@@ -83,7 +83,7 @@
 
 #[test]
 fn sends_nothing_at_a_timer_that_falls_due_together_with_the_disconnect() {
-    let check_all_cases = |cancel| {
+    let check_all_timer_cases = |cancel| {
         for disconnect in Disconnect::WITHOUT_PIPELINING {
             for first_attempt in [FirstAttempt::Hangs, FirstAttempt::IsRejected] {
                 check_timer_due_with_disconnect(cancel, disconnect, first_attempt);
@@ -92,8 +92,8 @@
     };
 
     std::thread::scope(|scope| {
-        scope.spawn(|| check_all_cases(true));
-        check_all_cases(false);
+        scope.spawn(|| check_all_timer_cases(true));
+        check_all_timer_cases(false);
     });
 }
 
--- a/crates/balancer-proxy/tests/instance_lock_format.rs
+++ b/crates/balancer-proxy/tests/instance_lock_format.rs
@@ -128,8 +128,8 @@
     assert_eq!(folder.read("dewpier-127.0.0.1:7070.seat-0.settings"), "00c0ffee00c0ffee\n");
 }
 
-/// Returns the digest of a file's text in 16 hexadecimal digits, as the old version computed it.
-fn settings_digest(text: &str) -> String {
+/// Returns the digest of a configuration file's text in 16 hexadecimal digits, as the old version computed it.
+fn configuration_digest(text: &str) -> String {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
@@ -147,7 +147,8 @@
 
     let process_with_version = shared_address.start(&configuration);
 
-    let fingerprint_with_version = format!("{}, version 7\n", settings_digest(&configuration.to_string()));
+    let fingerprint_with_version =
+        format!("{}, version 7\n", configuration_digest(&configuration.to_string()));
     wait_for("the published fingerprint", || file("seat-0.settings") == fingerprint_with_version);
     wait_for("the announcement that the process listens", || file("seat-0") == "listening");
     drop(process_with_version);
@@ -155,7 +156,7 @@
     configuration["settings"].as_object_mut().unwrap().remove("version");
     let _process_without_version = shared_address.start(&configuration);
 
-    let fingerprint_without_version = format!("{}\n", settings_digest(&configuration.to_string()));
+    let fingerprint_without_version = format!("{}\n", configuration_digest(&configuration.to_string()));
     wait_for("the published fingerprint", || file("seat-0.settings") == fingerprint_without_version);
 }
 
