--- a/crates/balancer-proxy/tests/instance_lock_format.rs
+++ b/crates/balancer-proxy/tests/instance_lock_format.rs
@@ -128,7 +128,7 @@
     assert_eq!(folder.read("dewpier-127.0.0.1:7070.seat-0.settings"), "00c0ffee00c0ffee\n");
 }
 
-/// Returns the digest of a configuration file's text in 16 hexadecimal digits, as the old version computed it.
+/// Returns the digest of a configuration text in 16 hexadecimal digits, as the old version computed it.
 fn configuration_digest(text: &str) -> String {
     use std::hash::{DefaultHasher, Hash, Hasher};
     let mut hasher = DefaultHasher::new();
