--- a/crates/balancer-proxy/tests/endpoint_watch.rs
+++ b/crates/balancer-proxy/tests/endpoint_watch.rs
@@ -1,5 +1,6 @@
-//! The watch of the endpoint list at discovery: however a watch fails, the event that it missed is
-//! received in time.
+//! The watch of the endpoint list at discovery. A watch can fail without a closed connection: by no response,
+//! or by one that never ends. In each case the proxy must repeat the watch soon enough to receive the missed
+//! event within 6 s.
 
 mod common;
 
@@ -7,9 +8,9 @@
 use common::http::response;
 use common::proxy_process::ProxyProcess;
 use common::scripted_discovery::{
-    PARTIAL_BODY, PARTIAL_HEAD, Replacement, ScriptedDiscovery, write_and_hang,
+    BackendReplacement, PARTIAL_BODY, PARTIAL_HEAD, ScriptedDiscovery, write_and_hang,
 };
-use common::stub_server::{Reply, StubServer, wait_for_end};
+use common::stub_server::{Reply, StubServer, wait_for_input_or_close};
 use common::waiting::{TEST_TIMEOUT, wait_for};
 use serde_json::json;
 use socket2::SockRef;
@@ -18,7 +19,7 @@
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
-/// What discovery does with a connection over which a call has come.
+/// Handles a connection to discovery after a call has arrived on it.
 type ConnectionHandler = Box<dyn Fn(&mut BufReader<TcpStream>) + Send + Sync>;
 
 /// A way in which a call to discovery can fail.
@@ -33,7 +34,7 @@
     }
 }
 
-/// Writes the start, and the piece over and over until the connection ends.
+/// Returns a connection handler that writes `start`, then `piece` every 20 ms until the connection ends.
 fn write_without_end(
     start: &'static str,
     piece: &'static str,
@@ -46,14 +47,14 @@
     }
 }
 
-/// The ways in which a call to discovery can fail.
+/// Returns the faults of a call to discovery.
 fn faults() -> Vec<Fault> {
     let reset = |stream: &mut BufReader<TcpStream>| {
         SockRef::from(stream.get_ref()).set_linger(Some(Duration::ZERO)).unwrap();
     };
     let endless_body = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     vec![
-        Fault::new("no response", wait_for_end),
+        Fault::new("no response", wait_for_input_or_close),
         Fault::new("closed", |_| {}),
         Fault::new("reset", reset),
         Fault::new("partial head", write_and_hang(PARTIAL_HEAD)),
@@ -65,8 +66,8 @@
     ]
 }
 
-/// Starts a proxy that knows the old backend, with this discovery.
-fn start_proxy(backends: &Replacement, discovery: &StubServer) -> ProxyProcess {
+/// Starts a proxy with this discovery and the old backend in its cached endpoint list.
+fn start_proxy(backends: &BackendReplacement, discovery: &StubServer) -> ProxyProcess {
     ProxyProcess::start(&default_settings(), &backends.cached_list(), discovery.address)
 }
 
@@ -75,15 +76,15 @@
     std::thread::scope(|scope| {
         for Fault { name, handler } in faults() {
             scope.spawn(move || {
-                let backends = Replacement::start();
-                // Indented, as lists may be.
+                let backends = BackendReplacement::start();
+                // The JSON is indented, as endpoint lists may be.
                 let event = serde_json::to_string_pretty(&backends.event(2, "DRAINING")).unwrap();
                 let discovery =
                     ScriptedDiscovery::with_failing_first_call(handler, response("200 OK", &event));
                 let proxy = start_proxy(&backends, &discovery.server);
                 let start = Instant::now();
 
-                wait_for("list", || discovery.call_count() >= 3);
+                wait_for("the call after the event", || discovery.call_count() >= 3);
 
                 assert!(start.elapsed() < Duration::from_secs(6), "{name}: {:?}", start.elapsed());
                 for _ in 0..5 {
@@ -97,7 +98,7 @@
 
 #[test]
 fn repeats_a_watch_without_a_complete_response_before_its_event_counts_as_notified() {
-    let backends = Replacement::start();
+    let backends = BackendReplacement::start();
     let full_response = response("200 OK", &backends.event(2, "DRAINING").to_string());
     let half_response = full_response[..full_response.len() / 2].to_string();
     for partial_response in [None, Some(half_response)] {
@@ -114,25 +115,25 @@
         let start = Instant::now();
         let proxy = start_proxy(&backends, &discovery);
 
-        wait_for("next watch", || discovery.request_count() >= 3);
+        wait_for("the next watch", || discovery.request_count() >= 3);
 
-        assert!(start.elapsed() < Duration::from_secs(6), "noticed after {:?}", start.elapsed());
+        assert!(start.elapsed() < Duration::from_secs(6), "received the event after {:?}", start.elapsed());
         assert_eq!(proxy.exchange(&request("look", 20_000)).body, b"new");
     }
 }
 
-/// A proxy with a discovery of its own.
+/// A proxy and its own discovery.
 struct WatchingProxy {
     _process: ProxyProcess,
     discovery: ScriptedDiscovery,
 }
 
 #[test]
-fn proxies_do_not_repeat_together_the_watches_of_a_discovery_that_went_silent() {
+fn proxies_repeat_their_watches_at_different_times_after_discovery_stops_responding() {
     let backend = StubServer::responding_with("hello");
     let start_with_seed = |seed: usize| {
         let discovery = ScriptedDiscovery::new(|_, stream| {
-            wait_for_end(stream);
+            wait_for_input_or_close(stream);
             ControlFlow::Break(())
         });
         let mut configuration = configuration(&default_settings(), &serving_list(&[&backend]));
@@ -145,8 +146,8 @@
     let delays: Vec<Duration> = proxies
         .iter()
         .map(|WatchingProxy { discovery, .. }| {
-            wait_for("second call", || discovery.call_count() >= 2);
-            discovery.call(1).at - discovery.call(0).at
+            wait_for("a second call", || discovery.call_count() >= 2);
+            discovery.call(1).received_at - discovery.call(0).received_at
         })
         .collect();
 
--- a/crates/balancer-proxy/tests/listener_handover.rs
+++ b/crates/balancer-proxy/tests/listener_handover.rs
@@ -13,7 +13,7 @@
 use common::configuration::request;
 use common::http::{connect, exchange};
 use common::proxy_process::{ProxyProcess, exit_code};
-use common::takeover::{Service, assert_all_served, begin_requests};
+use common::takeover::{TakeoverFixture, assert_all_served, begin_requests};
 use std::fs::File;
 use std::io::Write;
 use std::os::unix::net::UnixStream;
@@ -23,7 +23,7 @@
 
 #[test]
 fn the_successor_serves_queued_connections_when_the_old_process_is_killed() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
     let next = service.start();
     next.wait_until_ready();
@@ -41,7 +41,7 @@
 
 #[test]
 fn the_successor_accepts_connections_while_the_old_process_is_stopped() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
     let next = service.start();
     next.wait_until_ready();
@@ -53,7 +53,7 @@
 
 #[test]
 fn the_old_process_serves_queued_connections_when_its_successor_is_killed() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
     let mut next = service.start();
 
@@ -72,12 +72,12 @@
 
 #[test]
 fn a_successor_that_ends_before_it_reads_the_descriptor_leaves_the_offer_usable() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
 
     // Each connection ends before the descriptor has been read from it.
     for _ in 0..20 {
-        drop(UnixStream::connect(service.first_offer()).unwrap());
+        drop(UnixStream::connect(service.first_offer_path()).unwrap());
     }
 
     let next = service.start();
@@ -88,7 +88,7 @@
 
 #[test]
 fn two_successors_started_at_once_accept_from_the_same_queue() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
     let (mut second, third) = std::thread::scope(|scope| {
         let second = scope.spawn(|| service.start());
@@ -112,7 +112,7 @@
 
 #[test]
 fn three_successive_takeovers_succeed() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut running = service.start();
     for _ in 0..3 {
         let next = service.start();
@@ -128,9 +128,9 @@
 
 #[test]
 fn binds_a_listener_beside_an_older_version_that_offers_no_listener() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
-    std::fs::remove_file(service.first_offer()).unwrap();
+    std::fs::remove_file(service.first_offer_path()).unwrap();
 
     let next = service.start();
     next.wait_until_ready();
@@ -142,7 +142,7 @@
 
 #[test]
 fn shares_the_address_with_an_older_version_that_asks_for_no_listener() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let mut old = service.start();
     // An older version has a lock and a listener of its own.
     let lock = File::create(service.address.state_file("seat-1")).unwrap();
@@ -164,7 +164,7 @@
 
 #[test]
 fn only_the_successor_logs_the_handover_of_the_listener() {
-    let service = Service::new();
+    let service = TakeoverFixture::new();
     let old = service.start();
 
     let next = service.start();
--- a/crates/balancer-proxy/tests/soak/backends.rs
+++ b/crates/balancer-proxy/tests/soak/backends.rs
@@ -2,7 +2,7 @@
 
 use super::scenario::{BackendFault, Scenario};
 use crate::common::http::{HttpMessage, read_message, response};
-use crate::common::stub_server::{StubServer, wait_for_end};
+use crate::common::stub_server::{StubServer, wait_for_input_or_close};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -46,7 +46,7 @@
             arrivals.lock().unwrap().entry(id).or_default().push(arrival);
             match backend_fault {
                 BackendFault::Resetting => return,
-                BackendFault::Silent => return wait_for_end(stream),
+                BackendFault::Silent => return wait_for_input_or_close(stream),
                 BackendFault::None => {}
             }
             std::thread::sleep(response_time(&message));
