--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -23,7 +23,7 @@
 use crate::error::Error;
 use accounting::FailureKind;
 use balancer::{Action, AttemptId, Balancer, EndpointUpdate, Event, Outcome};
-use calls::AttemptOrder;
+use calls::NewAttempt;
 use environment::Environment;
 use event_queue::CallerEvent;
 use message::Message;
@@ -32,7 +32,7 @@
 /// Number of events between two checks of the real time.
 const EVENTS_PER_ABORT_CHECK: u32 = 4096;
 /// The use of random numbers for callers in the derivation of seeds.
-const SEED_PURPOSE: u64 = 2;
+const CALLER_STREAM: u64 = 2;
 
 /// Simulates the caller with this index among the callers of the scenario's service.
 ///
@@ -70,14 +70,14 @@
         let context = &scenario.context;
         let machine = scenario.service().callers[index];
         let seed =
-            random::derive_seed(&[context.plan.seed, SEED_PURPOSE, context.phase as u64, machine as u64]);
+            random::derive_seed(&[context.plan.seed, CALLER_STREAM, context.phase as u64, machine as u64]);
         let environment = Environment::new(scenario, index, seed);
         let balancer = Balancer::new(0.0, seed, environment.settings());
         Self { seed, environment, balancer, actions: Vec::new() }
     }
 
     fn simulate(mut self) -> Result<CallerObservations, Error> {
-        let first_list = self.environment.begin();
+        let first_list = self.environment.schedule_initial_events();
         self.handle_message(&first_list)?;
         self.environment.schedule_next_call();
         self.handle_all_events()?;
@@ -94,7 +94,7 @@
             }
             match event {
                 CallerEvent::Call => self.make_call()?,
-                CallerEvent::Timer(token) => self.handle_recorded(Event::Timer(token))?,
+                CallerEvent::Timer(token) => self.record_and_handle(Event::Timer(token))?,
                 CallerEvent::AttemptEnded(attempt, outcome) => self.end_attempt(attempt, outcome)?,
                 CallerEvent::EndpointChanges(end) => self.receive_changes(end)?,
                 CallerEvent::Sample(sample) => self.environment.sample_state(sample, &self.balancer),
@@ -115,8 +115,8 @@
     }
 
     fn make_call(&mut self) -> Result<(), Error> {
-        if let Some(request) = self.environment.draw_call() {
-            self.handle_recorded(Event::Request(request))?;
+        if let Some(request) = self.environment.open_due_call() {
+            self.record_and_handle(Event::Request(request))?;
         }
         self.environment.schedule_next_call();
         Ok(())
@@ -124,7 +124,7 @@
 
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) -> Result<(), Error> {
         match self.environment.end_attempt(attempt, outcome)? {
-            Some(ended) => self.handle_recorded(Event::AttemptEnded(ended)),
+            Some(ended) => self.record_and_handle(Event::AttemptEnded(ended)),
             None => Ok(()),
         }
     }
@@ -164,7 +164,7 @@
     }
 
     /// Records an event without endpoints, if the caller is recorded, and handles the event.
-    fn handle_recorded(&mut self, event: Event<'static>) -> Result<(), Error> {
+    fn record_and_handle(&mut self, event: Event<'static>) -> Result<(), Error> {
         self.environment.record_event(event);
         self.handle(event)
     }
@@ -182,7 +182,7 @@
     fn perform(&mut self, action: &Action) -> Result<(), Error> {
         match *action {
             Action::Send { id, backend, timeout, .. } => {
-                self.environment.send_attempt(AttemptOrder { request: id, backend, timeout })
+                self.environment.send_attempt(NewAttempt { request: id, backend, timeout })
             }
             Action::Cancel { id, attempt } => {
                 self.end_attempt(AttemptId { request: id, number: attempt }, Outcome::Cancelled)
--- a/crates/fleet-bench/src/fleet/caller/accounting.rs
+++ b/crates/fleet-bench/src/fleet/caller/accounting.rs
@@ -34,7 +34,7 @@
     /// The index of the backend in the service.
     pub backend: usize,
     /// The virtual time of the send, in seconds.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Whether the backend was down or partitioned at that time.
     pub unavailable: bool,
 }
@@ -74,12 +74,12 @@
 
     /// Records an event without endpoints.
     pub fn record_event(&mut self, now: Time, event: Event<'static>) {
-        self.record(now, || RecordedEvent::Plain(event));
+        self.record(now, || RecordedEvent::WithoutEndpoints(event));
     }
 
     /// Records an endpoint update.
     pub fn record_update(&mut self, now: Time, update: EndpointUpdate<'_>) {
-        self.record(now, || RecordedEvent::of_update(update));
+        self.record(now, || RecordedEvent::from_update(update));
     }
 
     /// Records the start of a new process with this seed.
@@ -114,17 +114,17 @@
             FailureKind::Failed => counts.failed += 1,
         }
         counts.without_attempt += u64::from(failed.call.attempts == 0);
-        counts.unreachable += u64::from(!failed.backend_reachable);
+        counts.without_reachable_backend += u64::from(!failed.backend_reachable);
     }
 
     /// Counts calls that were open when the machine of the caller went down.
-    pub fn count_lost(&mut self, calls: u64) {
+    pub fn count_lost_calls(&mut self, calls: u64) {
         self.observations.counts.calls.lost += calls;
     }
 
     /// Counts an attempt of a caller that has this endpoint list.
     pub fn count_attempt(&mut self, attempt: SentAttempt, list: &EndpointList) {
-        let SentAttempt { backend, sent: now, unavailable } = attempt;
+        let SentAttempt { backend, sent_at: now, unavailable } = attempt;
         self.record_load(backend, now);
         if !self.is_in_window(now) {
             return;
@@ -146,8 +146,9 @@
         let context = &self.scenario.context;
         let plan = context.plan;
         let outage = context.faults.outages[self.scenario.service().machines.start + backend];
-        if outage.is_some_and(|outage| (outage.up..outage.up + plan.slow_start_duration).contains(&now)) {
-            let attempt = SlowStartAttempt { backend: backend as u32, sent: now };
+        if outage.is_some_and(|outage| (outage.up_at..outage.up_at + plan.slow_start_duration).contains(&now))
+        {
+            let attempt = SlowStartAttempt { backend: backend as u32, sent_at: now };
             self.observations.slow_start_attempts.push(attempt);
         }
         if (0.5 * plan.warm_up..plan.warm_up).contains(&now) {
@@ -160,7 +161,7 @@
     fn is_past_deemed_grace(&self, backend: usize, now: Time) -> bool {
         let context = &self.scenario.context;
         let outage = context.faults.outages[self.scenario.service().machines.start + backend];
-        let restarted = outage.is_some_and(|outage| now >= outage.up);
+        let restarted = outage.is_some_and(|outage| now >= outage.up_at);
         let plan = context.plan;
         self.scenario.out_of_service_since[backend]
             .is_some_and(|since| !restarted && now > since + plan.deemed_notified + plan.drain_grace)
@@ -168,7 +169,7 @@
 
     /// Counts a message of discovery.
     pub fn count_message(&mut self, now: Time, message: &Message) {
-        if !self.is_in_window(now) || now > self.scenario.context.plan.end() {
+        if !self.is_in_window(now) || now > self.scenario.context.plan.phase_end() {
             return;
         }
         let endpoints = message.endpoints();
@@ -180,8 +181,8 @@
 
     /// Records that the caller is notified of the endpoint change with this index.
     pub fn record_notification(&mut self, change: usize, now: Time) {
-        let occurred = self.scenario.changes[change].occurred;
-        self.observations.update_delays[change] = Some((now - occurred) as f32);
+        let occurred_at = self.scenario.changes[change].occurred_at;
+        self.observations.update_delays[change] = Some((now - occurred_at) as f32);
     }
 
     /// Samples the state of the balancer.
--- a/crates/fleet-bench/src/fleet/caller/calls.rs
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -4,7 +4,7 @@
 use super::endpoint_list::EndpointList;
 use super::event_queue::CallerEvent;
 use super::network::{AttemptTimes, Network};
-use super::requests::{InFlight, Requests};
+use super::requests::{AttemptInFlight, Requests};
 use super::run_state::RunState;
 use super::workload::Workload;
 use crate::fleet::checker::{NewCall, Rule, Violation};
@@ -15,7 +15,7 @@
 
 /// An attempt that the balancer asks for.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptOrder {
+pub struct NewAttempt {
     /// The call.
     pub request: RequestId,
     /// The backend to which the attempt is sent.
@@ -28,7 +28,7 @@
 pub struct Calls<'a> {
     plan: &'a Plan,
     /// The index of the first machine of the service; backends are counted from this machine.
-    first_backend: usize,
+    first_machine: usize,
     workload: Workload<'a>,
     requests: Requests,
     network: Network<'a>,
@@ -40,7 +40,7 @@
         let context = &scenario.context;
         Self {
             plan: context.plan,
-            first_backend: scenario.service().machines.start,
+            first_machine: scenario.service().machines.start,
             workload: Workload::new(scenario, machine),
             requests: Requests::default(),
             network: Network::new(scenario, context.topology.machines[machine].zone),
@@ -54,15 +54,15 @@
 
     /// Schedules the next call, unless the process stops or the phase ends before.
     pub fn schedule_next(&self, run: &mut RunState<'_>) {
-        if let Some(at) = self.workload.draw_next(run.queue.now(), &mut run.rng) {
+        if let Some(at) = self.workload.draw_next_call_time(run.queue.now(), &mut run.rng) {
             run.queue.schedule(at, CallerEvent::Call);
         }
     }
 
     /// Draws whether the proxy makes the call that is due, and opens the call.
-    pub fn draw(&mut self, run: &mut RunState<'_>) -> Option<Request> {
+    pub fn open_due_call(&mut self, run: &mut RunState<'_>) -> Option<Request> {
         let now = run.queue.now();
-        if !self.workload.draw_is_made(now, &mut run.rng) {
+        if !self.workload.draw_call_is_made(now, &mut run.rng) {
             return None;
         }
         let class = self.workload.draw_class(&mut run.rng);
@@ -83,20 +83,20 @@
     /// Returns the violation of a rule.
     pub fn send(
         &mut self,
-        order: AttemptOrder,
+        new_attempt: NewAttempt,
         list: &EndpointList,
         run: &mut RunState<'_>,
     ) -> Result<(), Violation> {
-        let backend = (order.backend.0 as usize).wrapping_sub(self.first_backend);
+        let backend = (new_attempt.backend.0 as usize).wrapping_sub(self.first_machine);
         if backend >= list.len() {
-            return Err(Violation { rule: Rule::Unlisted, call: order.request });
+            return Err(Violation { rule: Rule::Unlisted, call: new_attempt.request });
         }
-        let sent = run.queue.now();
-        let attempt = self.requests.send(order.request, InFlight { backend, sent })?;
-        let times = AttemptTimes { sent, timeout_at: sent + order.timeout };
+        let sent_at = run.queue.now();
+        let attempt = self.requests.send(new_attempt.request, AttemptInFlight { backend, sent_at })?;
+        let times = AttemptTimes { sent_at, timeout_at: sent_at + new_attempt.timeout };
         let end = self.network.draw_attempt_end(backend, times, &mut run.rng);
         run.queue.schedule(end.at, CallerEvent::AttemptEnded(attempt, end.outcome));
-        let sent_attempt = SentAttempt { backend, sent, unavailable: end.unavailable };
+        let sent_attempt = SentAttempt { backend, sent_at, unavailable: end.unavailable };
         run.accounting.count_attempt(sent_attempt, list);
         Ok(())
     }
@@ -113,7 +113,7 @@
         outcome: Outcome,
         run: &mut RunState<'_>,
     ) -> Result<Option<EndedAttempt>, Violation> {
-        let Some(InFlight { backend, sent }) = self.requests.end_attempt(attempt) else {
+        let Some(AttemptInFlight { backend, sent_at }) = self.requests.end_attempt(attempt) else {
             return Ok(None);
         };
         let now = run.queue.now();
@@ -131,10 +131,10 @@
         }
         Ok(Some(EndedAttempt {
             id: request,
-            backend: BackendId((self.first_backend + backend) as u32),
+            backend: BackendId((self.first_machine + backend) as u32),
             attempt: attempt.number,
             outcome,
-            duration: now - sent,
+            duration: now - sent_at,
             request_finished: !self.requests.is_open(request),
             report: None,
         }))
@@ -160,7 +160,7 @@
 
     /// Drops all open calls, attempts and connections, as their process has stopped.
     pub fn drop_all(&mut self, run: &mut RunState<'_>) {
-        run.accounting.count_lost(self.requests.drop_all());
+        run.accounting.count_lost_calls(self.requests.drop_all());
         self.network.close_connections();
     }
 
--- a/crates/fleet-bench/src/fleet/caller/deliveries.rs
+++ b/crates/fleet-bench/src/fleet/caller/deliveries.rs
@@ -11,7 +11,7 @@
     /// Time of the arrival, in seconds.
     pub at: Time,
     /// The caller has all changes before this index from then on.
-    pub changes_end: usize,
+    pub end_of_changes: usize,
 }
 
 /// Draws when the changes reach a machine of this zone. A change never overtakes an earlier one;
@@ -24,17 +24,17 @@
 ) -> Vec<Delivery> {
     let context = &scenario.context;
     let mut deliveries: Vec<Delivery> = Vec::new();
-    let delay_after_partition = network.update_delay(zone, rng);
+    let delay_after_partition = network.draw_update_delay(zone, rng);
     for (i, change) in scenario.changes.iter().enumerate() {
         let from_zone = context.topology.machines[change.machine].zone;
-        let mut at = change.published + network.update_delay(from_zone, rng);
+        let mut at = change.published_at + network.draw_update_delay(from_zone, rng);
         let reachable_at = context.faults.discovery_reachable_from(zone, at, context.topology);
         if reachable_at > at {
             at = reachable_at + delay_after_partition;
         }
         match deliveries.last_mut() {
-            Some(last) if at <= last.at => last.changes_end = i + 1,
-            _ => deliveries.push(Delivery { at, changes_end: i + 1 }),
+            Some(last) if at <= last.at => last.end_of_changes = i + 1,
+            _ => deliveries.push(Delivery { at, end_of_changes: i + 1 }),
         }
     }
     deliveries
--- a/crates/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -11,7 +11,7 @@
 use std::ops::Range;
 
 /// Response time of the discovery agent on the proxy's own machine, in seconds.
-const AGENT_RESPONSE_TIME: Time = 0.005;
+const AGENT_RESPONSE_SECONDS: Time = 0.005;
 
 /// The caller's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 
 /// Endpoint changes that a running process receives.
 #[derive(Clone, Debug)]
-pub struct Update {
+pub struct ReceivedChanges {
     /// The indices of the changes.
     pub changes: Range<usize>,
     /// The message with the changes.
@@ -71,8 +71,8 @@
 
     /// Delivers the changes before the index `end`. Returns `None` if the process does not receive the
     /// changes, or has the changes from a complete list.
-    pub fn deliver(&mut self, end: usize, now: Time) -> Option<Update> {
-        let changes = self.endpoints.applied()..end;
+    pub fn deliver(&mut self, end: usize, now: Time) -> Option<ReceivedChanges> {
+        let changes = self.endpoints.applied_count()..end;
         if changes.is_empty() {
             return None;
         }
@@ -81,7 +81,7 @@
         if running || self.agent_is_up {
             self.endpoints.apply(&self.scenario.changes, end, now);
         }
-        running.then(|| Update { changes: changes.clone(), message: self.message(changes) })
+        running.then(|| ReceivedChanges { changes: changes.clone(), message: self.message(changes) })
     }
 
     /// Returns the message with some changes that have been applied; after a long partition, when the
@@ -114,10 +114,10 @@
         rng: &mut SmallRng,
     ) -> Time {
         if self.agent_is_up {
-            return now + AGENT_RESPONSE_TIME;
+            return now + AGENT_RESPONSE_SECONDS;
         }
         let context = &self.scenario.context;
-        let delay = network.update_delay(zone, rng);
+        let delay = network.draw_update_delay(zone, rng);
         context.faults.discovery_reachable_from(zone, now, context.topology) + delay
     }
 
@@ -127,8 +127,8 @@
         self.process = ProcessState::Running;
         if !self.agent_is_up {
             let changes = &self.scenario.changes;
-            let published = changes.partition_point(|change| change.published <= now);
-            self.endpoints.apply(changes, published.max(self.endpoints.applied()), now);
+            let published = changes.partition_point(|change| change.published_at <= now);
+            self.endpoints.apply(changes, published.max(self.endpoints.applied_count()), now);
         }
         Message::Full(self.endpoints.listed())
     }
--- a/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
+++ b/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
@@ -14,19 +14,19 @@
     /// seconds.
     out_of_service_since: Vec<Option<Time>>,
     /// The number of changes that have been applied.
-    applied: usize,
+    applied_count: usize,
 }
 
 impl EndpointList {
     /// Creates the list before the first change.
     pub fn new(first_machine: usize, endpoints: Vec<Endpoint>) -> Self {
         let out_of_service_since = vec![None; endpoints.len()];
-        Self { first_machine, endpoints, out_of_service_since, applied: 0 }
+        Self { first_machine, endpoints, out_of_service_since, applied_count: 0 }
     }
 
     /// Returns the number of changes that have been applied.
-    pub fn applied(&self) -> usize {
-        self.applied
+    pub fn applied_count(&self) -> usize {
+        self.applied_count
     }
 
     /// Returns the number of backends, removed ones included.
@@ -47,13 +47,13 @@
 
     /// Applies the changes before the index `end` that have not been applied.
     pub fn apply(&mut self, changes: &[EndpointChange], end: usize, now: Time) {
-        for change in &changes[self.applied..end] {
+        for change in &changes[self.applied_count..end] {
             let backend = change.machine - self.first_machine;
             self.endpoints[backend] = change.endpoint.clone();
             let out_of_service = change.endpoint.status != Status::InService;
             let since = self.out_of_service_since[backend].unwrap_or(now);
             self.out_of_service_since[backend] = out_of_service.then_some(since);
         }
-        self.applied = self.applied.max(end);
+        self.applied_count = self.applied_count.max(end);
     }
 }
--- a/crates/fleet-bench/src/fleet/caller/environment.rs
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -4,7 +4,7 @@
 //! A method that leads to an event of the balancer returns the event, which the caller passes on.
 
 use super::accounting::{Accounting, FailureKind};
-use super::calls::{AttemptOrder, Calls};
+use super::calls::{Calls, NewAttempt};
 use super::deliveries;
 use super::discovery_client::DiscoveryClient;
 use super::event_queue::{CallerEvent, EventQueue};
@@ -12,7 +12,7 @@
 use super::run_state::RunState;
 use crate::error::Error;
 use crate::fleet::checker::Violation;
-use crate::fleet::observations::{CallerObservations, SAMPLE_INTERVAL};
+use crate::fleet::observations::{CallerObservations, SAMPLE_INTERVAL_SECONDS};
 use crate::fleet::plan::Plan;
 use crate::fleet::scenario::Scenario;
 use crate::fleet::settings::caller_settings;
@@ -81,20 +81,20 @@
     }
 
     /// Schedules the events that are known from the beginning, and returns the first endpoint list.
-    pub fn begin(&mut self) -> Message {
+    pub fn schedule_initial_events(&mut self) -> Message {
         let deliveries =
             deliveries::draw_deliveries(self.scenario, self.calls.network(), self.zone, &mut self.run.rng);
         let mut sample = 0;
-        while f64::from(sample) * SAMPLE_INTERVAL <= self.plan.end() {
-            self.run.queue.schedule(f64::from(sample) * SAMPLE_INTERVAL, CallerEvent::Sample(sample));
+        while f64::from(sample) * SAMPLE_INTERVAL_SECONDS <= self.plan.phase_end() {
+            self.run.queue.schedule(f64::from(sample) * SAMPLE_INTERVAL_SECONDS, CallerEvent::Sample(sample));
             sample += 1;
         }
         if let Some(outage) = self.scenario.context.faults.outages[self.machine] {
-            self.run.queue.schedule(outage.down, CallerEvent::Stop);
-            self.run.queue.schedule(outage.up, CallerEvent::Start);
+            self.run.queue.schedule(outage.down_at, CallerEvent::Stop);
+            self.run.queue.schedule(outage.up_at, CallerEvent::Start);
         }
         for delivery in deliveries {
-            self.run.queue.schedule(delivery.at, CallerEvent::EndpointChanges(delivery.changes_end));
+            self.run.queue.schedule(delivery.at, CallerEvent::EndpointChanges(delivery.end_of_changes));
         }
         Message::Full(self.discovery.endpoints().listed())
     }
@@ -139,8 +139,8 @@
     }
 
     /// Draws whether the proxy makes the call that is due, and opens the call.
-    pub fn draw_call(&mut self) -> Option<Request> {
-        self.calls.draw(&mut self.run)
+    pub fn open_due_call(&mut self) -> Option<Request> {
+        self.calls.open_due_call(&mut self.run)
     }
 
     /// Sends an attempt of a call, and schedules the end of the attempt.
@@ -148,9 +148,9 @@
     /// # Errors
     ///
     /// Returns [`Error::Rule`] if the attempt violates a rule.
-    pub fn send_attempt(&mut self, order: AttemptOrder) -> Result<(), Error> {
-        let sending = self.calls.send(order, self.discovery.endpoints(), &mut self.run);
-        sending.map_err(|violation| self.rule_error(violation))
+    pub fn send_attempt(&mut self, attempt: NewAttempt) -> Result<(), Error> {
+        let result = self.calls.send(attempt, self.discovery.endpoints(), &mut self.run);
+        result.map_err(|violation| self.rule_error(violation))
     }
 
     /// Ends an attempt, and its call with it if the attempt succeeded. Returns `None` if the attempt
@@ -164,8 +164,8 @@
         attempt: AttemptId,
         outcome: Outcome,
     ) -> Result<Option<EndedAttempt>, Error> {
-        let ending = self.calls.end_attempt(attempt, outcome, &mut self.run);
-        ending.map_err(|violation| self.rule_error(violation))
+        let result = self.calls.end_attempt(attempt, outcome, &mut self.run);
+        result.map_err(|violation| self.rule_error(violation))
     }
 
     /// Ends a call that the balancer rejected or failed.
@@ -174,8 +174,8 @@
     ///
     /// Returns [`Error::Rule`] if the final response of the call violates a rule.
     pub fn end_without_success(&mut self, request: RequestId, kind: FailureKind) -> Result<(), Error> {
-        let ending = self.calls.end_without_success(request, kind, &mut self.run);
-        ending.map_err(|violation| self.rule_error(violation))
+        let result = self.calls.end_without_success(request, kind, &mut self.run);
+        result.map_err(|violation| self.rule_error(violation))
     }
 }
 
--- a/crates/fleet-bench/src/fleet/caller/event_queue.rs
+++ b/crates/fleet-bench/src/fleet/caller/event_queue.rs
@@ -27,7 +27,7 @@
 
 impl CallerEvent {
     /// Returns whether the event concerns only the process that scheduled the event.
-    fn is_of_process(self) -> bool {
+    fn belongs_to_process(self) -> bool {
         match self {
             Self::Call | Self::Timer(_) | Self::AttemptEnded(..) | Self::FirstEndpointList => true,
             Self::EndpointChanges(_) | Self::Sample(_) | Self::Stop | Self::Start => false,
@@ -70,7 +70,7 @@
 pub struct EventQueue {
     now: Time,
     pending: BinaryHeap<Reverse<PendingEvent>>,
-    scheduled: u64,
+    last_sequence: u64,
     incarnation: u32,
 }
 
@@ -82,10 +82,10 @@
 
     /// Schedules an event, at the earliest now.
     pub fn schedule(&mut self, at: Time, event: CallerEvent) {
-        self.scheduled += 1;
+        self.last_sequence += 1;
         self.pending.push(Reverse(PendingEvent {
             at: at.max(self.now),
-            sequence: self.scheduled,
+            sequence: self.last_sequence,
             incarnation: self.incarnation,
             event,
         }));
@@ -102,7 +102,7 @@
     pub fn next(&mut self) -> Option<CallerEvent> {
         while let Some(Reverse(pending)) = self.pending.pop() {
             self.now = pending.at;
-            if pending.incarnation == self.incarnation || !pending.event.is_of_process() {
+            if pending.incarnation == self.incarnation || !pending.event.belongs_to_process() {
                 return Some(pending.event);
             }
         }
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
     /// Time of the send, in seconds.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Time at which the attempt times out, in seconds.
     pub timeout_at: Time,
 }
@@ -58,21 +58,19 @@
     }
 
     /// Draws how long an endpoint update takes from a zone to this machine.
-    pub fn update_delay(&self, from_zone: ZoneId, rng: &mut SmallRng) -> Time {
+    pub fn draw_update_delay(&self, from_zone: ZoneId, rng: &mut SmallRng) -> Time {
         let delay = self.scenario.context.plan.update_delay;
-        let publication = delay.median * (delay.sigma * random::draw_normal(rng)).exp();
-        publication + 0.5 * self.round_trip(from_zone)
+        let discovery_delay = delay.median * (delay.sigma * random::draw_normal(rng)).exp();
+        discovery_delay + 0.5 * self.round_trip(from_zone)
     }
 
     /// Returns whether some backend is in service and reachable, regardless of the endpoint list of the
     /// caller.
     pub fn any_backend_reachable(&self, now: Time) -> bool {
         let context = &self.scenario.context;
-        self.scenario
-            .service()
-            .machines
-            .clone()
-            .any(|machine| context.faults.in_service(machine, now) && !self.partitioned_from(machine, now))
+        self.scenario.service().machines.clone().any(|machine| {
+            context.faults.is_in_service(machine, now) && !self.is_partitioned_from(machine, now)
+        })
     }
 
     /// Draws how an attempt to a backend ends.
@@ -83,16 +81,16 @@
         let round_trip = self.round_trip(context.topology.machines[machine].zone);
         let service_time = service.service_time * random::draw_exponential(rng);
         let outage = context.faults.outages[machine];
-        let down = outage.filter(|outage| outage.is_down(times.sent));
+        let down = outage.filter(|outage| outage.is_down(times.sent_at));
         let crashed = down.is_some_and(|outage| outage.kind == OutageKind::Crash);
-        if crashed || self.partitioned_from(machine, times.sent) {
-            return self.end_without_peer(backend, times);
+        if crashed || self.is_partitioned_from(machine, times.sent_at) {
+            return self.end_at_unreachable_backend(backend, times);
         }
         if down.is_some() {
-            let at = times.timeout_at.min(times.sent + round_trip);
+            let at = times.timeout_at.min(times.sent_at + round_trip);
             return AttemptEnd { outcome: Outcome::NoConnection, at, unavailable: true };
         }
-        let response_at = times.sent + round_trip + service_time;
+        let response_at = times.sent_at + round_trip + service_time;
         let end = self.end_in_flight(machine, outage, times, response_at);
         if end.at >= times.timeout_at {
             return AttemptEnd { outcome: Outcome::Timeout, at: times.timeout_at, unavailable: false };
@@ -102,13 +100,14 @@
 
     /// Returns the end of an attempt without a response: the attempt times out on an open connection, and
     /// a new connection is not established.
-    fn end_without_peer(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
+    fn end_at_unreachable_backend(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
         let plan = self.scenario.context.plan;
-        let connected = self.last_response[backend].is_some_and(|last| times.sent < last + plan.idle_timeout);
+        let connected =
+            self.last_response[backend].is_some_and(|last| times.sent_at < last + plan.idle_timeout);
         if connected {
             return AttemptEnd { outcome: Outcome::Timeout, at: times.timeout_at, unavailable: true };
         }
-        let at = times.timeout_at.min(times.sent + plan.connect_timeout);
+        let at = times.timeout_at.min(times.sent_at + plan.connect_timeout);
         AttemptEnd { outcome: Outcome::NoConnection, at, unavailable: true }
     }
 
@@ -123,20 +122,22 @@
     ) -> AttemptEnd {
         let context = &self.scenario.context;
         let round_trip = self.round_trip(context.topology.machines[machine].zone);
-        let interrupting = outage.filter(|outage| (times.sent..response_at).contains(&outage.down));
+        let interrupting = outage.filter(|outage| (times.sent_at..response_at).contains(&outage.down_at));
         let (outcome, at) = match interrupting {
-            Some(Outage { kind: OutageKind::Restart, down, .. }) => (Outcome::Reset, down + 0.5 * round_trip),
+            Some(Outage { kind: OutageKind::Restart, down_at, .. }) => {
+                (Outcome::Reset, down_at + 0.5 * round_trip)
+            }
             Some(Outage { kind: OutageKind::Crash, .. }) => (Outcome::Timeout, times.timeout_at),
-            None if self.partitioned_from(machine, response_at) => (Outcome::Timeout, times.timeout_at),
+            None if self.is_partitioned_from(machine, response_at) => (Outcome::Timeout, times.timeout_at),
             None => (Outcome::Success, response_at),
         };
         AttemptEnd { outcome, at, unavailable: false }
     }
 
-    fn partitioned_from(&self, machine: usize, at: Time) -> bool {
+    fn is_partitioned_from(&self, machine: usize, at: Time) -> bool {
         let context = &self.scenario.context;
         let zone = context.topology.machines[machine].zone;
-        context.faults.partitioned(self.zone, zone, at, context.topology)
+        context.faults.is_partitioned(self.zone, zone, at, context.topology)
     }
 
     fn round_trip(&self, zone: ZoneId) -> Time {
--- a/crates/fleet-bench/src/fleet/caller/requests.rs
+++ b/crates/fleet-bench/src/fleet/caller/requests.rs
@@ -6,18 +6,18 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
-pub struct InFlight {
+pub struct AttemptInFlight {
     /// The index of the backend in the service.
     pub backend: usize,
     /// Time of the send, in seconds.
-    pub sent: Time,
+    pub sent_at: Time,
 }
 
 /// The open calls and the attempts in flight. An attempt may outlive its call.
 #[derive(Debug, Default)]
 pub struct Requests {
     checker: Checker,
-    in_flight: HashMap<AttemptId, InFlight>,
+    in_flight: HashMap<AttemptId, AttemptInFlight>,
     last_id: u64,
 }
 
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Returns the violation if the attempt violates a rule.
-    pub fn send(&mut self, request: RequestId, attempt: InFlight) -> Result<AttemptId, Violation> {
+    pub fn send(&mut self, request: RequestId, attempt: AttemptInFlight) -> Result<AttemptId, Violation> {
         let number = self.checker.send(request)?;
         let id = AttemptId { request, number };
         self.in_flight.insert(id, attempt);
@@ -43,7 +43,7 @@
     }
 
     /// Takes an attempt that ends; returns `None` if the attempt has ended before.
-    pub fn end_attempt(&mut self, id: AttemptId) -> Option<InFlight> {
+    pub fn end_attempt(&mut self, id: AttemptId) -> Option<AttemptInFlight> {
         self.in_flight.remove(&id)
     }
 
--- a/crates/fleet-bench/src/fleet/caller/workload.rs
+++ b/crates/fleet-bench/src/fleet/caller/workload.rs
@@ -11,14 +11,14 @@
 
 /// Time before its stop in which a process makes no calls, in seconds: the process could not report the
 /// outcomes.
-const QUIET_BEFORE_STOP: Time = 1.0;
+const FINAL_SECONDS_WITHOUT_CALLS: Time = 1.0;
 
 /// The calls of one machine's proxy.
 #[derive(Debug)]
 pub struct Workload<'a> {
     plan: &'a Plan,
     /// Calls per second.
-    rate: f64,
+    call_rate: f64,
     /// The outage of the machine, if there is one.
     outage: Option<Outage>,
 }
@@ -29,40 +29,40 @@
         let context = &scenario.context;
         Self {
             plan: context.plan,
-            rate: context.topology.machines[machine].rate,
+            call_rate: context.topology.machines[machine].call_rate,
             outage: context.faults.outages[machine],
         }
     }
 
     /// Draws the time of the next call; none if the process stops or the phase ends before.
-    pub fn draw_next(&self, now: Time, rng: &mut SmallRng) -> Option<Time> {
-        let at = now + random::draw_exponential(rng) / self.rate;
-        (at < self.plan.end().min(self.last_call_before(now))).then_some(at)
+    pub fn draw_next_call_time(&self, now: Time, rng: &mut SmallRng) -> Option<Time> {
+        let at = now + random::draw_exponential(rng) / self.call_rate;
+        (at < self.plan.phase_end().min(self.calls_end_at(now))).then_some(at)
     }
 
     /// Returns the time at which the process that runs at a time stops making calls, in seconds.
-    fn last_call_before(&self, now: Time) -> Time {
-        match self.outage.filter(|outage| now < outage.down) {
+    fn calls_end_at(&self, now: Time) -> Time {
+        match self.outage.filter(|outage| now < outage.down_at) {
             Some(outage) if outage.kind == OutageKind::Restart => {
-                (outage.down - QUIET_BEFORE_STOP).max(outage.drain)
+                (outage.down_at - FINAL_SECONDS_WITHOUT_CALLS).max(outage.drain_at)
             }
-            Some(outage) => outage.down,
+            Some(outage) => outage.down_at,
             None => f64::INFINITY,
         }
     }
 
     /// Draws whether a call is made: a backend that is warming up gets fewer requests, and its proxy
     /// makes fewer calls.
-    pub fn draw_is_made(&self, now: Time, rng: &mut SmallRng) -> bool {
-        rng.random::<f64>() < self.activity(now)
+    pub fn draw_call_is_made(&self, now: Time, rng: &mut SmallRng) -> bool {
+        rng.random::<f64>() < self.call_fraction(now)
     }
 
     /// Returns the fraction of its calls that the proxy makes at a time.
-    fn activity(&self, now: Time) -> f64 {
-        match self.outage.filter(|outage| outage.up <= now) {
+    fn call_fraction(&self, now: Time) -> f64 {
+        match self.outage.filter(|outage| outage.up_at <= now) {
             // Callers of its backend have not been notified yet.
-            Some(outage) if now < outage.up + self.plan.update_delay.median => 0.0,
-            Some(outage) => self.plan.capacity_fraction(now - outage.up),
+            Some(outage) if now < outage.up_at + self.plan.update_delay.median => 0.0,
+            Some(outage) => self.plan.capacity_fraction(now - outage.up_at),
             None => 1.0,
         }
     }
--- a/crates/fleet-bench/src/fleet/checker.rs
+++ b/crates/fleet-bench/src/fleet/checker.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// Tolerance of the deadline for rounding, in seconds.
-const DEADLINE_TOLERANCE: Time = 1e-6;
+const DEADLINE_TOLERANCE_SECONDS: Time = 1e-6;
 
 /// A rule that a call violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
@@ -107,7 +107,7 @@
     /// Returns the violation if the call is not open, or the deadline of the call has passed.
     pub fn close(&mut self, call: RequestId, now: Time) -> Result<OpenCall, Violation> {
         let open = self.open.remove(&call).ok_or(Violation { rule: Rule::NotOpen, call })?;
-        if now > open.deadline + DEADLINE_TOLERANCE {
+        if now > open.deadline + DEADLINE_TOLERANCE_SECONDS {
             return Err(Violation { rule: Rule::Late, call });
         }
         Ok(open)
--- a/crates/fleet-bench/src/fleet/counts.rs
+++ b/crates/fleet-bench/src/fleet/counts.rs
@@ -35,7 +35,7 @@
     /// Calls that ended without any attempt, for lack of a backend to select.
     pub without_attempt: u64,
     /// Calls that were rejected or failed while no backend in service was reachable.
-    pub unreachable: u64,
+    pub without_reachable_backend: u64,
     /// Calls without a final response when the machine of their own proxy went down.
     pub lost: u64,
 }
@@ -47,7 +47,7 @@
         self.rejected += other.rejected;
         self.failed += other.failed;
         self.without_attempt += other.without_attempt;
-        self.unreachable += other.unreachable;
+        self.without_reachable_backend += other.without_reachable_backend;
         self.lost += other.lost;
     }
 }
--- a/crates/fleet-bench/src/fleet/coverage.rs
+++ b/crates/fleet-bench/src/fleet/coverage.rs
@@ -1,6 +1,6 @@
 //! Counts the backends in service that are in no caller's subset.
 
-use super::observations::{CallerObservations, SAMPLE_INTERVAL};
+use super::observations::{CallerObservations, SAMPLE_INTERVAL_SECONDS};
 use super::results::{Coverage, CoverageSample};
 use super::scenario::Scenario;
 use balancer::Time;
@@ -12,19 +12,20 @@
 pub fn measure(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Coverage {
     let machines = scenario.service().machines.clone();
     let backends = machines.len();
-    let mut unassigned_for = vec![0_u32; backends];
+    let mut consecutive_unassigned = vec![0_u32; backends];
     let mut long_unassigned = vec![false; backends];
     let mut samples = Vec::new();
     for (index, assigned) in assigned_backends(scenario, callers).chunks(backends).enumerate() {
-        let at = index as f64 * SAMPLE_INTERVAL;
+        let at = index as f64 * SAMPLE_INTERVAL_SECONDS;
         let mut sample = CoverageSample::default();
         for (backend, machine) in machines.clone().enumerate() {
-            let in_service = is_known_in_service(scenario, machine, at);
+            let in_service = is_in_service_and_notified(scenario, machine, at);
             let unassigned = in_service && !assigned[backend];
             sample.in_service += usize::from(in_service);
             sample.unassigned += usize::from(unassigned);
-            unassigned_for[backend] = if unassigned { unassigned_for[backend] + 1 } else { 0 };
-            long_unassigned[backend] |= unassigned_for[backend] >= LONG_UNASSIGNED_SAMPLES;
+            consecutive_unassigned[backend] =
+                if unassigned { consecutive_unassigned[backend] + 1 } else { 0 };
+            long_unassigned[backend] |= consecutive_unassigned[backend] >= LONG_UNASSIGNED_SAMPLES;
         }
         samples.push(sample);
     }
@@ -35,7 +36,7 @@
 /// Returns whether each backend is in some subset at each sample: a run of all backends for each sample.
 fn assigned_backends(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<bool> {
     let backends = scenario.service().machines.len();
-    let samples = (scenario.context.plan.end() / SAMPLE_INTERVAL).floor() as usize + 1;
+    let samples = (scenario.context.plan.phase_end() / SAMPLE_INTERVAL_SECONDS).floor() as usize + 1;
     let mut assigned = vec![false; samples * backends];
     for member in callers.iter().flat_map(|caller| &caller.subset_members) {
         assigned[member.sample as usize * backends + member.backend as usize] = true;
@@ -45,9 +46,9 @@
 
 /// Returns whether the backend of a machine is in service at a time, and callers count as notified of its
 /// start.
-fn is_known_in_service(scenario: &Scenario<'_>, machine: usize, at: Time) -> bool {
+fn is_in_service_and_notified(scenario: &Scenario<'_>, machine: usize, at: Time) -> bool {
     let context = &scenario.context;
     let just_started = context.faults.outages[machine]
-        .is_some_and(|outage| (outage.up..outage.up + context.plan.deemed_notified).contains(&at));
-    context.faults.in_service(machine, at) && !just_started
+        .is_some_and(|outage| (outage.up_at..outage.up_at + context.plan.deemed_notified).contains(&at));
+    context.faults.is_in_service(machine, at) && !just_started
 }
--- a/crates/fleet-bench/src/fleet/faults.rs
+++ b/crates/fleet-bench/src/fleet/faults.rs
@@ -24,26 +24,26 @@
     /// Kind of the outage.
     pub kind: OutageKind,
     /// Time at which the drain begins, in seconds; the same as `down` without a drain.
-    pub drain: Time,
+    pub drain_at: Time,
     /// Time at which the machine goes down, in seconds.
-    pub down: Time,
+    pub down_at: Time,
     /// Time at which the machine is up again and its backend begins the slow start, in seconds.
-    pub up: Time,
+    pub up_at: Time,
     /// Time at which discovery has detected the outage, in seconds.
-    pub detected: Time,
+    pub detected_at: Time,
 }
 
 impl Outage {
     fn new(kind: OutageKind, at: Time, plan: &Plan, rng: &mut SmallRng) -> Self {
         match kind {
             OutageKind::Restart => {
-                let down = at + plan.drain;
-                Self { kind, drain: at, down, up: down + plan.restart, detected: down }
+                let down_at = at + plan.drain;
+                Self { kind, drain_at: at, down_at, up_at: down_at + plan.restart, detected_at: down_at }
             }
             OutageKind::Crash => {
                 let range = plan.detection_time;
-                let detected = at + range.min + (range.max - range.min) * rng.random::<f64>();
-                Self { kind, drain: at, down: at, up: at + plan.outage, detected }
+                let detected_at = at + range.min + (range.max - range.min) * rng.random::<f64>();
+                Self { kind, drain_at: at, down_at: at, up_at: at + plan.outage, detected_at }
             }
         }
     }
@@ -51,7 +51,7 @@
     /// Returns whether the machine is down at a time.
     #[must_use]
     pub fn is_down(&self, at: Time) -> bool {
-        (self.down..self.up).contains(&at)
+        (self.down_at..self.up_at).contains(&at)
     }
 }
 
@@ -68,7 +68,7 @@
 
 impl Partition {
     /// Returns the first time from `at` on at which the partition is not in force, in seconds.
-    fn over_from(&self, at: Time) -> Time {
+    fn inactive_from(&self, at: Time) -> Time {
         if self.is_active(at) { self.end } else { at }
     }
 
@@ -81,10 +81,10 @@
 #[derive(Clone, Debug)]
 pub struct EndpointChange {
     /// Time at which the change happened or was detected, in seconds.
-    pub occurred: Time,
+    pub occurred_at: Time,
     /// Time at which discovery publishes the change, in seconds: the end of a partition in between, if
     /// there is one.
-    pub published: Time,
+    pub published_at: Time,
     /// The machine that changed.
     pub machine: usize,
     /// The endpoint after the change.
@@ -99,7 +99,7 @@
     /// The partition of a region, if there is one.
     pub partition: Option<Partition>,
     /// The simulated services: all called services, or the services that the phase affects.
-    pub services: Vec<usize>,
+    pub simulated_services: Vec<usize>,
 }
 
 impl Faults {
@@ -108,11 +108,11 @@
     pub fn new(phase: Phase, plan: &Plan, topology: &Topology) -> Self {
         let rng = &mut SmallRng::seed_from_u64(random::derive_seed(&[plan.seed, 1, phase as u64]));
         let outages = vec![None; topology.machines.len()];
-        let mut faults = Self { outages, partition: None, services: topology.called_services() };
+        let mut faults = Self { outages, partition: None, simulated_services: topology.called_services() };
         match phase {
             Phase::Ordinary => {
-                faults.scatter_outages(OutageKind::Restart, plan.restarts, plan.window, plan, rng);
-                faults.scatter_outages(OutageKind::Crash, plan.failures, plan.window, plan, rng);
+                faults.draw_outages(OutageKind::Restart, plan.restarts, plan.window, plan, rng);
+                faults.draw_outages(OutageKind::Crash, plan.failures, plan.window, plan, rng);
             }
             Phase::Rack => {
                 let machines = &topology.machines;
@@ -128,26 +128,26 @@
                 let region = rng.random_range(0..plan.regions);
                 let start = plan.warm_up;
                 faults.partition = Some(Partition { region, start, end: start + plan.partition_duration });
-                let restarts_an_hour = plan.restarts / 24;
-                faults.scatter_outages(
+                let restarts_per_hour = plan.restarts / 24;
+                faults.draw_outages(
                     OutageKind::Restart,
-                    restarts_an_hour,
+                    restarts_per_hour,
                     plan.partition_duration,
                     plan,
                     rng,
                 );
             }
-            Phase::Half => faults.restart_halves(plan, topology, rng),
+            Phase::Half => faults.restart_half_of_machines(plan, topology, rng),
         }
         faults
     }
 
-    /// Takes down `count` machines at random times within `span` from the window's start.
-    fn scatter_outages(
+    /// Takes down `count` machines at random times within `period` from the window's start.
+    fn draw_outages(
         &mut self,
         kind: OutageKind,
         count: usize,
-        span: Time,
+        period: Time,
         plan: &Plan,
         rng: &mut SmallRng,
     ) {
@@ -155,7 +155,7 @@
             (0..self.outages.len()).filter(|m| self.outages[*m].is_none()).collect();
         let (drawn, _) = unaffected.partial_shuffle(rng, count);
         for machine in drawn {
-            let at = plan.warm_up + span * rng.random::<f64>();
+            let at = plan.warm_up + period * rng.random::<f64>();
             self.outages[*machine] = Some(Outage::new(kind, at, plan, rng));
         }
     }
@@ -168,14 +168,14 @@
     }
 
     /// Restarts half of the machines of the largest and of the most called service.
-    fn restart_halves(&mut self, plan: &Plan, topology: &Topology, rng: &mut SmallRng) {
+    fn restart_half_of_machines(&mut self, plan: &Plan, topology: &Topology, rng: &mut SmallRng) {
         let services = &topology.services;
         let called = topology.called_services();
         let largest = called.iter().copied().max_by_key(|s| (services[*s].machines.len(), usize::MAX - s));
         let most_called = called.iter().copied().max_by_key(|s| (services[*s].callers.len(), usize::MAX - s));
-        self.services = largest.into_iter().collect();
-        self.services.extend(most_called.filter(|service| Some(*service) != largest));
-        for service in &self.services {
+        self.simulated_services = largest.into_iter().collect();
+        self.simulated_services.extend(most_called.filter(|service| Some(*service) != largest));
+        for service in &self.simulated_services {
             let mut machines: Vec<usize> = services[*service].machines.clone().collect();
             machines.shuffle(rng);
             for &machine in &machines[..machines.len() / 2] {
@@ -194,40 +194,40 @@
                 continue;
             };
             let zone = topology.machines[machine].zone;
-            let mut publish = |occurred, status, started_at| {
-                let published = self.discovery_reachable_from(zone, occurred, topology);
+            let mut publish = |occurred_at, status, started_at| {
+                let published_at = self.discovery_reachable_from(zone, occurred_at, topology);
                 let endpoint = Endpoint { status, started_at, ..topology.endpoint(machine) };
-                changes.push(EndpointChange { occurred, published, machine, endpoint });
+                changes.push(EndpointChange { occurred_at, published_at, machine, endpoint });
             };
             if outage.kind == OutageKind::Restart {
-                publish(outage.drain, Status::Draining, None);
+                publish(outage.drain_at, Status::Draining, None);
             }
-            if outage.detected < outage.up {
-                publish(outage.detected, Status::Removed, None);
+            if outage.detected_at < outage.up_at {
+                publish(outage.detected_at, Status::Removed, None);
             }
-            publish(outage.up, Status::InService, Some(outage.up));
+            publish(outage.up_at, Status::InService, Some(outage.up_at));
         }
         changes.sort_by(|a, b| {
-            a.published
-                .total_cmp(&b.published)
+            a.published_at
+                .total_cmp(&b.published_at)
                 .then(a.machine.cmp(&b.machine))
-                .then(a.occurred.total_cmp(&b.occurred))
+                .then(a.occurred_at.total_cmp(&b.occurred_at))
         });
         changes
     }
 
     /// Returns whether the backend of a machine is in service at a time.
     #[must_use]
-    pub fn in_service(&self, machine: usize, at: Time) -> bool {
-        self.outages[machine].is_none_or(|outage| !(outage.drain..outage.up).contains(&at))
+    pub fn is_in_service(&self, machine: usize, at: Time) -> bool {
+        self.outages[machine].is_none_or(|outage| !(outage.drain_at..outage.up_at).contains(&at))
     }
 
     /// Returns whether two zones cannot reach each other at a time.
     #[must_use]
-    pub fn partitioned(&self, zone: ZoneId, other: ZoneId, at: Time, topology: &Topology) -> bool {
+    pub fn is_partitioned(&self, zone: ZoneId, other: ZoneId, at: Time, topology: &Topology) -> bool {
         self.partition.is_some_and(|partition| {
-            let inside = |zone| topology.region(zone) == partition.region;
-            partition.is_active(at) && inside(zone) != inside(other)
+            let in_region = |zone| topology.region(zone) == partition.region;
+            partition.is_active(at) && in_region(zone) != in_region(other)
         })
     }
 
@@ -235,7 +235,7 @@
     #[must_use]
     pub fn discovery_reachable_from(&self, zone: ZoneId, at: Time, topology: &Topology) -> Time {
         match self.partition {
-            Some(partition) if topology.region(zone) == partition.region => partition.over_from(at),
+            Some(partition) if topology.region(zone) == partition.region => partition.inactive_from(at),
             _ => at,
         }
     }
--- a/crates/fleet-bench/src/fleet/memory.rs
+++ b/crates/fleet-bench/src/fleet/memory.rs
@@ -27,14 +27,14 @@
             continue;
         };
         let endpoints = topology.endpoints(role.service);
-        let before = resident_bytes()?;
+        let bytes_before = resident_bytes()?;
         for i in 0..BALANCERS_PER_ROLE {
             let settings = caller_settings(plan, topology, role.service, i % service.callers.len());
             let mut balancer = Balancer::new(0.0, i as u64, settings);
             balancer.handle(0.0, Event::Endpoints(EndpointUpdate::Full(&endpoints)), &mut Vec::new());
             balancers.push(balancer);
         }
-        let growth = resident_bytes()?.saturating_sub(before);
+        let growth = resident_bytes()?.saturating_sub(bytes_before);
         table.row([
             Value::from(role.name),
             Value::from(endpoints.len()),
--- a/crates/fleet-bench/src/fleet/observations.rs
+++ b/crates/fleet-bench/src/fleet/observations.rs
@@ -5,7 +5,7 @@
 use balancer::Time;
 
 /// Interval at which the state of the balancers is sampled, in seconds.
-pub const SAMPLE_INTERVAL: Time = 1.0;
+pub const SAMPLE_INTERVAL_SECONDS: Time = 1.0;
 
 /// Sizes of a balancer's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// The index of the backend in the service.
     pub backend: u32,
     /// Time of the send, in seconds.
-    pub sent: Time,
+    pub sent_at: Time,
 }
 
 /// The observations of one caller.
--- a/crates/fleet-bench/src/fleet/phase.rs
+++ b/crates/fleet-bench/src/fleet/phase.rs
@@ -19,9 +19,11 @@
 /// Returns the first error of a caller.
 pub fn simulate(context: PhaseContext<'_>, roles: &Roles) -> Result<PhaseResult, Error> {
     let PhaseContext { phase, topology, faults, .. } = context;
-    let mut order = faults.services.clone();
+    let mut order = faults.simulated_services.clone();
     // The longest work first, so that at the end no thread works alone.
-    order.sort_by(|a, b| topology.services[*b].rate.total_cmp(&topology.services[*a].rate).then(a.cmp(b)));
+    order.sort_by(|a, b| {
+        topology.services[*b].call_rate.total_cmp(&topology.services[*a].call_rate).then(a.cmp(b))
+    });
     let simulate = |service: &usize| simulate_service(&Scenario::new(context, *service), roles);
     let services = order.par_iter().with_max_len(1).map(simulate).collect::<Result<_, _>>()?;
     Ok(PhaseResult { phase, services, outages: count_outages(faults) })
@@ -52,10 +54,10 @@
     Ok(ServiceResult {
         service: scenario.service_index,
         counts,
-        propagations: changes.filter_map(|change| propagation(&observations, change)).collect(),
+        propagations: changes.filter_map(|change| measure_propagation(&observations, change)).collect(),
         coverage: coverage::measure(scenario, &observations),
         slow_starts: slow_start::measure(scenario, &observations),
-        state: mean_peak_state(&observations),
+        mean_peak_state: mean_peak_state(&observations),
         recordings: observations.iter_mut().filter_map(|caller| caller.recording.take()).collect(),
     })
 }
@@ -84,15 +86,19 @@
 }
 
 /// Returns the propagation of an endpoint change; `None` if no caller was notified.
-fn propagation(callers: &[CallerObservations], change: usize) -> Option<Propagation> {
+fn measure_propagation(callers: &[CallerObservations], change: usize) -> Option<Propagation> {
     let mut delays: Vec<f32> = callers.iter().filter_map(|caller| caller.update_delays[change]).collect();
     if delays.is_empty() {
         return None;
     }
     delays.sort_by(f32::total_cmp);
-    let until = |share: f64| {
-        let callers = (share * delays.len() as f64).ceil() as usize;
+    let delay_until = |fraction: f64| {
+        let callers = (fraction * delays.len() as f64).ceil() as usize;
         delays[callers.clamp(1, delays.len()) - 1]
     };
-    Some(Propagation { half: until(0.5), percent_99: until(0.99), all: until(1.0) })
+    Some(Propagation {
+        half_notified: delay_until(0.5),
+        percent_99_notified: delay_until(0.99),
+        all_notified: delay_until(1.0),
+    })
 }
--- a/crates/fleet-bench/src/fleet/plan.rs
+++ b/crates/fleet-bench/src/fleet/plan.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Maximum of each time in a plan, in seconds.
-const MAX_TIME: f64 = 3_600.0;
+const MAX_TIME_SECONDS: f64 = 3_600.0;
 /// Maximum number of calls that a run may simulate.
-const MAX_CALLS: f64 = 1e11;
+const MAX_SIMULATED_CALLS: f64 = 1e11;
 /// Maximum number of calls, over all phases, of the callers that are recorded for one role. Each
 /// recorded call takes half a kilobyte of memory.
 const MAX_RECORDED_CALLS: f64 = 2e6;
@@ -190,7 +190,7 @@
         self.validate_times()?;
         let duration = self.warm_up + self.window;
         let calls = self.rate * self.rate_scale * duration * self.phases.len() as f64;
-        check_bounds("calls of all phases", &(0.0..=MAX_CALLS), calls)?;
+        check_bounds("calls of all phases", &(0.0..=MAX_SIMULATED_CALLS), calls)?;
         let recorded = calls / self.backends as f64 * self.recorded_callers as f64;
         check_bounds("calls of recorded callers", &(0.0..=MAX_RECORDED_CALLS), recorded)
     }
@@ -229,8 +229,8 @@
 
     fn validate_times(&self) -> Result<(), Error> {
         check_bounds("overload_window", &(0.001..=600.0), self.overload_window)?;
-        check_bounds("warm_up", &(1.0..=MAX_TIME), self.warm_up)?;
-        check_bounds("window", &(1.0..=MAX_TIME), self.window)?;
+        check_bounds("warm_up", &(1.0..=MAX_TIME_SECONDS), self.warm_up)?;
+        check_bounds("window", &(1.0..=MAX_TIME_SECONDS), self.window)?;
         check_bounds("real_time_limit", &(1.0..=86_400.0), self.real_time_limit)?;
         let times = [
             ("round_trips", self.round_trips.same_zone),
@@ -250,7 +250,7 @@
             ("idle_timeout", self.idle_timeout),
             ("slow_start_duration", self.slow_start_duration),
         ];
-        times.into_iter().try_for_each(|(name, time)| check_bounds(name, &(0.0..=MAX_TIME), time))
+        times.into_iter().try_for_each(|(name, time)| check_bounds(name, &(0.0..=MAX_TIME_SECONDS), time))
     }
 
     /// Returns the capacity of a backend as a fraction of its full capacity, `age` seconds after its
@@ -267,7 +267,7 @@
 
     /// Returns the virtual time at which a phase ends, in seconds.
     #[must_use]
-    pub fn end(&self) -> f64 {
+    pub fn phase_end(&self) -> f64 {
         self.warm_up + self.window
     }
 }
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -23,26 +23,26 @@
     /// Endpoint updates.
     updates: EventTimes,
     /// The slowest endpoint update, in seconds.
-    slowest_update: f64,
+    slowest_update_seconds: f64,
 }
 
 /// Processor time of the events of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct EventTimes {
     /// Sum of the processor times, in seconds.
-    total: f64,
+    total_seconds: f64,
     /// The number of events.
     count: usize,
 }
 
 impl EventTimes {
     fn add(&mut self, time: f64, events: usize) {
-        self.total += time;
+        self.total_seconds += time;
         self.count += events;
     }
 
     fn mean_microseconds(self) -> f64 {
-        1e6 * self.total / self.count as f64
+        1e6 * self.total_seconds / self.count as f64
     }
 }
 
@@ -78,7 +78,7 @@
                 RecordedEvent::Changes(list) => self.replay_update(*at, EndpointUpdate::Changes(list), time),
                 RecordedEvent::Full(list) => self.replay_update(*at, EndpointUpdate::Full(list), time),
                 RecordedEvent::Cached(list) => self.replay_update(*at, EndpointUpdate::Cached(list), time),
-                RecordedEvent::Plain(event) => self.replay_batch(*at, *event, time),
+                RecordedEvent::WithoutEndpoints(event) => self.replay_batch(*at, *event, time),
             }
         }
     }
@@ -89,7 +89,7 @@
         if at >= self.measure_from {
             let elapsed = thread_time() - started;
             time.updates.add(elapsed, 1);
-            time.slowest_update = time.slowest_update.max(elapsed);
+            time.slowest_update_seconds = time.slowest_update_seconds.max(elapsed);
         }
     }
 
@@ -99,8 +99,8 @@
         self.handle(at, event);
         let mut events = 1;
         while events < MAX_BATCH_EVENTS
-            && let Some(Record { at, event: RecordedEvent::Plain(event) }) =
-                self.records.next_if(|record| matches!(record.event, RecordedEvent::Plain(_)))
+            && let Some(Record { at, event: RecordedEvent::WithoutEndpoints(event) }) =
+                self.records.next_if(|record| matches!(record.event, RecordedEvent::WithoutEndpoints(_)))
         {
             self.handle(*at, *event);
             events += 1;
@@ -133,26 +133,26 @@
     let mut table = Table::new(name, &columns);
     for result in results {
         for role in roles.iter() {
-            let Some(of_service) = result.service(role.service) else {
+            let Some(service_result) = result.service(role.service) else {
                 continue;
             };
             let mut time = ProcessorTime::default();
-            for recording in &of_service.recordings {
+            for recording in &service_result.recordings {
                 Replay::new(recording, plan.warm_up).run(&mut time);
             }
-            let callers = of_service.recordings.len() as f64;
+            let callers = service_result.recordings.len() as f64;
             let percent_of_core = |seconds: f64| 100.0 * seconds / (callers * plan.window);
             let service = &topology.services[role.service];
             table.row([
                 Value::from(result.phase.name()),
                 Value::from(role.name),
-                Value::from(service.rate / service.callers.len() as f64),
+                Value::from(service.call_rate / service.callers.len() as f64),
                 Value::from(time.calls.mean_microseconds()),
-                Value::from(percent_of_core(time.calls.total)),
-                Value::from(percent_of_core(time.calls.total) / plan.rate_scale),
+                Value::from(percent_of_core(time.calls.total_seconds)),
+                Value::from(percent_of_core(time.calls.total_seconds) / plan.rate_scale),
                 Value::from(time.updates.mean_microseconds()),
-                Value::from(1e6 * time.slowest_update),
-                Value::from(percent_of_core(time.updates.total)),
+                Value::from(1e6 * time.slowest_update_seconds),
+                Value::from(percent_of_core(time.updates.total_seconds)),
             ]);
         }
     }
--- a/crates/fleet-bench/src/fleet/random.rs
+++ b/crates/fleet-bench/src/fleet/random.rs
@@ -3,10 +3,10 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Derives the seed of an independent random stream from the numbers of its purpose (`SplitMix64`).
+/// Derives the seed of an independent random stream from the numbers of its stream (`SplitMix64`).
 #[must_use]
-pub fn derive_seed(purpose: &[u64]) -> u64 {
-    purpose.iter().fold(0, |state, part| {
+pub fn derive_seed(stream: &[u64]) -> u64 {
+    stream.iter().fold(0, |state, part| {
         let mut z = (state ^ part).wrapping_add(0x9e37_79b9_7f4a_7c15);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/fleet-bench/src/fleet/recording.rs
+++ b/crates/fleet-bench/src/fleet/recording.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub enum RecordedEvent {
     /// An event without endpoints.
-    Plain(Event<'static>),
+    WithoutEndpoints(Event<'static>),
     /// Changes of the endpoint list.
     Changes(Vec<Endpoint>),
     /// The complete endpoint list.
@@ -32,12 +32,12 @@
 impl RecordedEvent {
     /// Copies an endpoint update.
     #[must_use]
-    pub fn of_update(update: EndpointUpdate<'_>) -> Self {
+    pub fn from_update(update: EndpointUpdate<'_>) -> Self {
         match update {
             EndpointUpdate::Changes(list) => Self::Changes(list.to_vec()),
             EndpointUpdate::Full(list) => Self::Full(list.to_vec()),
             EndpointUpdate::Cached(list) => Self::Cached(list.to_vec()),
-            EndpointUpdate::Failed => Self::Plain(Event::Endpoints(EndpointUpdate::Failed)),
+            EndpointUpdate::Failed => Self::WithoutEndpoints(Event::Endpoints(EndpointUpdate::Failed)),
         }
     }
 }
--- a/crates/fleet-bench/src/fleet/results.rs
+++ b/crates/fleet-bench/src/fleet/results.rs
@@ -18,7 +18,7 @@
 impl PhaseResult {
     /// Returns the sum of the counts of all callers.
     #[must_use]
-    pub fn total(&self) -> Counts {
+    pub fn total_counts(&self) -> Counts {
         let mut total = Counts::default();
         for service in &self.services {
             total += service.counts;
@@ -56,7 +56,7 @@
     /// The peak load of each backend that warmed up.
     pub slow_starts: Vec<SlowStartPeak>,
     /// The state of a caller's balancer.
-    pub state: MeanPeakState,
+    pub mean_peak_state: MeanPeakState,
     /// The recordings of some callers, if the service has a role.
     pub recordings: Vec<Recording>,
 }
@@ -66,11 +66,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Propagation {
     /// Time until half of the callers were notified.
-    pub half: f32,
+    pub half_notified: f32,
     /// Time until 99% of the callers were notified.
-    pub percent_99: f32,
+    pub percent_99_notified: f32,
     /// Time until all callers were notified.
-    pub all: f32,
+    pub all_notified: f32,
 }
 
 /// The coverage of a service's backends by the subsets of its callers.
--- a/crates/fleet-bench/src/fleet/roles.rs
+++ b/crates/fleet-bench/src/fleet/roles.rs
@@ -22,11 +22,11 @@
         let services = &topology.services;
         let mut called = topology.called_services();
         called.sort_by_key(|s| (services[*s].machines.len(), services[*s].callers.len(), *s));
-        let at = |rank: usize| called.get(rank).copied().unwrap_or(0);
+        let service_at = |rank: usize| called.get(rank).copied().unwrap_or(0);
         let most_called = called.iter().max_by_key(|s| services[**s].callers.len());
         Self([
-            Role { name: "of a median service", service: at(called.len() / 2) },
-            Role { name: "of the largest service", service: at(called.len().saturating_sub(1)) },
+            Role { name: "of a median service", service: service_at(called.len() / 2) },
+            Role { name: "of the largest service", service: service_at(called.len().saturating_sub(1)) },
             Role { name: "of the most called service", service: most_called.copied().unwrap_or(0) },
         ])
     }
--- a/crates/fleet-bench/src/fleet/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/slow_start.rs
@@ -14,12 +14,12 @@
     let sent = attempt_times(scenario, callers);
     for (backend, (machine, mut sent)) in scenario.service().machines.clone().zip(sent).enumerate() {
         let outage = scenario.context.faults.outages[machine];
-        let Some(outage) = outage.filter(|o| o.up + plan.slow_start_duration <= plan.end()) else {
+        let Some(outage) = outage.filter(|o| o.up_at + plan.slow_start_duration <= plan.phase_end()) else {
             continue;
         };
         sent.sort_by(f64::total_cmp);
-        let capacity = capacity(scenario, callers, backend);
-        peaks.push(peak_load(plan, outage.up, capacity, &sent));
+        let capacity = full_capacity(scenario, callers, backend);
+        peaks.push(peak_load(plan, outage.up_at, capacity, &sent));
     }
     peaks
 }
@@ -28,7 +28,7 @@
 fn attempt_times(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<Vec<Time>> {
     let mut sent: Vec<Vec<Time>> = vec![Vec::new(); scenario.service().machines.len()];
     for attempt in callers.iter().flat_map(|caller| &caller.slow_start_attempts) {
-        sent[attempt.backend as usize].push(attempt.sent);
+        sent[attempt.backend as usize].push(attempt.sent_at);
     }
     sent
 }
@@ -36,24 +36,24 @@
 /// Returns the full capacity of a backend in attempts per second: the load before the outage, which the
 /// backend has borne, or the even fraction of the service's calls if that is more, as all backends of a
 /// service have the same size.
-fn capacity(scenario: &Scenario<'_>, callers: &[CallerObservations], backend: usize) -> f64 {
+fn full_capacity(scenario: &Scenario<'_>, callers: &[CallerObservations], backend: usize) -> f64 {
     let service = scenario.service();
-    let even_share = service.rate / service.machines.len() as f64;
+    let even_call_rate = service.call_rate / service.machines.len() as f64;
     let attempts: u32 = callers.iter().map(|caller| caller.warm_up_attempts[backend]).sum();
     // Counted in the second half of the warm-up.
-    even_share.max(f64::from(attempts) / (0.5 * scenario.context.plan.warm_up))
+    even_call_rate.max(f64::from(attempts) / (0.5 * scenario.context.plan.warm_up))
 }
 
 /// Finds the overload window with the highest load in relation to its budget.
-fn peak_load(plan: &Plan, started: Time, capacity: f64, sent: &[Time]) -> SlowStartPeak {
+fn peak_load(plan: &Plan, started_at: Time, capacity: f64, sent: &[Time]) -> SlowStartPeak {
     let mut peak = SlowStartPeak::default();
-    let mut first = 0;
+    let mut first_in_window = 0;
     for (last, at) in sent.iter().enumerate() {
         let window_start = at - plan.overload_window;
-        first += sent[first..].iter().take_while(|time| **time <= window_start).count();
-        let attempts = last + 1 - first;
+        first_in_window += sent[first_in_window..].iter().take_while(|time| **time <= window_start).count();
+        let attempts = last + 1 - first_in_window;
         // Capacity grows linearly: its mean is that in the middle of the window.
-        let fraction = plan.capacity_fraction(at - 0.5 * plan.overload_window - started);
+        let fraction = plan.capacity_fraction(at - 0.5 * plan.overload_window - started_at);
         let overload = plan.overload_multiple * capacity * fraction * plan.overload_window;
         let budget_ratio = attempts as f64 / budget(overload);
         if budget_ratio > peak.budget_ratio {
--- a/crates/fleet-bench/src/fleet/tables.rs
+++ b/crates/fleet-bench/src/fleet/tables.rs
@@ -20,7 +20,7 @@
 /// Returns all tables of the phases.
 pub fn phase_tables(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Vec<Table> {
     vec![
-        simulated(topology, results),
+        simulated_services_table(topology, results),
         calls::table(results),
         endpoint_lists::propagation(results),
         endpoint_lists::coverage(plan, results),
@@ -30,7 +30,7 @@
     ]
 }
 
-fn simulated(topology: &Topology, results: &[PhaseResult]) -> Table {
+fn simulated_services_table(topology: &Topology, results: &[PhaseResult]) -> Table {
     let columns =
         ["phase", "services simulated", "proxies simulated", "machines restarted", "machines crashed"];
     let mut table = Table::new("Simulated services and faults", &columns);
--- a/crates/fleet-bench/src/fleet/tables/calls.rs
+++ b/crates/fleet-bench/src/fleet/tables/calls.rs
@@ -23,7 +23,7 @@
     ];
     let mut table = Table::new("Calls in the window", &columns);
     for result in results {
-        let counts = result.total();
+        let counts = result.total_counts();
         let calls = counts.calls;
         let attempts = counts.attempts;
         table.row([
@@ -33,7 +33,7 @@
             count(calls.rejected),
             count(calls.failed),
             count(calls.without_attempt),
-            count(calls.unreachable),
+            count(calls.without_reachable_backend),
             count(calls.lost),
             Value::from(attempts.total as f64 / calls.total as f64),
             count(attempts.to_unavailable),
--- a/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
+++ b/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
@@ -2,14 +2,14 @@
 //! cover.
 
 use super::values::{percent, quantile};
-use crate::fleet::observations::SAMPLE_INTERVAL;
+use crate::fleet::observations::SAMPLE_INTERVAL_SECONDS;
 use crate::fleet::plan::Plan;
 use crate::fleet::results::{CoverageSample, PhaseResult, Propagation, ServiceResult};
 use crate::fleet::topology::Topology;
 use crate::report::{Table, Value};
 
 /// Services that are shown for each phase.
-const MAX_SERVICES_SHOWN: usize = 3;
+const MAX_SERVICES_PER_PHASE: usize = 3;
 
 /// Returns the table of the time until the callers are notified of an endpoint change.
 pub fn propagation(results: &[PhaseResult]) -> Table {
@@ -30,9 +30,9 @@
     for result in results {
         let changes: Vec<Propagation> =
             result.services.iter().flat_map(|service| &service.propagations).copied().collect();
-        let half = sorted(changes.iter().map(|change| change.half));
-        let percent_99 = sorted(changes.iter().map(|change| change.percent_99));
-        let all = sorted(changes.iter().map(|change| change.all));
+        let half = sorted(changes.iter().map(|change| change.half_notified));
+        let percent_99 = sorted(changes.iter().map(|change| change.percent_99_notified));
+        let all = sorted(changes.iter().map(|change| change.all_notified));
         let at = |times: &[f64], fraction| Value::from(quantile(times, fraction).copied());
         table.row([
             Value::from(result.phase.name()),
@@ -79,16 +79,17 @@
         let worst = (start..samples.len()).max_by_key(|i| (at(*i).unassigned, usize::MAX - i)).unwrap_or(0);
         let end = samples.len().saturating_sub(1);
         let long_unassigned = result.services.iter().map(|service| service.coverage.long_unassigned);
-        let share = |sample: CoverageSample| percent(sample.unassigned as f64, sample.in_service as f64);
+        let unassigned_percent =
+            |sample: CoverageSample| percent(sample.unassigned as f64, sample.in_service as f64);
         table.row([
             Value::from(result.phase.name()),
             Value::from(at(start).in_service),
             Value::from(at(start).unassigned),
-            share(at(start)),
-            Value::from(worst as f64 * SAMPLE_INTERVAL - plan.warm_up),
+            unassigned_percent(at(start)),
+            Value::from(worst as f64 * SAMPLE_INTERVAL_SECONDS - plan.warm_up),
             Value::from(at(worst).in_service),
             Value::from(at(worst).unassigned),
-            share(at(worst)),
+            unassigned_percent(at(worst)),
             Value::from(at(end).unassigned),
             Value::from(long_unassigned.clone().sum::<usize>()),
             Value::from(long_unassigned.filter(|backends| *backends > 0).count()),
@@ -110,7 +111,7 @@
 }
 
 fn last_sample_before_window(plan: &Plan) -> usize {
-    ((plan.warm_up / SAMPLE_INTERVAL).ceil() as usize).saturating_sub(1)
+    ((plan.warm_up / SAMPLE_INTERVAL_SECONDS).ceil() as usize).saturating_sub(1)
 }
 
 /// Returns the table of the services with most backends in no caller's subset at the start of the window.
@@ -123,7 +124,7 @@
         let mut services: Vec<&ServiceResult> =
             result.services.iter().filter(|service| unassigned(service) > 0).collect();
         services.sort_by_key(|service| (usize::MAX - unassigned(service), service.service));
-        for service in services.iter().take(MAX_SERVICES_SHOWN) {
+        for service in services.iter().take(MAX_SERVICES_PER_PHASE) {
             table.row([
                 Value::from(result.phase.name()),
                 Value::from(service.service),
--- a/crates/fleet-bench/src/fleet/tables/roles.rs
+++ b/crates/fleet-bench/src/fleet/tables/roles.rs
@@ -45,9 +45,9 @@
         Value::from(format!("proxy {}", role.name)),
         Value::from(service.machines.len()),
         Value::from(callers),
-        Value::from(observed.state.backends),
-        Value::from(observed.state.subset),
-        Value::from(observed.state.open_requests),
+        Value::from(observed.mean_peak_state.backends),
+        Value::from(observed.mean_peak_state.subset),
+        Value::from(observed.mean_peak_state.open_requests),
     ];
     row.extend(rates(observed.counts.updates, callers as f64 * plan.window));
     Some(row)
@@ -65,7 +65,7 @@
         Value::Absent,
         Value::Absent,
     ];
-    row.extend(rates(result.total().updates, plan.window));
+    row.extend(rates(result.total_counts().updates, plan.window));
     row
 }
 
--- a/crates/fleet-bench/src/fleet/tables/topology.rs
+++ b/crates/fleet-bench/src/fleet/tables/topology.rs
@@ -10,7 +10,7 @@
     let callers: Vec<usize> = called.iter().map(|s| services[*s].callers.len()).collect();
     let sizes: Vec<usize> = services.iter().map(|service| service.machines.len()).collect();
     let max = |counts: &[usize]| counts.iter().copied().max().unwrap_or(0);
-    let calls_per_second: f64 = called.iter().map(|s| services[*s].rate).sum();
+    let calls_per_second: f64 = called.iter().map(|s| services[*s].call_rate).sum();
     let rows = [
         ("services", services.len()),
         ("services called by proxies (the others: by clients only)", called.len()),
--- a/crates/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -10,15 +10,15 @@
 use std::ops::Range;
 
 /// Sigma of the lognormal call rates of proxies of different services.
-const RATE_SIGMA: f64 = 0.5;
+const CALL_RATE_SIGMA: f64 = 0.5;
 /// Sigma of the lognormal factor by which the popularity of a service differs from its size.
 const POPULARITY_SIGMA: f64 = 0.7;
 /// Distribution of the services' mean service times, in seconds.
-const SERVICE_TIME: LognormalTime = LognormalTime { median: 0.010, sigma: 0.7 };
+const SERVICE_TIME_DISTRIBUTION: LognormalTime = LognormalTime { median: 0.010, sigma: 0.7 };
 /// Bounds of a service's mean service time, in seconds.
 const SERVICE_TIME_RANGE: TimeRange = TimeRange { min: 0.001, max: 0.060 };
 /// Absorbs the rounding of a running sum that should end at a whole number.
-const ROUNDING: f64 = 1e-6;
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
 /// The machine of a backend and its proxy.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     /// The index of the service that the proxy calls; `None` in the lowest layer.
     pub callee: Option<usize>,
     /// Calls per second of the proxy.
-    pub rate: f64,
+    pub call_rate: f64,
 }
 
 /// A service.
@@ -47,7 +47,7 @@
     /// Mean service time, in seconds.
     pub service_time: Time,
     /// Calls per second of all callers.
-    pub rate: f64,
+    pub call_rate: f64,
 }
 
 /// The fleet and its call graph.
@@ -80,7 +80,7 @@
             topology.add_service(layer, sizes[size_order[service]], plan, rng);
         }
         topology.draw_call_graph(plan.callees_per_service, rng);
-        topology.set_rates(plan.rate * plan.rate_scale, rng);
+        topology.set_call_rates(plan.rate * plan.rate_scale, rng);
         topology
     }
 
@@ -94,15 +94,16 @@
             zone: ZoneId(((first_zone + i) % plan.zones) as u32),
             rack: rng.random_range(0..plan.racks),
             callee: None,
-            rate: 0.0,
+            call_rate: 0.0,
         }));
-        let service_time = SERVICE_TIME.median * (SERVICE_TIME.sigma * draw_normal(rng)).exp();
+        let service_time =
+            SERVICE_TIME_DISTRIBUTION.median * (SERVICE_TIME_DISTRIBUTION.sigma * draw_normal(rng)).exp();
         self.services.push(Service {
             layer,
             machines: first_machine..self.machines.len(),
             callers: Vec::new(),
             service_time: service_time.clamp(SERVICE_TIME_RANGE.min, SERVICE_TIME_RANGE.max),
-            rate: 0.0,
+            call_rate: 0.0,
         });
     }
 
@@ -115,11 +116,11 @@
             .iter()
             .map(|service| service.machines.len() as f64 * (POPULARITY_SIGMA * draw_normal(rng)).exp())
             .collect();
-        let mut callees = self.draw_one_caller_each(rng);
+        let mut callees = self.draw_one_caller_per_service(rng);
         for (service, callees) in callees.iter_mut().enumerate() {
-            let below = self.services_where(|other| other.layer > self.services[service].layer);
+            let lower_services = self.services_where(|other| other.layer > self.services[service].layer);
             for _ in 0..callees_per_service {
-                let drawn = draw_weighted(&below, &popularity, rng);
+                let drawn = draw_weighted(&lower_services, &popularity, rng);
                 callees.extend(drawn.filter(|callee| !callees.contains(callee)));
             }
             self.assign_callees(service, callees, &popularity, rng);
@@ -128,12 +129,12 @@
 
     /// Draws for each service below the first layer a caller in the layer above, so that the call
     /// graph is as deep as there are layers. Returns the callees of each service.
-    fn draw_one_caller_each(&self, rng: &mut SmallRng) -> Vec<Vec<usize>> {
+    fn draw_one_caller_per_service(&self, rng: &mut SmallRng) -> Vec<Vec<usize>> {
         let mut callees = vec![Vec::new(); self.services.len()];
         for (index, service) in self.services.iter().enumerate() {
-            let above = self.services_where(|other| other.layer + 1 == service.layer);
-            if !above.is_empty() {
-                let caller = above[rng.random_range(0..above.len())];
+            let services_above = self.services_where(|other| other.layer + 1 == service.layer);
+            if !services_above.is_empty() {
+                let caller = services_above[rng.random_range(0..services_above.len())];
                 callees[caller].push(index);
             }
         }
@@ -158,14 +159,15 @@
     }
 
     /// Draws the call rates of the proxies, with a sum of `total` calls per second.
-    fn set_rates(&mut self, total: f64, rng: &mut SmallRng) {
-        let factors: Vec<f64> = self.services.iter().map(|_| (RATE_SIGMA * draw_normal(rng)).exp()).collect();
+    fn set_call_rates(&mut self, total: f64, rng: &mut SmallRng) {
+        let factors: Vec<f64> =
+            self.services.iter().map(|_| (CALL_RATE_SIGMA * draw_normal(rng)).exp()).collect();
         let callers = self.machines.iter().filter(|machine| machine.callee.is_some());
         let sum: f64 = callers.map(|machine| factors[machine.service]).sum();
         for machine in &mut self.machines {
             if let Some(callee) = machine.callee {
-                machine.rate = total * factors[machine.service] / sum;
-                self.services[callee].rate += machine.rate;
+                machine.call_rate = total * factors[machine.service] / sum;
+                self.services[callee].call_rate += machine.call_rate;
             }
         }
     }
@@ -221,7 +223,7 @@
     let size = |rank: usize| {
         cumulative +=
             if sum > 0.0 { to_distribute * weight(rank) / sum } else { to_distribute / services as f64 };
-        let rounded = (cumulative + ROUNDING).floor() as usize;
+        let rounded = (cumulative + ROUNDING_TOLERANCE).floor() as usize;
         2 + rounded - std::mem::replace(&mut distributed, rounded)
     };
     (0..services).map(size).collect()
