--- a/crates/fleet-bench/src/fleet.rs
+++ b/crates/fleet-bench/src/fleet.rs
@@ -1,17 +1,17 @@
 //! A simulated fleet on virtual time: thousands of balancers in one process.
 //!
-//! Each proxy is a [`balancer::Balancer`] on one machine of a service, and calls one lower
-//! service, as the program's proxies have one endpoint list each. Backends, network and discovery are
-//! modelled: service times without queues, random delays of endpoint updates. As nothing that a proxy
-//! sends changes how a backend responds, the callers are simulated one by one, in parallel, and what
-//! they send to the same backend is combined afterwards. The same seed gives the same figures with any
-//! number of threads, processor times and memory aside.
+//! Each proxy is a [`balancer::Balancer`] on one machine of a service, and calls one service of a lower
+//! layer, as the program's proxies have one endpoint list each. Backends, network and discovery are
+//! modelled: service times have no queues, and endpoint updates have random delays. The requests of a
+//! proxy do not change how a backend responds. The callers are therefore simulated independently, in
+//! parallel, and the attempts that they send to the same backend are combined afterwards. The same seed
+//! gives the same figures with any number of threads, except for processor times and memory.
 //!
-//! Always checked: each request gets exactly one final response before its deadline, and an unsafe
-//! request is never sent again once it may have run.
+//! Two rules are checked for every request: the request gets exactly one final response before its
+//! deadline, and an unsafe request is never sent again once it may have run.
 //!
 //! All modules read the plan and the topology. A phase injects its faults, simulates the callers
-//! of each service, and combines their observations into results, which become tables.
+//! of each service, and combines the callers' observations into results, from which the tables are made.
 
 mod caller;
 pub mod checker;
@@ -80,7 +80,7 @@
 }
 
 impl Args {
-    /// Reads the plan of the experiment file, and replaces its values by those of the arguments.
+    /// Reads the plan of the experiment file; values that are given as arguments override the file.
     fn plan(&self) -> Result<Plan, Error> {
         let mut plan: Plan = self.source.read()?;
         if !self.phases.is_empty() {
@@ -121,10 +121,10 @@
         let faults = Faults::new(phase, &plan, &topology);
         let context = PhaseContext { phase, plan: &plan, topology: &topology, faults: &faults, abort_at };
         results.push(phase::simulate(context, &roles)?);
-        tracing::info!("{phase:?}: {:.1} s", phase_started.elapsed().as_secs_f64());
+        tracing::info!("{phase:?}: simulated in {:.1} s of real time", phase_started.elapsed().as_secs_f64());
     }
     report.tables.extend(tables::phase_tables(&plan, &topology, &roles, &results));
-    // Last and in sequence, so that no other thread of this process competes for the caches.
+    // Measured last and on one thread, so that no other thread of this process competes for the caches.
     report.tables.push(processor_time::measure(&plan, &topology, &roles, &results));
     report.notes.extend(tables::notes(&plan));
     report.notes.push(format!(
--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -1,8 +1,8 @@
-//! One caller: the balancer of one proxy, which calls a service on virtual time.
+//! Simulation of one caller: the balancer of one proxy, which calls a service on virtual time.
 //!
 //! A [`Caller`] takes one event after the other from its [`Environment`], passes the event to the
-//! balancer, and carries out the balancer's actions in the environment. Each call must get one final
-//! response before its deadline, which the environment checks throughout.
+//! balancer, and carries out the balancer's actions in the environment. The environment checks that each
+//! call gets one final response before its deadline.
 
 mod accounting;
 mod calls;
@@ -31,10 +31,10 @@
 
 /// Number of events between two checks of the real time.
 const EVENTS_PER_ABORT_CHECK: u32 = 4096;
-/// The use of random numbers for callers in the derivation of seeds.
+/// Number that separates the callers' random streams from the other streams of the run.
 const CALLER_STREAM: u64 = 2;
 
-/// Simulates the caller with this index among the callers of the scenario's service.
+/// Simulates the caller at `index` in the list of callers of the scenario's service.
 ///
 /// # Errors
 ///
@@ -163,7 +163,7 @@
         self.handle(Event::Endpoints(update))
     }
 
-    /// Records an event without endpoints, if the caller is recorded, and handles the event.
+    /// Handles an event without endpoints, and records the event if the caller is recorded.
     fn record_and_handle(&mut self, event: Event<'static>) -> Result<(), Error> {
         self.environment.record_event(event);
         self.handle(event)
@@ -171,7 +171,7 @@
 
     /// Passes an event to the balancer and carries out its actions.
     fn handle(&mut self, event: Event<'_>) -> Result<(), Error> {
-        // Taken, as carrying out an action may pass further events to the balancer.
+        // The buffer is taken out of `self`, as an action may pass further events to the balancer.
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(self.environment.now(), event, &mut actions);
         let result = actions.drain(..).try_for_each(|action| self.perform(&action));
@@ -193,7 +193,8 @@
                 self.environment.schedule_timer(at, token);
                 Ok(())
             }
-            // Requests are written at once, lists are pushed, and idle connections time out.
+            // Not simulated: requests are written at once, endpoint lists are pushed, and idle
+            // connections are closed by a timeout.
             Action::Withdraw { .. }
             | Action::HealthCheck(_)
             | Action::CloseIdleConnections(_)
--- a/crates/fleet-bench/src/fleet/caller/accounting.rs
+++ b/crates/fleet-bench/src/fleet/caller/accounting.rs
@@ -8,7 +8,7 @@
 use crate::fleet::scenario::Scenario;
 use balancer::{Balancer, EndpointUpdate, Event, Settings, Time};
 
-/// Kind of the end of a call without success.
+/// The way in which a call ended without success.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
     /// The balancer rejected the call: the call has not run, and a retry is harmless.
@@ -22,9 +22,9 @@
 pub struct FailedCall {
     /// The call.
     pub call: OpenCall,
-    /// Kind of the end of the call.
+    /// The way in which the call ended.
     pub kind: FailureKind,
-    /// Whether some backend in service was reachable when the call ended.
+    /// Whether at least one backend in service was reachable when the call ended.
     pub backend_reachable: bool,
 }
 
@@ -35,11 +35,11 @@
     pub backend: usize,
     /// The virtual time of the send, in seconds.
     pub sent_at: Time,
-    /// Whether the backend was down or partitioned at that time.
+    /// Whether the backend was down or partitioned when the attempt was sent.
     pub unavailable: bool,
 }
 
-/// The observations of a caller during its simulation.
+/// Collects the observations of a caller during the simulation.
 #[derive(Debug)]
 pub struct Accounting<'a> {
     scenario: &'a Scenario<'a>,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> Accounting<'a> {
-    /// Creates the accounting of a caller without observations.
+    /// Creates the accounting of a caller, without observations yet.
     pub fn new(scenario: &'a Scenario<'a>) -> Self {
         let observations = CallerObservations {
             update_delays: vec![None; scenario.changes.len()],
@@ -67,7 +67,7 @@
         self.observations
     }
 
-    /// Returns whether the window has begun; calls and attempts count from then on.
+    /// Returns whether the window has begun. Calls and attempts before the window are not counted.
     pub fn is_in_window(&self, now: Time) -> bool {
         now >= self.scenario.context.plan.warm_up
     }
@@ -117,12 +117,12 @@
         counts.without_reachable_backend += u64::from(!failed.backend_reachable);
     }
 
-    /// Counts calls that were open when the machine of the caller went down.
+    /// Counts calls that were open when the process of the caller stopped.
     pub fn count_lost_calls(&mut self, calls: u64) {
         self.observations.counts.calls.lost += calls;
     }
 
-    /// Counts an attempt of a caller that has this endpoint list.
+    /// Counts an attempt; `list` is the endpoint list of the caller when the attempt is sent.
     pub fn count_attempt(&mut self, attempt: SentAttempt, list: &EndpointList) {
         let SentAttempt { backend, sent_at: now, unavailable } = attempt;
         self.record_load(backend, now);
@@ -140,8 +140,8 @@
         counts.past_deemed_grace += u64::from(past_deemed_grace);
     }
 
-    /// Records the time of an attempt to a backend in slow start, and counts an attempt in the second
-    /// half of the warm-up.
+    /// Records the time of the attempt if the backend is in slow start, and counts the attempt if it is in
+    /// the second half of the warm-up.
     fn record_load(&mut self, backend: usize, now: Time) {
         let context = &self.scenario.context;
         let plan = context.plan;
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Returns whether the grace period of a backend out of service is over, where the caller counts as
-    /// notified after `deemed_notified`.
+    /// Returns whether a backend is out of service and its grace period is over, if the caller counts as
+    /// notified `deemed_notified` seconds after the publication.
     fn is_past_deemed_grace(&self, backend: usize, now: Time) -> bool {
         let context = &self.scenario.context;
         let outage = context.faults.outages[self.scenario.service().machines.start + backend];
@@ -167,7 +167,7 @@
             .is_some_and(|since| !restarted && now > since + plan.deemed_notified + plan.drain_grace)
     }
 
-    /// Counts a message of discovery.
+    /// Counts a message from discovery.
     pub fn count_message(&mut self, now: Time, message: &Message) {
         if !self.is_in_window(now) || now > self.scenario.context.plan.phase_end() {
             return;
--- a/crates/fleet-bench/src/fleet/caller/calls.rs
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that a caller makes, from the draw of a call to its final response.
+//! The calls that a caller makes, from the start of a call to its final response.
 
 use super::accounting::{FailedCall, FailureKind, SentAttempt};
 use super::endpoint_list::EndpointList;
@@ -13,7 +13,7 @@
 use crate::fleet::settings::CLASS_EFFECTS;
 use balancer::{AttemptId, BackendId, EndedAttempt, Outcome, Request, RequestId, Time};
 
-/// An attempt that the balancer asks for.
+/// An attempt that the balancer sends.
 #[derive(Clone, Copy, Debug)]
 pub struct NewAttempt {
     /// The call.
@@ -27,7 +27,8 @@
 /// The calls of one caller, with the network on which the attempts are sent.
 pub struct Calls<'a> {
     plan: &'a Plan,
-    /// The index of the first machine of the service; backends are counted from this machine.
+    /// The index of the service's first machine, which is subtracted from a machine's index to get the
+    /// index of its backend in the service.
     first_machine: usize,
     workload: Workload<'a>,
     requests: Requests,
@@ -35,7 +36,7 @@
 }
 
 impl<'a> Calls<'a> {
-    /// Creates the state of a machine's proxy that has made no calls.
+    /// Creates the state of a machine's proxy before its first call.
     pub fn new(scenario: &'a Scenario<'a>, machine: usize) -> Self {
         let context = &scenario.context;
         Self {
@@ -52,14 +53,15 @@
         &self.network
     }
 
-    /// Schedules the next call, unless the process stops or the phase ends before.
+    /// Schedules the next call, unless the process stops making calls or the phase ends first.
     pub fn schedule_next(&self, run: &mut RunState<'_>) {
         if let Some(at) = self.workload.draw_next_call_time(run.queue.now(), &mut run.rng) {
             run.queue.schedule(at, CallerEvent::Call);
         }
     }
 
-    /// Draws whether the proxy makes the call that is due, and opens the call.
+    /// Opens the call that is due; returns `None` if the proxy skips the call because its backend is
+    /// warming up.
     pub fn open_due_call(&mut self, run: &mut RunState<'_>) -> Option<Request> {
         let now = run.queue.now();
         if !self.workload.draw_call_is_made(now, &mut run.rng) {
@@ -76,7 +78,7 @@
         Some(Request { id, class, timeout, ..Request::default() })
     }
 
-    /// Sends an attempt of a caller that has this endpoint list, and schedules the end of the attempt.
+    /// Sends an attempt to a backend of the caller's endpoint list, and schedules the end of the attempt.
     ///
     /// # Errors
     ///
@@ -101,8 +103,8 @@
         Ok(())
     }
 
-    /// Ends an attempt, and its call with it if the attempt succeeded. Returns `None` if the attempt
-    /// had been cancelled before.
+    /// Ends an attempt, and also its call if the attempt succeeded. Returns `None` if the attempt had
+    /// already ended.
     ///
     /// # Errors
     ///
@@ -158,7 +160,7 @@
         Ok(())
     }
 
-    /// Drops all open calls, attempts and connections, as their process has stopped.
+    /// Drops all open calls, attempts and connections because their process has stopped.
     pub fn drop_all(&mut self, run: &mut RunState<'_>) {
         run.accounting.count_lost_calls(self.requests.drop_all());
         self.network.close_connections();
@@ -168,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the violation by a call that got no final response.
+    /// Returns the violation of the lowest-numbered call that got no final response.
     pub fn verify_none_open(&self) -> Result<(), Violation> {
         self.requests.verify_none_open()
     }
--- a/crates/fleet-bench/src/fleet/caller/deliveries.rs
+++ b/crates/fleet-bench/src/fleet/caller/deliveries.rs
@@ -10,12 +10,12 @@
 pub struct Delivery {
     /// Time of the arrival, in seconds.
     pub at: Time,
-    /// The caller has all changes before this index from then on.
+    /// Index after the last change in the message. The caller has all earlier changes after the arrival.
     pub end_of_changes: usize,
 }
 
-/// Draws when the changes reach a machine of this zone. A change never overtakes an earlier one;
-/// changes that arrive at the same time are one message.
+/// Draws the times at which the changes reach a machine of this zone. A change never arrives before an
+/// earlier change. Changes that arrive at the same time form one message.
 pub fn draw_deliveries(
     scenario: &Scenario<'_>,
     network: &Network<'_>,
--- a/crates/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -1,5 +1,5 @@
-//! The process of a caller and its endpoint list: the messages of discovery that the process receives,
-//! and the list that an agent on the machine keeps while the process is down.
+//! The process of a caller and its endpoint list: the messages that the process receives from discovery,
+//! and the list that an agent on the machine stores while the process is down.
 
 use super::endpoint_list::EndpointList;
 use super::message::Message;
@@ -13,14 +13,14 @@
 /// Response time of the discovery agent on the proxy's own machine, in seconds.
 const AGENT_RESPONSE_SECONDS: Time = 0.005;
 
-/// The caller's process.
+/// The state of the caller's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
-    /// There is no process.
+    /// No process is running.
     Down,
-    /// A new process with the cached endpoint list, without a response of discovery.
+    /// A new process has the cached endpoint list, and discovery has not responded yet.
     Starting,
-    /// Discovery has responded.
+    /// The process has received a response from discovery.
     Running,
 }
 
@@ -37,15 +37,15 @@
 #[derive(Debug)]
 pub struct DiscoveryClient<'a> {
     scenario: &'a Scenario<'a>,
-    /// Whether the agent on the machine is up throughout the phase: the agent outlives a restart of the
-    /// proxy's process, but not a crash of the machine.
+    /// Whether the agent on the machine is up throughout the phase. The agent keeps running during a
+    /// restart of the proxy's process, but not during a crash of the machine.
     agent_is_up: bool,
     process: ProcessState,
     endpoints: EndpointList,
 }
 
 impl<'a> DiscoveryClient<'a> {
-    /// Creates a running process that has the list before the first change.
+    /// Creates a running process that has the endpoint list before the first change.
     pub fn new(scenario: &'a Scenario<'a>, machine: usize) -> Self {
         let context = &scenario.context;
         let first_machine = scenario.service().machines.start;
@@ -64,28 +64,28 @@
         &self.endpoints
     }
 
-    /// Returns whether there is a process.
+    /// Returns whether a process is starting or running.
     pub fn is_up(&self) -> bool {
         self.process != ProcessState::Down
     }
 
-    /// Delivers the changes before the index `end`. Returns `None` if the process does not receive the
-    /// changes, or has the changes from a complete list.
+    /// Delivers the changes before the index `end`. Returns `None` if the process is down or starting,
+    /// or already has the changes from a complete list.
     pub fn deliver(&mut self, end: usize, now: Time) -> Option<ReceivedChanges> {
         let changes = self.endpoints.applied_count()..end;
         if changes.is_empty() {
             return None;
         }
         let running = self.process == ProcessState::Running;
-        // The agent keeps the changes for a process that is restarted.
+        // The agent stores the changes while the process restarts.
         if running || self.agent_is_up {
             self.endpoints.apply(&self.scenario.changes, end, now);
         }
         running.then(|| ReceivedChanges { changes: changes.clone(), message: self.message(changes) })
     }
 
-    /// Returns the message with some changes that have been applied; after a long partition, when the
-    /// complete list is shorter, the message has the complete list.
+    /// Returns a message with changes that have been applied. If there are more changes than backends, as
+    /// after a long partition, the message has the complete list instead.
     fn message(&self, changes: Range<usize>) -> Message {
         if changes.len() > self.endpoints.len() {
             return Message::Full(self.endpoints.listed());
@@ -104,8 +104,8 @@
         self.process = ProcessState::Starting;
     }
 
-    /// Draws the time of the first response of discovery to the process; the agent responds if the agent
-    /// is up.
+    /// Draws the time at which a new process gets its first response from discovery, in seconds. The
+    /// response comes from the agent on the machine if the agent is up.
     pub fn draw_first_response(
         &self,
         now: Time,
@@ -121,8 +121,8 @@
         context.faults.discovery_reachable_from(zone, now, context.topology) + delay
     }
 
-    /// Delivers the first response after a start: the list of the agent, or everything that discovery
-    /// has published.
+    /// Delivers the first response after a start: the list of the agent if the agent is up, otherwise the
+    /// list with all changes that discovery has published.
     pub fn deliver_first_response(&mut self, now: Time) -> Message {
         self.process = ProcessState::Running;
         if !self.agent_is_up {
--- a/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
+++ b/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
@@ -6,9 +6,10 @@
 /// The endpoint list after the changes that the caller has received.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// The index of the first machine of the service; backends are counted from this machine.
+    /// The index of the service's first machine, which is subtracted from a machine's index to get the
+    /// index of its backend in the service.
     first_machine: usize,
-    /// The endpoint of each backend, removed ones included.
+    /// The endpoint of each backend, including removed backends.
     endpoints: Vec<Endpoint>,
     /// For each backend, the time at which the caller was notified that the backend is not in service, in
     /// seconds.
@@ -29,7 +30,7 @@
         self.applied_count
     }
 
-    /// Returns the number of backends, removed ones included.
+    /// Returns the number of backends, including removed backends.
     pub fn len(&self) -> usize {
         self.endpoints.len()
     }
@@ -45,7 +46,7 @@
         self.endpoints.iter().filter(|e| e.status != Status::Removed).cloned().collect()
     }
 
-    /// Applies the changes before the index `end` that have not been applied.
+    /// Applies the changes before the index `end` that have not been applied yet.
     pub fn apply(&mut self, changes: &[EndpointChange], end: usize, now: Time) {
         for change in &changes[self.applied_count..end] {
             let backend = change.machine - self.first_machine;
--- a/crates/fleet-bench/src/fleet/caller/environment.rs
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -1,7 +1,8 @@
 //! The environment of one caller's balancer: the virtual clock, the calls that the proxy makes, the
 //! network, discovery, and the observations of all of these.
 //!
-//! A method that leads to an event of the balancer returns the event, which the caller passes on.
+//! A method that produces an event for the balancer returns the event; [`super::Caller`] passes the event
+//! to the balancer.
 
 use super::accounting::{Accounting, FailureKind};
 use super::calls::{Calls, NewAttempt};
@@ -23,7 +24,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Everything that surrounds the balancer of one caller.
+/// The simulated environment of one caller's balancer.
 pub struct Environment<'a> {
     scenario: &'a Scenario<'a>,
     /// The plan of the scenario.
@@ -40,7 +41,7 @@
 }
 
 impl<'a> Environment<'a> {
-    /// Creates the environment of a caller, whose random draws depend on the seed alone.
+    /// Creates the environment of a caller. The seed alone determines the random numbers.
     pub fn new(scenario: &'a Scenario<'a>, index: usize, seed: u64) -> Self {
         let context = &scenario.context;
         let machine = scenario.service().callers[index];
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Returns the scenario that the caller is part of.
+    /// Returns the scenario in which the caller is simulated.
     pub fn scenario(&self) -> &'a Scenario<'a> {
         self.scenario
     }
@@ -80,7 +81,8 @@
         self.run.accounting.start_recording(balancer_seed, self.settings());
     }
 
-    /// Schedules the events that are known from the beginning, and returns the first endpoint list.
+    /// Schedules the events whose times are fixed at the start: endpoint changes, samples, and the stop and
+    /// start of the process. Returns the first endpoint list.
     pub fn schedule_initial_events(&mut self) -> Message {
         let deliveries =
             deliveries::draw_deliveries(self.scenario, self.calls.network(), self.zone, &mut self.run.rng);
@@ -109,7 +111,7 @@
         self.run.queue.schedule(at, CallerEvent::Timer(token));
     }
 
-    /// Returns the observations, after a check that no call is open.
+    /// Checks that no call is open, and returns the observations.
     ///
     /// # Errors
     ///
@@ -133,17 +135,18 @@
 
 /// Calls and their attempts.
 impl Environment<'_> {
-    /// Schedules the next call, unless the process stops or the phase ends before.
+    /// Schedules the next call, unless the process stops making calls or the phase ends first.
     pub fn schedule_next_call(&mut self) {
         self.calls.schedule_next(&mut self.run);
     }
 
-    /// Draws whether the proxy makes the call that is due, and opens the call.
+    /// Opens the call that is due; returns `None` if the proxy skips the call because its backend is
+    /// warming up.
     pub fn open_due_call(&mut self) -> Option<Request> {
         self.calls.open_due_call(&mut self.run)
     }
 
-    /// Sends an attempt of a call, and schedules the end of the attempt.
+    /// Sends an attempt of a call and schedules the end of the attempt.
     ///
     /// # Errors
     ///
@@ -153,8 +156,8 @@
         result.map_err(|violation| self.rule_error(violation))
     }
 
-    /// Ends an attempt, and its call with it if the attempt succeeded. Returns `None` if the attempt
-    /// had been cancelled before.
+    /// Ends an attempt, and also its call if the attempt succeeded. Returns `None` if the attempt had
+    /// already ended.
     ///
     /// # Errors
     ///
@@ -181,8 +184,8 @@
 
 /// Endpoint updates, and the stop and start of the process.
 impl Environment<'_> {
-    /// Receives the endpoint changes before the index `end`. Returns `None` if the process does not
-    /// receive the changes, or has them already.
+    /// Receives the endpoint changes before the index `end`. Returns `None` if the process is down or
+    /// starting, or already has the changes.
     pub fn receive_changes(&mut self, end: usize) -> Option<Message> {
         let now = self.run.queue.now();
         let update = self.discovery.deliver(end, now)?;
@@ -192,14 +195,14 @@
         Some(update.message)
     }
 
-    /// Stops the process; its open calls are lost.
+    /// Stops the process and counts its open calls as lost.
     pub fn stop(&mut self) {
         self.calls.drop_all(&mut self.run);
         self.discovery.stop();
         self.run.queue.end_incarnation();
     }
 
-    /// Draws the seed of the balancer of a new process.
+    /// Draws the seed for the balancer of a new process, and records the start of the process.
     pub fn draw_process_seed(&mut self) -> u64 {
         let seed = self.run.rng.random();
         self.run.accounting.record_start(self.run.queue.now(), seed);
@@ -225,9 +228,9 @@
     }
 }
 
-/// Observations.
+/// Recording of observations.
 impl Environment<'_> {
-    /// Counts a message of discovery.
+    /// Counts a message from discovery.
     pub fn count_message(&mut self, message: &Message) {
         self.run.accounting.count_message(self.run.queue.now(), message);
     }
--- a/crates/fleet-bench/src/fleet/caller/event_queue.rs
+++ b/crates/fleet-bench/src/fleet/caller/event_queue.rs
@@ -1,10 +1,10 @@
-//! The virtual clock of a caller: its pending events in the order of their times.
+//! The virtual clock of a caller and its pending events, in the order of their times.
 
 use balancer::{AttemptId, Outcome, Time, TimerToken};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Something that happens to a caller.
+/// An event in the simulation of a caller.
 #[derive(Clone, Copy, Debug)]
 pub enum CallerEvent {
     /// The proxy makes a call.
@@ -26,7 +26,7 @@
 }
 
 impl CallerEvent {
-    /// Returns whether the event concerns only the process that scheduled the event.
+    /// Returns whether the event is dropped if the process that scheduled the event has ended.
     fn belongs_to_process(self) -> bool {
         match self {
             Self::Call | Self::Timer(_) | Self::AttemptEnded(..) | Self::FirstEndpointList => true,
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct PendingEvent {
     at: Time,
-    /// Position in the order of scheduling, by which events of the same time are ordered.
+    /// Position in the order of scheduling, which is the order of events with the same time.
     sequence: u64,
     /// The number of the process that scheduled the event, from 0.
     incarnation: u32,
@@ -80,7 +80,7 @@
         self.now
     }
 
-    /// Schedules an event, at the earliest now.
+    /// Schedules an event at `at`, or now if `at` has passed.
     pub fn schedule(&mut self, at: Time, event: CallerEvent) {
         self.last_sequence += 1;
         self.pending.push(Reverse(PendingEvent {
@@ -91,14 +91,14 @@
         }));
     }
 
-    /// Ends the current process: the pending calls, timers and attempts of the process are dropped when
-    /// due.
+    /// Ends the current process. The pending calls, timers and attempts of the process are dropped when
+    /// they are due.
     pub fn end_incarnation(&mut self) {
         self.incarnation += 1;
     }
 
-    /// Advances the time to the next event and takes the event. The time also advances to the dropped
-    /// events of a process that has ended.
+    /// Removes and returns the next event, and advances the time to the event. Dropped events of a process
+    /// that has ended also advance the time.
     pub fn next(&mut self) -> Option<CallerEvent> {
         while let Some(Reverse(pending)) = self.pending.pop() {
             self.now = pending.at;
--- a/crates/fleet-bench/src/fleet/caller/message.rs
+++ b/crates/fleet-bench/src/fleet/caller/message.rs
@@ -1,8 +1,8 @@
-//! Messages of discovery to a caller, and their size on the wire.
+//! Messages from discovery to a caller, and their size on the wire.
 
 use balancer::{Endpoint, EndpointUpdate, Status};
 
-/// A message of discovery.
+/// A message from discovery.
 #[derive(Clone, Debug)]
 pub enum Message {
     /// Changed endpoints.
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the size of the message in bytes, as discovery writes the message.
+    /// Returns the size in bytes of the HTTP response in which discovery sends the message.
     pub fn bytes(&self) -> usize {
         let reset = matches!(self, Self::Full(_));
         let head = format!(
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -1,7 +1,7 @@
 //! The simulated network and backends, as seen from one caller.
 //!
-//! Backends respond after an exponential service time without queues, so that callers do not affect one
-//! another.
+//! Backends respond after an exponentially distributed service time and have no queues, so that callers
+//! do not affect one another.
 
 use crate::fleet::faults::{Outage, OutageKind};
 use crate::fleet::random;
@@ -35,8 +35,8 @@
     scenario: &'a Scenario<'a>,
     /// The zone of the machine.
     zone: ZoneId,
-    /// Time of the last response of each backend, in seconds; `None` without a connection. Until the idle
-    /// timeout after a response, the connection to the backend is open.
+    /// Time of the last response of each backend, in seconds; `None` without a connection. The connection
+    /// to a backend is open from a response until the idle timeout has passed.
     last_response: Vec<Option<Time>>,
 }
 
@@ -52,20 +52,20 @@
         self.last_response[backend] = Some(now);
     }
 
-    /// Closes all connections, as the process has ended.
+    /// Closes all connections because the process has ended.
     pub fn close_connections(&mut self) {
         self.last_response.fill(None);
     }
 
-    /// Draws how long an endpoint update takes from a zone to this machine.
+    /// Draws the delay of an endpoint update from a zone to this machine, in seconds.
     pub fn draw_update_delay(&self, from_zone: ZoneId, rng: &mut SmallRng) -> Time {
         let delay = self.scenario.context.plan.update_delay;
         let discovery_delay = delay.median * (delay.sigma * random::draw_normal(rng)).exp();
         discovery_delay + 0.5 * self.round_trip(from_zone)
     }
 
-    /// Returns whether some backend is in service and reachable, regardless of the endpoint list of the
-    /// caller.
+    /// Returns whether at least one backend is in service and reachable, regardless of the endpoint list
+    /// of the caller.
     pub fn any_backend_reachable(&self, now: Time) -> bool {
         let context = &self.scenario.context;
         self.scenario.service().machines.clone().any(|machine| {
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Draws how an attempt to a backend ends.
+    /// Draws the end of an attempt to a backend.
     pub fn draw_attempt_end(&self, backend: usize, times: AttemptTimes, rng: &mut SmallRng) -> AttemptEnd {
         let context = &self.scenario.context;
         let service = self.scenario.service();
@@ -98,8 +98,8 @@
         end
     }
 
-    /// Returns the end of an attempt without a response: the attempt times out on an open connection, and
-    /// a new connection is not established.
+    /// Returns the end of an attempt to a crashed or partitioned backend: on an open connection the
+    /// attempt times out; otherwise the connection is not established.
     fn end_at_unreachable_backend(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
         let plan = self.scenario.context.plan;
         let connected =
--- a/crates/fleet-bench/src/fleet/caller/requests.rs
+++ b/crates/fleet-bench/src/fleet/caller/requests.rs
@@ -13,7 +13,7 @@
     pub sent_at: Time,
 }
 
-/// The open calls and the attempts in flight. An attempt may outlive its call.
+/// The open calls and the attempts in flight. An attempt may end later than its call.
 #[derive(Debug, Default)]
 pub struct Requests {
     checker: Checker,
@@ -42,12 +42,12 @@
         Ok(id)
     }
 
-    /// Takes an attempt that ends; returns `None` if the attempt has ended before.
+    /// Removes and returns an attempt that ends; returns `None` if the attempt has already ended.
     pub fn end_attempt(&mut self, id: AttemptId) -> Option<AttemptInFlight> {
         self.in_flight.remove(&id)
     }
 
-    /// Records that the only attempt in flight of a call could not connect.
+    /// Records that the only attempt in flight of a call could not connect and therefore never ran.
     pub fn attempt_never_ran(&mut self, request: RequestId) {
         self.checker.attempt_never_ran(request);
     }
@@ -66,7 +66,7 @@
         self.checker.is_open(request)
     }
 
-    /// Drops all calls and attempts. Returns the number of open calls that are counted in the report.
+    /// Drops all calls and attempts. Returns the number of dropped calls that the report counts.
     pub fn drop_all(&mut self) -> u64 {
         self.in_flight.clear();
         self.checker.drop_open() as u64
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the violation by a call that got no final response.
+    /// Returns the violation of the lowest-numbered call that got no final response.
     pub fn verify_none_open(&self) -> Result<(), Violation> {
         self.checker.verify_none_open()
     }
--- a/crates/fleet-bench/src/fleet/caller/workload.rs
+++ b/crates/fleet-bench/src/fleet/caller/workload.rs
@@ -1,4 +1,4 @@
-//! The calls that a caller makes: when, and of which class.
+//! Draws the times and classes of the calls that a caller makes.
 
 use crate::fleet::faults::{Outage, OutageKind};
 use crate::fleet::plan::Plan;
@@ -9,8 +9,8 @@
 use rand::Rng;
 use rand::rngs::SmallRng;
 
-/// Time before its stop in which a process makes no calls, in seconds: the process could not report the
-/// outcomes.
+/// Time before the stop of a restarted process in which the process makes no calls, in seconds. The
+/// process would stop before it could report the outcome of such a call.
 const FINAL_SECONDS_WITHOUT_CALLS: Time = 1.0;
 
 /// The calls of one machine's proxy.
@@ -34,13 +34,15 @@
         }
     }
 
-    /// Draws the time of the next call; none if the process stops or the phase ends before.
+    /// Draws the time of the next call; returns `None` if the process stops making calls or the phase ends
+    /// first.
     pub fn draw_next_call_time(&self, now: Time, rng: &mut SmallRng) -> Option<Time> {
         let at = now + random::draw_exponential(rng) / self.call_rate;
         (at < self.plan.phase_end().min(self.calls_end_at(now))).then_some(at)
     }
 
-    /// Returns the time at which the process that runs at a time stops making calls, in seconds.
+    /// Returns the time at which the process that is running at `now` stops making calls, in seconds;
+    /// infinity if the process does not stop.
     fn calls_end_at(&self, now: Time) -> Time {
         match self.outage.filter(|outage| now < outage.down_at) {
             Some(outage) if outage.kind == OutageKind::Restart => {
@@ -51,16 +53,16 @@
         }
     }
 
-    /// Draws whether a call is made: a backend that is warming up gets fewer requests, and its proxy
-    /// makes fewer calls.
+    /// Draws whether a call is made: a backend that is warming up gets fewer requests, so its proxy makes
+    /// fewer calls.
     pub fn draw_call_is_made(&self, now: Time, rng: &mut SmallRng) -> bool {
         rng.random::<f64>() < self.call_fraction(now)
     }
 
-    /// Returns the fraction of its calls that the proxy makes at a time.
+    /// Returns the fraction of its normal calls that the proxy makes at a time.
     fn call_fraction(&self, now: Time) -> f64 {
         match self.outage.filter(|outage| outage.up_at <= now) {
-            // Callers of its backend have not been notified yet.
+            // The callers of the machine's backend have not been notified of its start yet.
             Some(outage) if now < outage.up_at + self.plan.update_delay.median => 0.0,
             Some(outage) => self.plan.capacity_fraction(now - outage.up_at),
             None => 1.0,
--- a/crates/fleet-bench/src/fleet/checker.rs
+++ b/crates/fleet-bench/src/fleet/checker.rs
@@ -1,18 +1,18 @@
-//! Checks the rules that hold for every call: exactly one final response before the deadline, and no
-//! second attempt of an unsafe call that may have run.
+//! Checks the rules for every call: the call gets exactly one final response before its deadline, and an
+//! unsafe call that may have run is not sent again.
 
 use balancer::{AttemptNumber, Effect, RequestId, Time};
 use std::collections::HashMap;
 use thiserror::Error;
 
-/// Tolerance of the deadline for rounding, in seconds.
+/// Tolerance for rounding errors when a time is compared with a deadline, in seconds.
 const DEADLINE_TOLERANCE_SECONDS: Time = 1e-6;
 
 /// A rule that a call violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Rule {
-    /// The call got a second final response, or was never open.
-    #[error("got a final response without being open")]
+    /// The call got a final response after an earlier one, or was never opened.
+    #[error("got a final response while it was not open")]
     NotOpen,
     /// The call got its final response after its deadline.
     #[error("got its final response after the deadline")]
@@ -21,13 +21,13 @@
     #[error("got no final response")]
     Unanswered,
     /// An attempt was sent after the final response of the call.
-    #[error("was sent without being open")]
+    #[error("was sent after its final response")]
     SentAfterResponse,
     /// The call is unsafe, may have run, and was sent again.
-    #[error("is unsafe and was sent again")]
+    #[error("is unsafe, may have run, and was sent again")]
     UnsafeRetry,
     /// An attempt was sent to a backend that is in no endpoint list.
-    #[error("was sent to an unlisted backend")]
+    #[error("was sent to a backend that is in no endpoint list")]
     Unlisted,
 }
 
@@ -40,7 +40,7 @@
     pub call: RequestId,
 }
 
-/// A call that is made.
+/// The parameters of a call that a proxy makes.
 #[derive(Clone, Copy, Debug)]
 pub struct NewCall {
     /// The effect of a repetition of the call.
@@ -80,20 +80,20 @@
     ///
     /// # Errors
     ///
-    /// Returns the violation if the call is not open, or is unsafe and may have run.
+    /// Returns the violation if the call is not open, or if the call is unsafe and may have run.
     pub fn send(&mut self, call: RequestId) -> Result<AttemptNumber, Violation> {
         let open = self.open.get_mut(&call).ok_or(Violation { rule: Rule::SentAfterResponse, call })?;
         if open.effect == Effect::Unsafe && open.may_have_run {
             return Err(Violation { rule: Rule::UnsafeRetry, call });
         }
-        // Assumed until the outcome shows otherwise.
+        // The call counts as run until the outcome of the attempt shows that the attempt never ran.
         open.may_have_run = true;
         let number = AttemptNumber(open.attempts);
         open.attempts += 1;
         Ok(number)
     }
 
-    /// Records that the only attempt in flight could not connect, and so never ran.
+    /// Records that the only attempt in flight could not connect and therefore never ran.
     pub fn attempt_never_ran(&mut self, call: RequestId) {
         if let Some(open) = self.open.get_mut(&call) {
             open.may_have_run = false;
@@ -119,7 +119,7 @@
         self.open.contains_key(&call)
     }
 
-    /// Drops all open calls, as the machine of the proxy is down. Returns the number of dropped calls
+    /// Drops all open calls because the proxy's process has stopped. Returns the number of dropped calls
     /// that the report counts.
     pub fn drop_open(&mut self) -> usize {
         self.open.drain().filter(|(_, open)| open.counted).count()
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the violation by a call that got no final response.
+    /// Returns the violation of the lowest-numbered call that got no final response.
     pub fn verify_none_open(&self) -> Result<(), Violation> {
         match self.open.keys().min() {
             Some(&call) => Err(Violation { rule: Rule::Unanswered, call }),
--- a/crates/fleet-bench/src/fleet/counts.rs
+++ b/crates/fleet-bench/src/fleet/counts.rs
@@ -1,15 +1,15 @@
-//! Counts of the callers from the start of the window on. `+=` adds the counts of several callers.
+//! Counts of calls, attempts and endpoint messages in the window. `+=` adds the counts of another caller.
 
 use std::ops::AddAssign;
 
-/// Counts of one or of several callers.
+/// Counts of one caller or of several callers together.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counts {
-    /// Calls.
+    /// Counts of the calls.
     pub calls: CallCounts,
-    /// Attempts.
+    /// Counts of the attempts.
     pub attempts: AttemptCounts,
-    /// Messages of the endpoint list.
+    /// Counts of the messages from discovery.
     pub updates: UpdateCounts,
 }
 
@@ -21,22 +21,22 @@
     }
 }
 
-/// Calls by their result.
+/// Numbers of calls by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CallCounts {
-    /// Calls made.
+    /// Calls that were made.
     pub total: u64,
-    /// Calls with a response of a backend.
+    /// Calls that got a response of a backend.
     pub succeeded: u64,
-    /// Calls that were rejected: not run, harmless to retry.
+    /// Calls that were rejected: such a call has not run, and a retry is harmless.
     pub rejected: u64,
     /// Calls that failed.
     pub failed: u64,
-    /// Calls that ended without any attempt, for lack of a backend to select.
+    /// Calls that ended without any attempt, as no backend could be selected.
     pub without_attempt: u64,
     /// Calls that were rejected or failed while no backend in service was reachable.
     pub without_reachable_backend: u64,
-    /// Calls without a final response when the machine of their own proxy went down.
+    /// Calls that were open when the process of their own proxy stopped.
     pub lost: u64,
 }
 
@@ -52,18 +52,19 @@
     }
 }
 
-/// Attempts by the state of their backend.
+/// Numbers of attempts by the state of the backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptCounts {
-    /// Attempts sent.
+    /// Attempts that were sent.
     pub total: u64,
-    /// Attempts to a backend that was down by then, or on the other side of a partition.
+    /// Attempts to a backend that was down, or on the other side of a partition, when the attempt was
+    /// sent.
     pub to_unavailable: u64,
-    /// Attempts later than the grace period after the proxy was notified that the backend is draining or
-    /// removed.
+    /// Attempts that were sent after the grace period, which begins when the proxy is notified that the
+    /// backend is draining or removed.
     pub past_grace: u64,
-    /// Attempts later than the grace period, where a proxy also counts as notified after
-    /// `deemed_notified`.
+    /// Attempts that were sent after the grace period, where a proxy counts as notified at the latest
+    /// `deemed_notified` seconds after the publication.
     pub past_deemed_grace: u64,
 }
 
@@ -76,12 +77,12 @@
     }
 }
 
-/// Messages of the endpoint list that were received.
+/// Messages with endpoints that were received from discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct UpdateCounts {
-    /// Messages.
+    /// Number of messages.
     pub messages: u64,
-    /// Endpoints in the messages.
+    /// Number of endpoints in the messages.
     pub endpoints: u64,
     /// Size of the messages, in bytes.
     pub bytes: u64,
--- a/crates/fleet-bench/src/fleet/coverage.rs
+++ b/crates/fleet-bench/src/fleet/coverage.rs
@@ -5,7 +5,7 @@
 use super::scenario::Scenario;
 use balancer::Time;
 
-/// A backend in no subset for this many samples in a row is unassigned for long.
+/// Number of consecutive samples in no subset after which a backend counts as unassigned for long.
 pub const LONG_UNASSIGNED_SAMPLES: u32 = 10;
 
 /// Measures the coverage of the backends of a service at each sample.
@@ -29,11 +29,12 @@
         }
         samples.push(sample);
     }
-    let long_unassigned = long_unassigned.into_iter().filter(|long| *long).count();
+    let long_unassigned = long_unassigned.into_iter().filter(|unassigned| *unassigned).count();
     Coverage { samples, long_unassigned }
 }
 
-/// Returns whether each backend is in some subset at each sample: a run of all backends for each sample.
+/// Returns for each sample and backend whether the backend is in the subset of at least one caller. The
+/// entries of all backends for one sample are adjacent.
 fn assigned_backends(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<bool> {
     let backends = scenario.service().machines.len();
     let samples = (scenario.context.plan.phase_end() / SAMPLE_INTERVAL_SECONDS).floor() as usize + 1;
@@ -44,8 +45,8 @@
     assigned
 }
 
-/// Returns whether the backend of a machine is in service at a time, and callers count as notified of its
-/// start.
+/// Returns whether the backend of a machine is in service at a time and the callers count as notified of
+/// the backend's start.
 fn is_in_service_and_notified(scenario: &Scenario<'_>, machine: usize, at: Time) -> bool {
     let context = &scenario.context;
     let just_started = context.faults.outages[machine]
--- a/crates/fleet-bench/src/fleet/faults.rs
+++ b/crates/fleet-bench/src/fleet/faults.rs
@@ -13,8 +13,8 @@
 pub enum OutageKind {
     /// The machine drains, stops and starts again: connections are reset, new connections are refused.
     Restart,
-    /// The machine stops without a notification: requests in flight get no response, connection attempts
-    /// time out.
+    /// The machine fails without a notification: requests in flight get no response, and connection
+    /// attempts time out.
     Crash,
 }
 
@@ -23,7 +23,7 @@
 pub struct Outage {
     /// Kind of the outage.
     pub kind: OutageKind,
-    /// Time at which the drain begins, in seconds; the same as `down` without a drain.
+    /// Time at which the drain begins, in seconds; equal to `down_at` without a drain.
     pub drain_at: Time,
     /// Time at which the machine goes down, in seconds.
     pub down_at: Time,
@@ -67,7 +67,7 @@
 }
 
 impl Partition {
-    /// Returns the first time from `at` on at which the partition is not in force, in seconds.
+    /// Returns the end of the partition if the partition is active at `at`, otherwise `at`, in seconds.
     fn inactive_from(&self, at: Time) -> Time {
         if self.is_active(at) { self.end } else { at }
     }
@@ -82,8 +82,8 @@
 pub struct EndpointChange {
     /// Time at which the change happened or was detected, in seconds.
     pub occurred_at: Time,
-    /// Time at which discovery publishes the change, in seconds: the end of a partition in between, if
-    /// there is one.
+    /// Time at which discovery publishes the change, in seconds. A change in a partitioned region is
+    /// published when the partition ends.
     pub published_at: Time,
     /// The machine that changed.
     pub machine: usize,
@@ -142,7 +142,8 @@
         faults
     }
 
-    /// Takes down `count` machines at random times within `period` from the window's start.
+    /// Draws outages of `count` machines without an outage, at random times during the first `period`
+    /// seconds of the window.
     fn draw_outages(
         &mut self,
         kind: OutageKind,
@@ -160,14 +161,14 @@
         }
     }
 
-    /// Crashes the selected machines at the window's start.
+    /// Crashes the selected machines at the start of the window.
     fn crash_machines(&mut self, selected: impl Fn(usize) -> bool, plan: &Plan, rng: &mut SmallRng) {
         for (machine, outage) in self.outages.iter_mut().enumerate() {
             *outage = selected(machine).then(|| Outage::new(OutageKind::Crash, plan.warm_up, plan, rng));
         }
     }
 
-    /// Restarts half of the machines of the largest and of the most called service.
+    /// Restarts half of the machines of the largest service and of the service with the most callers.
     fn restart_half_of_machines(&mut self, plan: &Plan, topology: &Topology, rng: &mut SmallRng) {
         let services = &topology.services;
         let called = topology.called_services();
@@ -184,8 +185,7 @@
         }
     }
 
-    /// Returns the changes of a service's endpoint list in the order in which discovery publishes the
-    /// changes.
+    /// Returns the changes of a service's endpoint list, in the order of publication by discovery.
     #[must_use]
     pub fn changes(&self, service: usize, topology: &Topology) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
@@ -231,7 +231,7 @@
         })
     }
 
-    /// Returns the first time from `at` on at which a zone can reach discovery, in seconds.
+    /// Returns the earliest time, not before `at`, at which a zone can reach discovery, in seconds.
     #[must_use]
     pub fn discovery_reachable_from(&self, zone: ZoneId, at: Time, topology: &Topology) -> Time {
         match self.partition {
--- a/crates/fleet-bench/src/fleet/memory.rs
+++ b/crates/fleet-bench/src/fleet/memory.rs
@@ -1,4 +1,4 @@
-//! The memory of a balancer's state.
+//! Measures the memory of a balancer's state.
 
 use super::plan::Plan;
 use super::roles::Roles;
@@ -8,11 +8,11 @@
 use crate::report::{Table, Value};
 use balancer::{Balancer, EndpointUpdate, Event};
 
-/// Number of balancers of a role that exist at once while the memory is measured.
+/// Number of balancers of each role that are created for the measurement.
 const BALANCERS_PER_ROLE: usize = 200;
 
-/// Measures the memory of a balancer of each role that has received its endpoint list: the growth of the
-/// process by many balancers, divided by their number.
+/// Measures the memory of a balancer of each role after the balancer has received its endpoint list: the
+/// growth of the process by many balancers, divided by the number of balancers.
 ///
 /// # Errors
 ///
@@ -20,7 +20,8 @@
 pub fn measure(plan: &Plan, topology: &Topology, roles: &Roles) -> Result<Table, Error> {
     let columns = ["role", "backends listed", "callers", "bytes per balancer"];
     let mut table = Table::new("Memory of one balancer with its endpoint list, before any call", &columns);
-    // Kept to the end: the next role would reuse memory that is freed, and show no growth.
+    // The balancers are kept until the end: if their memory were freed, the next role would reuse it and
+    // show no growth.
     let mut balancers = Vec::new();
     for role in roles.iter() {
         let Some(service) = topology.services.get(role.service) else {
--- a/crates/fleet-bench/src/fleet/observations.rs
+++ b/crates/fleet-bench/src/fleet/observations.rs
@@ -10,16 +10,16 @@
 /// Sizes of a balancer's state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StateSize {
-    /// Backends in the endpoint table.
+    /// Number of backends in the endpoint table.
     pub backends: usize,
-    /// Backends in the subset.
+    /// Number of backends in the subset.
     pub subset: usize,
-    /// Open requests.
+    /// Number of open requests.
     pub open_requests: usize,
 }
 
 impl StateSize {
-    /// Returns the maximum of each size.
+    /// Returns the maximum of each size in the two states.
     #[must_use]
     pub fn max(self, other: Self) -> Self {
         Self {
@@ -51,9 +51,9 @@
 /// The observations of one caller.
 #[derive(Debug, Default)]
 pub struct CallerObservations {
-    /// Counts of the window.
+    /// Counts in the window.
     pub counts: Counts,
-    /// For each endpoint change, the time from the change until this caller was notified, in seconds;
+    /// For each endpoint change, the time from the change until this caller was notified, in seconds.
     /// `None` if the caller was not running all the time in between.
     pub update_delays: Vec<Option<f32>>,
     /// The members of the balancer's subset at each sample.
@@ -62,7 +62,7 @@
     pub slow_start_attempts: Vec<SlowStartAttempt>,
     /// The number of attempts to each backend in the second half of the warm-up.
     pub warm_up_attempts: Vec<u32>,
-    /// The maxima over all samples.
+    /// The maximum of each state size over all samples.
     pub peak_state: StateSize,
     /// The events of the balancer, if the caller is recorded.
     pub recording: Option<Recording>,
--- a/crates/fleet-bench/src/fleet/parameters.rs
+++ b/crates/fleet-bench/src/fleet/parameters.rs
@@ -1,5 +1,5 @@
-//! Composite parameters of a [`super::plan::Plan`]. Experiment files and reports write each of them as an
-//! array of numbers; the conversions keep that form.
+//! Composite parameters of a [`super::plan::Plan`]. Experiment files and reports write each parameter as
+//! an array of numbers; the `From` implementations convert from and to this array.
 
 use serde::{Deserialize, Serialize};
 
@@ -27,13 +27,13 @@
     }
 }
 
-/// Fractions of the calls by the effect of a repetition, from 0 to 1; the remaining calls are unsafe.
+/// Fractions of the calls by the effect of a repetition, from 0 to 1. The remaining calls are unsafe.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 2]", into = "[f64; 2]")]
 pub struct EffectFractions {
-    /// Calls that are safe to repeat.
+    /// Fraction of the calls that are safe to repeat.
     pub safe: f64,
-    /// Calls whose repetition is dropped within a window.
+    /// Fraction of the calls whose repetition is dropped within a time window.
     pub idempotent: f64,
 }
 
--- a/crates/fleet-bench/src/fleet/phase.rs
+++ b/crates/fleet-bench/src/fleet/phase.rs
@@ -1,4 +1,4 @@
-//! Simulates a phase: all callers of all services in parallel, and the results of all callers together.
+//! Simulates a phase: runs all callers of all services in parallel and combines their observations.
 
 use super::caller;
 use super::counts::Counts;
@@ -19,13 +19,15 @@
 /// Returns the first error of a caller.
 pub fn simulate(context: PhaseContext<'_>, roles: &Roles) -> Result<PhaseResult, Error> {
     let PhaseContext { phase, topology, faults, .. } = context;
-    let mut order = faults.simulated_services.clone();
-    // The longest work first, so that at the end no thread works alone.
-    order.sort_by(|a, b| {
+    let mut services_by_call_rate = faults.simulated_services.clone();
+    // Services with many calls take longest and come first. If they came last, a single thread would
+    // still be working after the others have finished.
+    services_by_call_rate.sort_by(|a, b| {
         topology.services[*b].call_rate.total_cmp(&topology.services[*a].call_rate).then(a.cmp(b))
     });
     let simulate = |service: &usize| simulate_service(&Scenario::new(context, *service), roles);
-    let services = order.par_iter().with_max_len(1).map(simulate).collect::<Result<_, _>>()?;
+    let services =
+        services_by_call_rate.par_iter().with_max_len(1).map(simulate).collect::<Result<_, _>>()?;
     Ok(PhaseResult { phase, services, outages: count_outages(faults) })
 }
 
@@ -62,8 +64,8 @@
     })
 }
 
-/// Returns the indices of the callers that are recorded: some callers without an outage, if the service
-/// has a role.
+/// Returns the indices of the callers that are recorded: up to `recorded_callers` callers without an
+/// outage if the service has a role, otherwise none.
 fn recorded_callers(scenario: &Scenario<'_>, roles: &Roles) -> Vec<usize> {
     let PhaseContext { plan, faults, .. } = scenario.context;
     if !roles.contains(scenario.service_index) {
--- a/crates/fleet-bench/src/fleet/plan.rs
+++ b/crates/fleet-bench/src/fleet/plan.rs
@@ -10,7 +10,7 @@
 const MAX_TIME_SECONDS: f64 = 3_600.0;
 /// Maximum number of calls that a run may simulate.
 const MAX_SIMULATED_CALLS: f64 = 1e11;
-/// Maximum number of calls, over all phases, of the callers that are recorded for one role. Each
+/// Maximum number of calls that the recorded callers of one role may make in all phases together. Each
 /// recorded call takes half a kilobyte of memory.
 const MAX_RECORDED_CALLS: f64 = 2e6;
 
@@ -38,26 +38,27 @@
     }
 }
 
-/// The plan of a run. Times are in seconds; the struct is flat as the experiment file is. The aliases
-/// are the names of earlier experiment files and reports.
+/// The plan of a run. Times are in seconds. The struct is flat, as the experiment file is. The aliases
+/// accept the parameter names of earlier experiment files and reports.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Phases, each simulated by itself.
+    /// Phases to simulate, each independently of the others.
     pub phases: Vec<Phase>,
     /// Number of backends, each with its proxy; at least two for each service.
     pub backends: usize,
     /// Number of services.
     pub services: usize,
-    /// Exponent with which the size of a service falls with its rank, 0 to 5.
+    /// Exponent of the power law by which the size of a service falls with its rank, 0 to 5.
     #[serde(alias = "skew")]
     pub size_skew: f64,
     /// Number of layers of services: the depth of the call graph.
     pub depth: usize,
-    /// Maximum number of lower services that a service calls, in addition to the services that have no
-    /// other caller; each proxy of the service calls one of these.
+    /// Maximum number of services of lower layers that a service calls, in addition to the services
+    /// that are assigned to it so that every service below the first layer has a caller. Each proxy of
+    /// the service calls one of these services.
     #[serde(alias = "calls")]
     pub callees_per_service: usize,
     /// Number of regions, each with the same number of zones.
@@ -82,7 +83,7 @@
     pub cross_zone_cost: f64,
     /// Time that is simulated before the first fault.
     pub warm_up: f64,
-    /// Time that is simulated after the warm-up; the report counts this time.
+    /// Time that is simulated after the warm-up; the report covers this time.
     pub window: f64,
     /// Number of graceful restarts in a day.
     pub restarts: usize,
@@ -94,33 +95,34 @@
     pub restart: f64,
     /// Time for which a failed machine, rack or zone is down.
     pub outage: f64,
-    /// Time until discovery detects that a machine has failed.
+    /// Time from the failure of a machine until discovery detects the failure.
     #[serde(alias = "detection")]
     pub detection_time: TimeRange,
-    /// Time for which the region is partitioned; stands for an hour.
+    /// Time for which the region is partitioned; represents an hour.
     #[serde(alias = "cut")]
     pub partition_duration: f64,
     /// Time that an endpoint update takes from discovery to a proxy, without the delay of the network.
     #[serde(alias = "news")]
     pub update_delay: LognormalTime,
-    /// Time after which an endpoint update counts as notified, received or not.
+    /// Time after the publication of an endpoint update at which a proxy counts as notified, even if the
+    /// proxy has not received the update.
     #[serde(alias = "deemed_told")]
     pub deemed_notified: f64,
-    /// Grace period after the notification that a backend is draining or removed: no new request may be
-    /// sent to the backend later.
+    /// Grace period after the notification that a backend is draining or removed. No new request may be
+    /// sent to the backend after the grace period.
     pub drain_grace: f64,
     /// Timeout of a connection attempt.
     pub connect_timeout: f64,
-    /// Time after its last response at which an idle connection is closed.
+    /// Time from the last response on an idle connection until the connection is closed.
     #[serde(alias = "idle_close")]
     pub idle_timeout: f64,
     /// Capacity of a backend that has just started, as a fraction of its full capacity, 0.001 to 1.
     #[serde(alias = "cold_share")]
     pub slow_start_initial_capacity: f64,
-    /// Time from its start until a backend has its full capacity.
+    /// Time from the start of a backend until the backend has its full capacity.
     #[serde(alias = "cold")]
     pub slow_start_duration: f64,
-    /// Multiple of its current capacity at which a backend fails by overload.
+    /// Load at which a backend fails by overload, as a multiple of its current capacity.
     #[serde(alias = "fall_multiple")]
     pub overload_multiple: f64,
     /// Time for which an overload must last until the backend fails.
@@ -182,8 +184,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Range`] or [`Error::Argument`] for the first parameter out of its bounds, under
-    /// the name of the parameter in the experiment file.
+    /// Returns [`Error::Range`] or [`Error::Argument`] for the first parameter that is out of its bounds.
+    /// The error has the name of the parameter in the experiment file.
     pub fn validate(&self) -> Result<(), Error> {
         self.validate_topology()?;
         self.validate_calls()?;
@@ -253,8 +255,8 @@
         times.into_iter().try_for_each(|(name, time)| check_bounds(name, &(0.0..=MAX_TIME_SECONDS), time))
     }
 
-    /// Returns the capacity of a backend as a fraction of its full capacity, `age` seconds after its
-    /// start.
+    /// Returns the capacity of a backend, `age` seconds after its start, as a fraction of its full
+    /// capacity.
     #[must_use]
     pub fn capacity_fraction(&self, age: f64) -> f64 {
         let progress = if self.slow_start_duration > 0.0 {
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -1,5 +1,5 @@
-//! Measures the processor time of a balancer, by a replay of the recorded events of some callers of each
-//! role without the simulation.
+//! Measures the processor time of a balancer by replaying, without the simulation, the recorded events of
+//! some callers of each role.
 
 use super::plan::Plan;
 use super::recording::{Record, RecordedEvent, Recording};
@@ -18,11 +18,11 @@
 /// Processor time in `Balancer::handle`.
 #[derive(Clone, Copy, Debug, Default)]
 struct ProcessorTime {
-    /// Events of calls.
+    /// Processor time of the events of calls.
     calls: EventTimes,
-    /// Endpoint updates.
+    /// Processor time of the endpoint updates.
     updates: EventTimes,
-    /// The slowest endpoint update, in seconds.
+    /// Processor time of the slowest endpoint update, in seconds.
     slowest_update_seconds: f64,
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl EventTimes {
-    fn add(&mut self, time: f64, events: usize) {
-        self.total_seconds += time;
+    fn add(&mut self, seconds: f64, events: usize) {
+        self.total_seconds += seconds;
         self.count += events;
     }
 
@@ -51,7 +51,7 @@
     recording: &'a Recording,
     records: Peekable<Iter<'a, Record>>,
     balancer: Balancer,
-    /// Actions of the balancer, which are dropped after each event.
+    /// Actions of the balancer, which are discarded after each event.
     actions: Vec<Action>,
     measure_from: Time,
 }
@@ -67,34 +67,34 @@
         }
     }
 
-    /// Replays all records and adds up the processor time: events of calls in batches, each endpoint
-    /// update separately.
-    fn run(mut self, time: &mut ProcessorTime) {
+    /// Replays all records and adds the processor times from `measure_from` on to `times`. Events of calls
+    /// are measured in batches, endpoint updates one by one.
+    fn run(mut self, times: &mut ProcessorTime) {
         while let Some(Record { at, event }) = self.records.next() {
             match event {
                 RecordedEvent::Start { seed } => {
                     self.balancer = Balancer::new(*at, *seed, self.recording.settings.clone());
                 }
-                RecordedEvent::Changes(list) => self.replay_update(*at, EndpointUpdate::Changes(list), time),
-                RecordedEvent::Full(list) => self.replay_update(*at, EndpointUpdate::Full(list), time),
-                RecordedEvent::Cached(list) => self.replay_update(*at, EndpointUpdate::Cached(list), time),
-                RecordedEvent::WithoutEndpoints(event) => self.replay_batch(*at, *event, time),
+                RecordedEvent::Changes(list) => self.replay_update(*at, EndpointUpdate::Changes(list), times),
+                RecordedEvent::Full(list) => self.replay_update(*at, EndpointUpdate::Full(list), times),
+                RecordedEvent::Cached(list) => self.replay_update(*at, EndpointUpdate::Cached(list), times),
+                RecordedEvent::WithoutEndpoints(event) => self.replay_batch(*at, *event, times),
             }
         }
     }
 
-    fn replay_update(&mut self, at: Time, update: EndpointUpdate<'_>, time: &mut ProcessorTime) {
+    fn replay_update(&mut self, at: Time, update: EndpointUpdate<'_>, times: &mut ProcessorTime) {
         let started = thread_time();
         self.handle(at, Event::Endpoints(update));
         if at >= self.measure_from {
             let elapsed = thread_time() - started;
-            time.updates.add(elapsed, 1);
-            time.slowest_update_seconds = time.slowest_update_seconds.max(elapsed);
+            times.updates.add(elapsed, 1);
+            times.slowest_update_seconds = times.slowest_update_seconds.max(elapsed);
         }
     }
 
     /// Replays an event of a call and the events of calls that follow, as one batch.
-    fn replay_batch(&mut self, at: Time, event: Event<'static>, time: &mut ProcessorTime) {
+    fn replay_batch(&mut self, at: Time, event: Event<'static>, times: &mut ProcessorTime) {
         let started = thread_time();
         self.handle(at, event);
         let mut events = 1;
@@ -106,7 +106,7 @@
             events += 1;
         }
         if at >= self.measure_from {
-            time.calls.add(thread_time() - started, events);
+            times.calls.add(thread_time() - started, events);
         }
     }
 
@@ -136,9 +136,9 @@
             let Some(service_result) = result.service(role.service) else {
                 continue;
             };
-            let mut time = ProcessorTime::default();
+            let mut times = ProcessorTime::default();
             for recording in &service_result.recordings {
-                Replay::new(recording, plan.warm_up).run(&mut time);
+                Replay::new(recording, plan.warm_up).run(&mut times);
             }
             let callers = service_result.recordings.len() as f64;
             let percent_of_core = |seconds: f64| 100.0 * seconds / (callers * plan.window);
@@ -147,12 +147,12 @@
                 Value::from(result.phase.name()),
                 Value::from(role.name),
                 Value::from(service.call_rate / service.callers.len() as f64),
-                Value::from(time.calls.mean_microseconds()),
-                Value::from(percent_of_core(time.calls.total_seconds)),
-                Value::from(percent_of_core(time.calls.total_seconds) / plan.rate_scale),
-                Value::from(time.updates.mean_microseconds()),
-                Value::from(1e6 * time.slowest_update_seconds),
-                Value::from(percent_of_core(time.updates.total_seconds)),
+                Value::from(times.calls.mean_microseconds()),
+                Value::from(percent_of_core(times.calls.total_seconds)),
+                Value::from(percent_of_core(times.calls.total_seconds) / plan.rate_scale),
+                Value::from(times.updates.mean_microseconds()),
+                Value::from(1e6 * times.slowest_update_seconds),
+                Value::from(percent_of_core(times.updates.total_seconds)),
             ]);
         }
     }
--- a/crates/fleet-bench/src/fleet/recording.rs
+++ b/crates/fleet-bench/src/fleet/recording.rs
@@ -11,7 +11,7 @@
     pub event: RecordedEvent,
 }
 
-/// An event of a balancer, which owns its endpoints.
+/// An event of a balancer, with its own copy of the endpoints.
 #[derive(Debug)]
 pub enum RecordedEvent {
     /// An event without endpoints.
--- a/crates/fleet-bench/src/fleet/results.rs
+++ b/crates/fleet-bench/src/fleet/results.rs
@@ -11,7 +11,7 @@
     pub phase: Phase,
     /// The services that were simulated, the most called first.
     pub services: Vec<ServiceResult>,
-    /// The machines that had an outage.
+    /// Numbers of machines that had an outage.
     pub outages: OutageCounts,
 }
 
@@ -33,12 +33,12 @@
     }
 }
 
-/// Machines by the kind of their outage.
+/// Numbers of machines by the kind of their outage.
 #[derive(Clone, Copy, Debug)]
 pub struct OutageCounts {
-    /// Machines that were restarted.
+    /// Number of machines that were restarted.
     pub restarted: usize,
-    /// Machines that crashed.
+    /// Number of machines that crashed.
     pub crashed: usize,
 }
 
@@ -49,20 +49,20 @@
     pub service: usize,
     /// The sum of the counts of all callers.
     pub counts: Counts,
-    /// The propagation of each endpoint change that some caller was notified of.
+    /// The propagation of each endpoint change that reached at least one caller.
     pub propagations: Vec<Propagation>,
     /// The coverage of the backends by the subsets of the callers.
     pub coverage: Coverage,
     /// The peak load of each backend that warmed up.
     pub slow_starts: Vec<SlowStartPeak>,
-    /// The state of a caller's balancer.
+    /// The peak state of a caller's balancer, as a mean over the callers.
     pub mean_peak_state: MeanPeakState,
     /// The recordings of some callers, if the service has a role.
     pub recordings: Vec<Recording>,
 }
 
-/// Time from the occurrence of an endpoint change until callers that were running all the time
-/// were notified, in seconds.
+/// Time from an endpoint change until callers were notified, in seconds. Only callers that were running
+/// all the time in between are included.
 #[derive(Clone, Copy, Debug)]
 pub struct Propagation {
     /// Time until half of the callers were notified.
@@ -78,15 +78,16 @@
 pub struct Coverage {
     /// Coverage at each sample.
     pub samples: Vec<CoverageSample>,
-    /// Backends that were at some time in service and in no subset for several samples in a row.
+    /// Number of backends that were in service and in no subset for at least `LONG_UNASSIGNED_SAMPLES`
+    /// consecutive samples.
     pub long_unassigned: usize,
 }
 
-/// The backends in service at a sample, without started backends of which callers need not be notified
-/// yet.
+/// Numbers of backends in service at a sample. A backend that has just started is excluded until the
+/// callers count as notified of its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CoverageSample {
-    /// Number of all backends in service.
+    /// Number of backends in service.
     pub in_service: usize,
     /// Number of backends in service that are in no caller's subset.
     pub unassigned: usize,
@@ -104,17 +105,17 @@
 pub struct SlowStartPeak {
     /// Attempts of all callers within one overload window.
     pub attempts: usize,
-    /// The attempts divided by the budget of that window.
+    /// The number of attempts divided by the budget of the window.
     pub budget_ratio: f64,
 }
 
-/// Sizes of a balancer's state: means over the callers of the peak of each.
+/// Peak sizes of a balancer's state, as means over the callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MeanPeakState {
-    /// Backends in the endpoint table.
+    /// Number of backends in the endpoint table.
     pub backends: f64,
-    /// Backends in the subset.
+    /// Number of backends in the subset.
     pub subset: f64,
-    /// Open requests.
+    /// Number of open requests.
     pub open_requests: f64,
 }
--- a/crates/fleet-bench/src/fleet/roles.rs
+++ b/crates/fleet-bench/src/fleet/roles.rs
@@ -1,13 +1,13 @@
-//! Roles: services whose callers are examined more closely.
+//! Roles: services whose callers are measured in more detail.
 
 use super::topology::Topology;
 
-/// A service that stands for a kind of services.
+/// A service that represents a kind of services in the report.
 #[derive(Clone, Copy, Debug)]
 pub struct Role {
     /// Name of the role in reports.
     pub name: &'static str,
-    /// The service.
+    /// The index of the service.
     pub service: usize,
 }
 
@@ -31,12 +31,12 @@
         ])
     }
 
-    /// Returns the roles in the order of reports.
+    /// Returns the roles in the order of the report.
     pub fn iter(&self) -> impl Iterator<Item = Role> + '_ {
         self.0.iter().copied()
     }
 
-    /// Returns whether a service has a role.
+    /// Returns whether a service has at least one role.
     #[must_use]
     pub fn contains(&self, service: usize) -> bool {
         self.iter().any(|role| role.service == service)
--- a/crates/fleet-bench/src/fleet/scenario.rs
+++ b/crates/fleet-bench/src/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! State that all callers of one service have in common in one phase.
+//! State that all callers of one service share in one phase.
 
 use super::faults::{EndpointChange, Faults};
 use super::plan::{Phase, Plan};
@@ -21,14 +21,14 @@
     pub abort_at: Instant,
 }
 
-/// A phase for the callers of one service.
+/// The scenario of one phase for the callers of one service.
 #[derive(Debug)]
 pub struct Scenario<'a> {
     /// The phase.
     pub context: PhaseContext<'a>,
     /// The index of the called service.
     pub service_index: usize,
-    /// The changes of the service's endpoint list, in the order in which discovery publishes the changes.
+    /// The changes of the service's endpoint list, in the order of publication by discovery.
     pub changes: Vec<EndpointChange>,
     /// For each backend of the service, the time at which discovery first publishes that the backend is
     /// not in service, in seconds.
--- a/crates/fleet-bench/src/fleet/settings.rs
+++ b/crates/fleet-bench/src/fleet/settings.rs
@@ -10,11 +10,11 @@
 pub const IDEMPOTENT_CLASS: ClassIndex = ClassIndex(1);
 /// The class of unsafe requests.
 pub const UNSAFE_CLASS: ClassIndex = ClassIndex(2);
-/// The effect of each request class, by the class's index.
+/// The effect of each request class, indexed by the class.
 pub const CLASS_EFFECTS: [Effect; 3] =
     [Effect::Safe, Effect::Idempotent { group: IdempotencyGroup::All, window: 5.0 }, Effect::Unsafe];
 
-/// Returns the settings of the caller with this index among the callers of a service.
+/// Returns the settings of the caller at `caller_index` in the list of callers of a service.
 #[must_use]
 pub fn caller_settings(plan: &Plan, topology: &Topology, service: usize, caller_index: usize) -> Settings {
     let callers = &topology.services[service].callers;
--- a/crates/fleet-bench/src/fleet/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/slow_start.rs
@@ -1,5 +1,4 @@
-//! Measures the load of all callers together on a backend in slow start, against the budget of the
-//! backend.
+//! Compares the combined load of all callers on a backend in slow start with the budget of the backend.
 
 use super::observations::CallerObservations;
 use super::plan::Plan;
@@ -7,7 +6,7 @@
 use super::scenario::Scenario;
 use balancer::Time;
 
-/// Measures the peak load of each backend whose slow start lies completely within the phase.
+/// Measures the peak load of each backend whose slow start ends within the phase.
 pub fn measure(scenario: &Scenario<'_>, callers: &[CallerObservations]) -> Vec<SlowStartPeak> {
     let plan = scenario.context.plan;
     let mut peaks = Vec::new();
@@ -33,29 +32,29 @@
     sent
 }
 
-/// Returns the full capacity of a backend in attempts per second: the load before the outage, which the
-/// backend has borne, or the even fraction of the service's calls if that is more, as all backends of a
-/// service have the same size.
+/// Returns the full capacity of a backend, in attempts per second: the load that the backend handled
+/// before the outage, or the service's call rate divided by the number of backends, if that is more. All
+/// backends of a service have the same size.
 fn full_capacity(scenario: &Scenario<'_>, callers: &[CallerObservations], backend: usize) -> f64 {
     let service = scenario.service();
     let even_call_rate = service.call_rate / service.machines.len() as f64;
     let attempts: u32 = callers.iter().map(|caller| caller.warm_up_attempts[backend]).sum();
-    // Counted in the second half of the warm-up.
+    // `warm_up_attempts` covers the second half of the warm-up.
     even_call_rate.max(f64::from(attempts) / (0.5 * scenario.context.plan.warm_up))
 }
 
-/// Finds the overload window with the highest load in relation to its budget.
+/// Returns the load in the overload window with the highest ratio of the attempts to the budget.
 fn peak_load(plan: &Plan, started_at: Time, capacity: f64, sent: &[Time]) -> SlowStartPeak {
     let mut peak = SlowStartPeak::default();
     let mut first_in_window = 0;
-    for (last, at) in sent.iter().enumerate() {
+    for (last_in_window, at) in sent.iter().enumerate() {
         let window_start = at - plan.overload_window;
         first_in_window += sent[first_in_window..].iter().take_while(|time| **time <= window_start).count();
-        let attempts = last + 1 - first_in_window;
-        // Capacity grows linearly: its mean is that in the middle of the window.
+        let attempts = last_in_window + 1 - first_in_window;
+        // The capacity grows linearly, so its mean over the window is its value in the middle.
         let fraction = plan.capacity_fraction(at - 0.5 * plan.overload_window - started_at);
-        let overload = plan.overload_multiple * capacity * fraction * plan.overload_window;
-        let budget_ratio = attempts as f64 / budget(overload);
+        let overload_attempts = plan.overload_multiple * capacity * fraction * plan.overload_window;
+        let budget_ratio = attempts as f64 / attempt_budget(overload_attempts);
         if budget_ratio > peak.budget_ratio {
             peak = SlowStartPeak { attempts, budget_ratio };
         }
@@ -63,9 +62,9 @@
     peak
 }
 
-/// Returns the number of attempts that a backend may get in a window, if `overload` attempts make the
-/// backend fail: with two standard deviations of random arrivals and a margin of two attempts for small
-/// numbers.
-fn budget(overload: f64) -> f64 {
-    overload + 2.0 * overload.sqrt() + 2.0
+/// Returns the number of attempts that a backend may get in a window, if `overload_attempts`
+/// attempts make the backend fail. Two standard deviations are added for random arrivals, and two attempts
+/// as a margin for small numbers.
+fn attempt_budget(overload_attempts: f64) -> f64 {
+    overload_attempts + 2.0 * overload_attempts.sqrt() + 2.0
 }
--- a/crates/fleet-bench/src/fleet/tables.rs
+++ b/crates/fleet-bench/src/fleet/tables.rs
@@ -1,4 +1,4 @@
-//! The results of a run as tables.
+//! The tables with the results of a run.
 
 mod calls;
 mod endpoint_lists;
@@ -17,7 +17,7 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Returns all tables of the phases.
+/// Returns all tables with results of the phases.
 pub fn phase_tables(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Vec<Table> {
     vec![
         simulated_services_table(topology, results),
@@ -47,7 +47,7 @@
     table
 }
 
-/// Returns the notes that a reader of the tables needs.
+/// Returns notes that explain the tables.
 pub fn notes(plan: &Plan) -> Vec<String> {
     vec![
         "Each proxy calls exactly one of the services that its own service calls, as the proxies of the \
--- a/crates/fleet-bench/src/fleet/tables/calls.rs
+++ b/crates/fleet-bench/src/fleet/tables/calls.rs
@@ -1,4 +1,4 @@
-//! Table of the calls and attempts.
+//! Table of the calls and attempts in the window.
 
 use super::values::percent;
 use crate::fleet::results::PhaseResult;
--- a/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
+++ b/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
@@ -8,7 +8,7 @@
 use crate::fleet::topology::Topology;
 use crate::report::{Table, Value};
 
-/// Services that are shown for each phase.
+/// Maximum number of services in the table for each phase.
 const MAX_SERVICES_PER_PHASE: usize = 3;
 
 /// Returns the table of the time until the callers are notified of an endpoint change.
@@ -75,7 +75,7 @@
         let samples = coverage_samples(result);
         let at = |index: usize| samples.get(index).copied().unwrap_or_default();
         let start = last_sample_before_window(plan);
-        // The first of the samples with most unassigned backends.
+        // If several samples have the most unassigned backends, the earliest is selected.
         let worst = (start..samples.len()).max_by_key(|i| (at(*i).unassigned, usize::MAX - i)).unwrap_or(0);
         let end = samples.len().saturating_sub(1);
         let long_unassigned = result.services.iter().map(|service| service.coverage.long_unassigned);
@@ -114,7 +114,8 @@
     ((plan.warm_up / SAMPLE_INTERVAL_SECONDS).ceil() as usize).saturating_sub(1)
 }
 
-/// Returns the table of the services with most backends in no caller's subset at the start of the window.
+/// Returns the table of the services with the most backends in no caller's subset at the start of the
+/// window.
 pub fn least_covered(plan: &Plan, topology: &Topology, results: &[PhaseResult]) -> Table {
     let columns = ["phase", "service", "backends in service", "in no subset", "callers"];
     let mut table = Table::new("Services with most backends in no subset, at the start", &columns);
--- a/crates/fleet-bench/src/fleet/tables/roles.rs
+++ b/crates/fleet-bench/src/fleet/tables/roles.rs
@@ -1,4 +1,4 @@
-//! Table of the state of the callers of each role, and of the messages of the endpoint list.
+//! Table of the state of the callers of each role, and of the messages with endpoints from discovery.
 
 use crate::fleet::counts::UpdateCounts;
 use crate::fleet::plan::Plan;
@@ -7,7 +7,8 @@
 use crate::fleet::topology::Topology;
 use crate::report::{Table, Value};
 
-/// Returns the table of the state and the messages of each role, and of discovery.
+/// Returns the table of the peak state and the received messages of each role, and of the messages that
+/// discovery sends.
 pub fn table(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
@@ -35,7 +36,8 @@
     table
 }
 
-/// Returns the means over the callers of a role; `None` if the service of the role was not simulated.
+/// Returns the row with the means over the callers of a role; `None` if the service of the role was not
+/// simulated.
 fn role_row(plan: &Plan, topology: &Topology, role: Role, result: &PhaseResult) -> Option<Vec<Value>> {
     let observed = result.service(role.service)?;
     let service = topology.services.get(role.service)?;
@@ -53,7 +55,7 @@
     Some(row)
 }
 
-/// Returns the row of the messages of discovery to all callers.
+/// Returns the row of the messages that discovery sends to all callers.
 fn discovery_row(plan: &Plan, topology: &Topology, result: &PhaseResult) -> Vec<Value> {
     let services = || result.services.iter().map(|service| &topology.services[service.service]);
     let mut row = vec![
@@ -69,7 +71,7 @@
     row
 }
 
-/// Messages, endpoints and bytes per second.
+/// Returns the messages, endpoints and bytes per second.
 fn rates(updates: UpdateCounts, seconds: f64) -> [Value; 3] {
     [updates.messages, updates.endpoints, updates.bytes].map(|count| Value::from(count as f64 / seconds))
 }
--- a/crates/fleet-bench/src/fleet/tables/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/tables/slow_start.rs
@@ -1,10 +1,10 @@
-//! Table of the load on backends that were warming up.
+//! Table of the load on backends in slow start.
 
 use super::values::quantile;
 use crate::fleet::results::{PhaseResult, SlowStartPeak};
 use crate::report::{Table, Value};
 
-/// Returns the table of the peak load on backends in slow start, against their budget.
+/// Returns the table of the peak load on backends in slow start, relative to their budget.
 pub fn table(results: &[PhaseResult]) -> Table {
     let columns = [
         "phase",
--- a/crates/fleet-bench/src/fleet/tables/topology.rs
+++ b/crates/fleet-bench/src/fleet/tables/topology.rs
@@ -1,9 +1,9 @@
-//! Table of the fleet.
+//! Table of the fleet's topology.
 
 use crate::fleet::topology::Topology;
 use crate::report::{Table, Value};
 
-/// Returns the table of the sizes of the fleet.
+/// Returns the table of the numbers of services, layers, backends, proxies and calls of the fleet.
 pub fn table(topology: &Topology) -> Table {
     let services = &topology.services;
     let called = topology.called_services();
--- a/crates/fleet-bench/src/fleet/tables/values.rs
+++ b/crates/fleet-bench/src/fleet/tables/values.rs
@@ -1,4 +1,4 @@
-//! Values that several tables show.
+//! Functions for values that appear in several tables.
 
 use crate::report::Value;
 
@@ -7,8 +7,8 @@
     Value::from(if total > 0.0 { 100.0 * part / total } else { 0.0 })
 }
 
-/// Returns the element at a fraction of a sorted slice, from 0 for the first to 1 for the last; `None` if
-/// the slice is empty.
+/// Returns the quantile of a sorted slice at a fraction from 0 (first element) to 1 (last element);
+/// `None` if the slice is empty.
 pub fn quantile<T>(sorted: &[T], fraction: f64) -> Option<&T> {
     let index = (fraction * sorted.len() as f64) as usize;
     sorted.get(index.min(sorted.len().saturating_sub(1)))
--- a/crates/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: services of uneven size, the machines of their backends, and the call graph.
+//! The simulated fleet: services of different sizes, the machines of their backends, and the call graph.
 
 use super::parameters::{LognormalTime, TimeRange};
 use super::plan::Plan;
@@ -9,21 +9,21 @@
 use rand::{Rng, SeedableRng};
 use std::ops::Range;
 
-/// Sigma of the lognormal call rates of proxies of different services.
+/// Sigma of the lognormal distribution of the services' call rates per proxy.
 const CALL_RATE_SIGMA: f64 = 0.5;
-/// Sigma of the lognormal factor by which the popularity of a service differs from its size.
+/// Sigma of the lognormal factor between the size of a service and its popularity.
 const POPULARITY_SIGMA: f64 = 0.7;
 /// Distribution of the services' mean service times, in seconds.
 const SERVICE_TIME_DISTRIBUTION: LognormalTime = LognormalTime { median: 0.010, sigma: 0.7 };
 /// Bounds of a service's mean service time, in seconds.
 const SERVICE_TIME_RANGE: TimeRange = TimeRange { min: 0.001, max: 0.060 };
-/// Absorbs the rounding of a running sum that should end at a whole number.
+/// Tolerance for rounding errors of a running sum whose exact final value is a whole number.
 const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The machine of a backend and its proxy.
+/// The machine of a backend and of the backend's proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// The index of the service of the backend.
+    /// The index of the backend's service.
     pub service: usize,
     /// The zone of the machine.
     pub zone: ZoneId,
@@ -38,15 +38,16 @@
 /// A service.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Distance of the service from the clients, from 1.
+    /// Number of the service's layer: 1 for the layer next to the clients.
     pub layer: usize,
-    /// Machines of the service: a range of [`Topology::machines`].
+    /// Indices of the service's machines in [`Topology::machines`].
     pub machines: Range<usize>,
-    /// The machines whose proxies call the service; the position of a proxy is its instance index.
+    /// Indices of the machines whose proxies call the service. The position of a machine in this list is
+    /// the instance index of its proxy.
     pub callers: Vec<usize>,
     /// Mean service time, in seconds.
     pub service_time: Time,
-    /// Calls per second of all callers.
+    /// Calls per second of all callers together.
     pub call_rate: f64,
 }
 
@@ -57,12 +58,12 @@
     pub machines: Vec<Machine>,
     /// The services.
     pub services: Vec<Service>,
-    /// Zones in a region; zones are numbered region by region.
+    /// Number of zones in a region. The zones of a region have consecutive numbers.
     zones_per_region: usize,
 }
 
 impl Topology {
-    /// Draws the fleet of a plan.
+    /// Creates a random fleet with the parameters of a plan.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         let rng = &mut SmallRng::seed_from_u64(derive_seed(&[plan.seed, 0]));
@@ -73,7 +74,7 @@
             services: Vec::with_capacity(plan.services),
             zones_per_region: plan.zones / plan.regions,
         };
-        // Shuffled, as the size of a service does not depend on its layer.
+        // Shuffled, so that the size of a service does not depend on its layer.
         let mut size_order: Vec<usize> = (0..plan.services).collect();
         size_order.shuffle(rng);
         for (service, &layer) in layers.iter().enumerate() {
@@ -84,7 +85,8 @@
         topology
     }
 
-    /// Adds a service with its machines, spread evenly over the zones from a random zone on.
+    /// Adds a service with its machines. The machines are distributed evenly over the zones, starting at a
+    /// random zone.
     fn add_service(&mut self, layer: usize, size: usize, plan: &Plan, rng: &mut SmallRng) {
         let service = self.services.len();
         let first_machine = self.machines.len();
@@ -107,10 +109,10 @@
         });
     }
 
-    /// Draws the call graph: each service calls a few services of lower layers, popular ones more often,
-    /// and each machine of a service calls one of its callees.
+    /// Draws the call graph: each service calls a few services of lower layers, with a preference for
+    /// popular services, and the proxy of each machine calls one of the service's callees.
     fn draw_call_graph(&mut self, callees_per_service: usize, rng: &mut SmallRng) {
-        // Larger services are called more, with a random factor.
+        // The popularity of a service is its size times a random factor.
         let popularity: Vec<f64> = self
             .services
             .iter()
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Draws for each service below the first layer a caller in the layer above, so that the call
-    /// graph is as deep as there are layers. Returns the callees of each service.
+    /// Draws a caller in the layer above for each service below the first layer, so that the depth of the
+    /// call graph equals the number of layers. Returns the callees of each service.
     fn draw_one_caller_per_service(&self, rng: &mut SmallRng) -> Vec<Vec<usize>> {
         let mut callees = vec![Vec::new(); self.services.len()];
         for (index, service) in self.services.iter().enumerate() {
@@ -141,8 +143,8 @@
         callees
     }
 
-    /// Assigns to each machine of a service the callee of its proxy. The first machines get one callee
-    /// each, so that each callee has a caller; the other machines draw a callee by popularity.
+    /// Assigns a callee to the proxy of each machine of a service. The first machines get one callee
+    /// each, so that each callee has a caller. The callees of the other machines are drawn by popularity.
     fn assign_callees(&mut self, service: usize, callees: &[usize], popularity: &[f64], rng: &mut SmallRng) {
         for (i, machine) in self.services[service].machines.clone().enumerate() {
             let drawn = draw_weighted(callees, popularity, rng);
@@ -158,7 +160,7 @@
         (0..self.services.len()).filter(|index| selected(&self.services[*index])).collect()
     }
 
-    /// Draws the call rates of the proxies, with a sum of `total` calls per second.
+    /// Draws the call rates of the proxies, which add up to `total` calls per second.
     fn set_call_rates(&mut self, total: f64, rng: &mut SmallRng) {
         let factors: Vec<f64> =
             self.services.iter().map(|_| (CALL_RATE_SIGMA * draw_normal(rng)).exp()).collect();
@@ -178,13 +180,13 @@
         zone.0 as usize / self.zones_per_region
     }
 
-    /// Returns the indices of the services that some proxy calls.
+    /// Returns the indices of the services that are called by at least one proxy.
     #[must_use]
     pub fn called_services(&self) -> Vec<usize> {
         self.services_where(|service| !service.callers.is_empty())
     }
 
-    /// Returns the endpoint of a machine's backend, in service since before the run.
+    /// Returns the endpoint of a machine's backend, which is in service before the run starts.
     #[must_use]
     pub fn endpoint(&self, machine: usize) -> Endpoint {
         let zone = self.machines[machine].zone;
@@ -209,15 +211,15 @@
     })
 }
 
-/// Returns the sizes of `services` services with `backends` backends in total, at least 2 each, the
-/// largest first. The backends beyond these 2 fall with the `skew`-th power of the rank, as sizes in
-/// large fleets do.
+/// Returns the number of backends of each service, in descending order, with `backends` backends in
+/// total. Each service has at least 2 backends. The number beyond 2 falls with the `skew`-th power of the
+/// service's rank, as the sizes of services do in large fleets.
 fn compute_service_sizes(backends: usize, services: usize, skew: f64) -> Vec<usize> {
     let to_distribute = backends.saturating_sub(2 * services) as f64;
     let last_weight = (services as f64).powf(-skew);
     let weight = |rank: usize| ((rank + 1) as f64).powf(-skew) - last_weight;
     let sum: f64 = (0..services).map(weight).sum();
-    // Rounded along the running sum, so that the sizes add up.
+    // The running sum is rounded, not each size, so that the sizes add up to the total.
     let mut cumulative = 0.0;
     let mut distributed = 0;
     let size = |rank: usize| {
@@ -229,11 +231,12 @@
     (0..services).map(size).collect()
 }
 
-/// Draws the layer of each service, from 1: fewer services in deeper layers, and at least one in each.
+/// Draws the layer of each service, from 1. Deeper layers have fewer services, and each layer has at
+/// least one.
 fn draw_service_layers(services: usize, depth: usize, rng: &mut SmallRng) -> Vec<usize> {
     let mut layers: Vec<usize> = (1..=depth.min(services)).collect();
     while layers.len() < services {
-        // The smaller of two uniform draws has a density that falls linearly.
+        // The minimum of two uniform samples has a linearly falling density.
         let first = rng.random_range(1..=depth);
         let second = rng.random_range(1..=depth);
         layers.push(first.min(second));
