--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -96,7 +96,7 @@
                 CallerEvent::Call => self.make_call()?,
                 CallerEvent::Timer(token) => self.record_and_handle(Event::Timer(token))?,
                 CallerEvent::AttemptEnded(attempt, outcome) => self.end_attempt(attempt, outcome)?,
-                CallerEvent::EndpointChanges(end) => self.receive_changes(end)?,
+                CallerEvent::EndpointChanges(end_of_changes) => self.receive_changes(end_of_changes)?,
                 CallerEvent::Sample(sample) => self.environment.sample_state(sample, &self.balancer),
                 CallerEvent::Stop => self.environment.stop(),
                 CallerEvent::Start => self.start()?,
@@ -129,9 +129,9 @@
         }
     }
 
-    /// Receives the endpoint changes before the index `end`.
-    fn receive_changes(&mut self, end: usize) -> Result<(), Error> {
-        match self.environment.receive_changes(end) {
+    /// Receives the endpoint changes before the index `end_of_changes`.
+    fn receive_changes(&mut self, end_of_changes: usize) -> Result<(), Error> {
+        match self.environment.receive_changes(end_of_changes) {
             Some(message) => self.handle_message(&message),
             None => Ok(()),
         }
--- a/crates/fleet-bench/src/fleet/caller/deliveries.rs
+++ b/crates/fleet-bench/src/fleet/caller/deliveries.rs
@@ -10,7 +10,8 @@
 pub struct Delivery {
     /// Time of the arrival, in seconds.
     pub at: Time,
-    /// Index after the last change in the message. The caller has all earlier changes after the arrival.
+    /// Index after the last change in the message. The caller has received all changes before this index
+    /// when the message arrives.
     pub end_of_changes: usize,
 }
 
--- a/crates/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -69,17 +69,17 @@
         self.process != ProcessState::Down
     }
 
-    /// Delivers the changes before the index `end`. Returns `None` if the process is down or starting,
-    /// or already has the changes from a complete list.
-    pub fn deliver(&mut self, end: usize, now: Time) -> Option<ReceivedChanges> {
-        let changes = self.endpoints.applied_count()..end;
+    /// Delivers the changes before the index `end_of_changes`. Returns `None` if the process is down or
+    /// starting, or already has the changes from a complete list.
+    pub fn deliver(&mut self, end_of_changes: usize, now: Time) -> Option<ReceivedChanges> {
+        let changes = self.endpoints.applied_count()..end_of_changes;
         if changes.is_empty() {
             return None;
         }
         let running = self.process == ProcessState::Running;
         // The agent stores the changes while the process restarts.
         if running || self.agent_is_up {
-            self.endpoints.apply(&self.scenario.changes, end, now);
+            self.endpoints.apply(&self.scenario.changes, end_of_changes, now);
         }
         running.then(|| ReceivedChanges { changes: changes.clone(), message: self.message(changes) })
     }
@@ -127,8 +127,8 @@
         self.process = ProcessState::Running;
         if !self.agent_is_up {
             let changes = &self.scenario.changes;
-            let published = changes.partition_point(|change| change.published_at <= now);
-            self.endpoints.apply(changes, published.max(self.endpoints.applied_count()), now);
+            let published_count = changes.partition_point(|change| change.published_at <= now);
+            self.endpoints.apply(changes, published_count.max(self.endpoints.applied_count()), now);
         }
         Message::Full(self.endpoints.listed())
     }
--- a/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
+++ b/crates/fleet-bench/src/fleet/caller/endpoint_list.rs
@@ -46,15 +46,15 @@
         self.endpoints.iter().filter(|e| e.status != Status::Removed).cloned().collect()
     }
 
-    /// Applies the changes before the index `end` that have not been applied yet.
-    pub fn apply(&mut self, changes: &[EndpointChange], end: usize, now: Time) {
-        for change in &changes[self.applied_count..end] {
+    /// Applies the changes before the index `end_of_changes` that have not been applied yet.
+    pub fn apply(&mut self, changes: &[EndpointChange], end_of_changes: usize, now: Time) {
+        for change in &changes[self.applied_count..end_of_changes] {
             let backend = change.machine - self.first_machine;
             self.endpoints[backend] = change.endpoint.clone();
             let out_of_service = change.endpoint.status != Status::InService;
             let since = self.out_of_service_since[backend].unwrap_or(now);
             self.out_of_service_since[backend] = out_of_service.then_some(since);
         }
-        self.applied_count = self.applied_count.max(end);
+        self.applied_count = self.applied_count.max(end_of_changes);
     }
 }
--- a/crates/fleet-bench/src/fleet/caller/environment.rs
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -184,11 +184,11 @@
 
 /// Endpoint updates, and the stop and start of the process.
 impl Environment<'_> {
-    /// Receives the endpoint changes before the index `end`. Returns `None` if the process is down or
-    /// starting, or already has the changes.
-    pub fn receive_changes(&mut self, end: usize) -> Option<Message> {
+    /// Receives the endpoint changes before the index `end_of_changes`. Returns `None` if the process is
+    /// down or starting, or already has the changes.
+    pub fn receive_changes(&mut self, end_of_changes: usize) -> Option<Message> {
         let now = self.run.queue.now();
-        let update = self.discovery.deliver(end, now)?;
+        let update = self.discovery.deliver(end_of_changes, now)?;
         for change in update.changes {
             self.run.accounting.record_notification(change, now);
         }
--- a/crates/fleet-bench/src/fleet/caller/event_queue.rs
+++ b/crates/fleet-bench/src/fleet/caller/event_queue.rs
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 struct PendingEvent {
     at: Time,
-    /// Position in the order of scheduling, which is the order of events with the same time.
+    /// Position in the order of scheduling. Events with the same time are handled in this order.
     sequence: u64,
     /// The number of the process that scheduled the event, from 0.
     incarnation: u32,
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -81,12 +81,12 @@
         let round_trip = self.round_trip(context.topology.machines[machine].zone);
         let service_time = service.service_time * random::draw_exponential(rng);
         let outage = context.faults.outages[machine];
-        let down = outage.filter(|outage| outage.is_down(times.sent_at));
-        let crashed = down.is_some_and(|outage| outage.kind == OutageKind::Crash);
+        let current_outage = outage.filter(|outage| outage.is_down(times.sent_at));
+        let crashed = current_outage.is_some_and(|outage| outage.kind == OutageKind::Crash);
         if crashed || self.is_partitioned_from(machine, times.sent_at) {
             return self.end_at_unreachable_backend(backend, times);
         }
-        if down.is_some() {
+        if current_outage.is_some() {
             let at = times.timeout_at.min(times.sent_at + round_trip);
             return AttemptEnd { outcome: Outcome::NoConnection, at, unavailable: true };
         }
@@ -102,9 +102,9 @@
     /// attempt times out; otherwise the connection is not established.
     fn end_at_unreachable_backend(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
         let plan = self.scenario.context.plan;
-        let connected =
+        let is_connected =
             self.last_response[backend].is_some_and(|last| times.sent_at < last + plan.idle_timeout);
-        if connected {
+        if is_connected {
             return AttemptEnd { outcome: Outcome::Timeout, at: times.timeout_at, unavailable: true };
         }
         let at = times.timeout_at.min(times.sent_at + plan.connect_timeout);
@@ -122,8 +122,9 @@
     ) -> AttemptEnd {
         let context = &self.scenario.context;
         let round_trip = self.round_trip(context.topology.machines[machine].zone);
-        let interrupting = outage.filter(|outage| (times.sent_at..response_at).contains(&outage.down_at));
-        let (outcome, at) = match interrupting {
+        let interrupting_outage =
+            outage.filter(|outage| (times.sent_at..response_at).contains(&outage.down_at));
+        let (outcome, at) = match interrupting_outage {
             Some(Outage { kind: OutageKind::Restart, down_at, .. }) => {
                 (Outcome::Reset, down_at + 0.5 * round_trip)
             }
--- a/crates/fleet-bench/src/fleet/counts.rs
+++ b/crates/fleet-bench/src/fleet/counts.rs
@@ -26,7 +26,7 @@
 pub struct CallCounts {
     /// Calls that were made.
     pub total: u64,
-    /// Calls that got a response of a backend.
+    /// Calls that got a response from a backend.
     pub succeeded: u64,
     /// Calls that were rejected: such a call has not run, and a retry is harmless.
     pub rejected: u64,
--- a/crates/fleet-bench/src/fleet/faults.rs
+++ b/crates/fleet-bench/src/fleet/faults.rs
@@ -116,8 +116,10 @@
             }
             Phase::Rack => {
                 let machines = &topology.machines;
-                let failed = machines[rng.random_range(0..machines.len())];
-                let in_rack = |m: usize| machines[m].zone == failed.zone && machines[m].rack == failed.rack;
+                let failed_machine = machines[rng.random_range(0..machines.len())];
+                let in_rack = |m: usize| {
+                    machines[m].zone == failed_machine.zone && machines[m].rack == failed_machine.rack
+                };
                 faults.crash_machines(in_rack, plan, rng);
             }
             Phase::Zone => {
@@ -152,10 +154,10 @@
         plan: &Plan,
         rng: &mut SmallRng,
     ) {
-        let mut unaffected: Vec<usize> =
+        let mut machines_without_outage: Vec<usize> =
             (0..self.outages.len()).filter(|m| self.outages[*m].is_none()).collect();
-        let (drawn, _) = unaffected.partial_shuffle(rng, count);
-        for machine in drawn {
+        let (selected_machines, _) = machines_without_outage.partial_shuffle(rng, count);
+        for machine in selected_machines {
             let at = plan.warm_up + period * rng.random::<f64>();
             self.outages[*machine] = Some(Outage::new(kind, at, plan, rng));
         }
@@ -171,9 +173,11 @@
     /// Restarts half of the machines of the largest service and of the service with the most callers.
     fn restart_half_of_machines(&mut self, plan: &Plan, topology: &Topology, rng: &mut SmallRng) {
         let services = &topology.services;
-        let called = topology.called_services();
-        let largest = called.iter().copied().max_by_key(|s| (services[*s].machines.len(), usize::MAX - s));
-        let most_called = called.iter().copied().max_by_key(|s| (services[*s].callers.len(), usize::MAX - s));
+        let called_services = topology.called_services();
+        let largest =
+            called_services.iter().copied().max_by_key(|s| (services[*s].machines.len(), usize::MAX - s));
+        let most_called =
+            called_services.iter().copied().max_by_key(|s| (services[*s].callers.len(), usize::MAX - s));
         self.simulated_services = largest.into_iter().collect();
         self.simulated_services.extend(most_called.filter(|service| Some(*service) != largest));
         for service in &self.simulated_services {
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Replays all records and adds the processor times from `measure_from` on to `times`. Events of calls
-    /// are measured in batches, endpoint updates one by one.
+    /// Replays all records, and adds to `times` the processor time of the events that are not earlier than
+    /// `measure_from`. Events of calls are measured in batches, endpoint updates one by one.
     fn run(mut self, times: &mut ProcessorTime) {
         while let Some(Record { at, event }) = self.records.next() {
             match event {
--- a/crates/fleet-bench/src/fleet/scenario.rs
+++ b/crates/fleet-bench/src/fleet/scenario.rs
@@ -40,13 +40,13 @@
     #[must_use]
     pub fn new(context: PhaseContext<'a>, service_index: usize) -> Self {
         let changes = context.faults.changes(service_index, context.topology);
-        let first_published = |machine| {
+        let first_published_at = |machine| {
             let is_out_of_service =
                 |c: &&EndpointChange| c.machine == machine && c.endpoint.status != Status::InService;
             changes.iter().find(is_out_of_service).map(|change| change.published_at)
         };
         let machines = context.topology.services[service_index].machines.clone();
-        let out_of_service_since = machines.map(first_published).collect();
+        let out_of_service_since = machines.map(first_published_at).collect();
         Self { context, service_index, changes, out_of_service_since }
     }
 
--- a/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
+++ b/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
@@ -30,25 +30,25 @@
     for result in results {
         let changes: Vec<Propagation> =
             result.services.iter().flat_map(|service| &service.propagations).copied().collect();
-        let half = sorted(changes.iter().map(|change| change.half_notified));
-        let percent_99 = sorted(changes.iter().map(|change| change.percent_99_notified));
-        let all = sorted(changes.iter().map(|change| change.all_notified));
-        let at = |times: &[f64], fraction| Value::from(quantile(times, fraction).copied());
+        let half = sorted_times(changes.iter().map(|change| change.half_notified));
+        let percent_99 = sorted_times(changes.iter().map(|change| change.percent_99_notified));
+        let all = sorted_times(changes.iter().map(|change| change.all_notified));
+        let value_at = |times: &[f64], fraction| Value::from(quantile(times, fraction).copied());
         table.row([
             Value::from(result.phase.name()),
             Value::from(changes.len()),
-            at(&half, 0.5),
-            at(&percent_99, 0.5),
-            at(&all, 0.5),
-            at(&half, 1.0),
-            at(&percent_99, 1.0),
-            at(&all, 1.0),
+            value_at(&half, 0.5),
+            value_at(&percent_99, 0.5),
+            value_at(&all, 0.5),
+            value_at(&half, 1.0),
+            value_at(&percent_99, 1.0),
+            value_at(&all, 1.0),
         ]);
     }
     table
 }
 
-fn sorted(times: impl Iterator<Item = f32>) -> Vec<f64> {
+fn sorted_times(times: impl Iterator<Item = f32>) -> Vec<f64> {
     let mut times: Vec<f64> = times.map(f64::from).collect();
     times.sort_by(f64::total_cmp);
     times
@@ -73,24 +73,26 @@
         Table::new("Backends in service, with their callers notified, that are in no subset", &columns);
     for result in results {
         let samples = coverage_samples(result);
-        let at = |index: usize| samples.get(index).copied().unwrap_or_default();
-        let start = last_sample_before_window(plan);
+        let sample_at = |index: usize| samples.get(index).copied().unwrap_or_default();
+        let start_sample = last_sample_before_window(plan);
         // If several samples have the most unassigned backends, the earliest is selected.
-        let worst = (start..samples.len()).max_by_key(|i| (at(*i).unassigned, usize::MAX - i)).unwrap_or(0);
-        let end = samples.len().saturating_sub(1);
+        let worst_sample = (start_sample..samples.len())
+            .max_by_key(|i| (sample_at(*i).unassigned, usize::MAX - i))
+            .unwrap_or(0);
+        let end_sample = samples.len().saturating_sub(1);
         let long_unassigned = result.services.iter().map(|service| service.coverage.long_unassigned);
         let unassigned_percent =
             |sample: CoverageSample| percent(sample.unassigned as f64, sample.in_service as f64);
         table.row([
             Value::from(result.phase.name()),
-            Value::from(at(start).in_service),
-            Value::from(at(start).unassigned),
-            unassigned_percent(at(start)),
-            Value::from(worst as f64 * SAMPLE_INTERVAL_SECONDS - plan.warm_up),
-            Value::from(at(worst).in_service),
-            Value::from(at(worst).unassigned),
-            unassigned_percent(at(worst)),
-            Value::from(at(end).unassigned),
+            Value::from(sample_at(start_sample).in_service),
+            Value::from(sample_at(start_sample).unassigned),
+            unassigned_percent(sample_at(start_sample)),
+            Value::from(worst_sample as f64 * SAMPLE_INTERVAL_SECONDS - plan.warm_up),
+            Value::from(sample_at(worst_sample).in_service),
+            Value::from(sample_at(worst_sample).unassigned),
+            unassigned_percent(sample_at(worst_sample)),
+            Value::from(sample_at(end_sample).unassigned),
             Value::from(long_unassigned.clone().sum::<usize>()),
             Value::from(long_unassigned.filter(|backends| *backends > 0).count()),
         ]);
@@ -119,9 +121,9 @@
 pub fn least_covered(plan: &Plan, topology: &Topology, results: &[PhaseResult]) -> Table {
     let columns = ["phase", "service", "backends in service", "in no subset", "callers"];
     let mut table = Table::new("Services with most backends in no subset, at the start", &columns);
-    let start = last_sample_before_window(plan);
+    let start_sample = last_sample_before_window(plan);
     for result in results {
-        let unassigned = |service: &ServiceResult| service.coverage.samples[start].unassigned;
+        let unassigned = |service: &ServiceResult| service.coverage.samples[start_sample].unassigned;
         let mut services: Vec<&ServiceResult> =
             result.services.iter().filter(|service| unassigned(service) > 0).collect();
         services.sort_by_key(|service| (usize::MAX - unassigned(service), service.service));
@@ -129,7 +131,7 @@
             table.row([
                 Value::from(result.phase.name()),
                 Value::from(service.service),
-                Value::from(service.coverage.samples[start].in_service),
+                Value::from(service.coverage.samples[start_sample].in_service),
                 Value::from(unassigned(service)),
                 Value::from(topology.services[service.service].callers.len()),
             ]);
