--- a/crates/fleet-bench/src/fleet/caller/environment.rs
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -1,10 +1,11 @@
 //! The environment of one caller's balancer: the virtual clock, the calls that the proxy makes, the
 //! network, discovery, and the observations of all of these.
 //!
-//! A method that leads to an event of the balancer returns the event, which the caller passes on.
+//! A method that produces an event for the balancer returns the event; [`super::Caller`] passes the event
+//! to the balancer.
 
 use super::accounting::{Accounting, FailureKind};
-use super::calls::{AttemptOrder, Calls};
+use super::calls::{Calls, NewAttempt};
 use super::deliveries;
 use super::discovery_client::DiscoveryClient;
 use super::event_queue::{CallerEvent, EventQueue};
@@ -12,7 +13,7 @@
 use super::run_state::RunState;
 use crate::error::Error;
 use crate::fleet::checker::Violation;
-use crate::fleet::observations::{CallerObservations, SAMPLE_INTERVAL};
+use crate::fleet::observations::{CallerObservations, SAMPLE_INTERVAL_SECONDS};
 use crate::fleet::plan::Plan;
 use crate::fleet::scenario::Scenario;
 use crate::fleet::settings::caller_settings;
@@ -23,7 +24,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Everything that surrounds the balancer of one caller.
+/// The simulated environment of one caller's balancer.
 pub struct Environment<'a> {
     scenario: &'a Scenario<'a>,
     /// The plan of the scenario.
@@ -40,7 +41,7 @@
 }
 
 impl<'a> Environment<'a> {
-    /// Creates the environment of a caller, whose random draws depend on the seed alone.
+    /// Creates the environment of a caller. The seed alone determines the random numbers.
     pub fn new(scenario: &'a Scenario<'a>, index: usize, seed: u64) -> Self {
         let context = &scenario.context;
         let machine = scenario.service().callers[index];
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Returns the scenario that the caller is part of.
+    /// Returns the scenario in which the caller is simulated.
     pub fn scenario(&self) -> &'a Scenario<'a> {
         self.scenario
     }
@@ -80,21 +81,22 @@
         self.run.accounting.start_recording(balancer_seed, self.settings());
     }
 
-    /// Schedules the events that are known from the beginning, and returns the first endpoint list.
-    pub fn begin(&mut self) -> Message {
+    /// Schedules the events whose times are fixed at the start: endpoint changes, samples, and the stop and
+    /// start of the process. Returns the first endpoint list.
+    pub fn schedule_initial_events(&mut self) -> Message {
         let deliveries =
             deliveries::draw_deliveries(self.scenario, self.calls.network(), self.zone, &mut self.run.rng);
         let mut sample = 0;
-        while f64::from(sample) * SAMPLE_INTERVAL <= self.plan.end() {
-            self.run.queue.schedule(f64::from(sample) * SAMPLE_INTERVAL, CallerEvent::Sample(sample));
+        while f64::from(sample) * SAMPLE_INTERVAL_SECONDS <= self.plan.phase_end() {
+            self.run.queue.schedule(f64::from(sample) * SAMPLE_INTERVAL_SECONDS, CallerEvent::Sample(sample));
             sample += 1;
         }
         if let Some(outage) = self.scenario.context.faults.outages[self.machine] {
-            self.run.queue.schedule(outage.down, CallerEvent::Stop);
-            self.run.queue.schedule(outage.up, CallerEvent::Start);
+            self.run.queue.schedule(outage.down_at, CallerEvent::Stop);
+            self.run.queue.schedule(outage.up_at, CallerEvent::Start);
         }
         for delivery in deliveries {
-            self.run.queue.schedule(delivery.at, CallerEvent::EndpointChanges(delivery.changes_end));
+            self.run.queue.schedule(delivery.at, CallerEvent::EndpointChanges(delivery.end_of_changes));
         }
         Message::Full(self.discovery.endpoints().listed())
     }
@@ -109,7 +111,7 @@
         self.run.queue.schedule(at, CallerEvent::Timer(token));
     }
 
-    /// Returns the observations, after a check that no call is open.
+    /// Checks that no call is open, and returns the observations.
     ///
     /// # Errors
     ///
@@ -133,28 +135,29 @@
 
 /// Calls and their attempts.
 impl Environment<'_> {
-    /// Schedules the next call, unless the process stops or the phase ends before.
+    /// Schedules the next call, unless the process stops making calls or the phase ends first.
     pub fn schedule_next_call(&mut self) {
         self.calls.schedule_next(&mut self.run);
     }
 
-    /// Draws whether the proxy makes the call that is due, and opens the call.
-    pub fn draw_call(&mut self) -> Option<Request> {
-        self.calls.draw(&mut self.run)
+    /// Opens the call that is due; returns `None` if the proxy skips the call because its backend is
+    /// warming up.
+    pub fn open_due_call(&mut self) -> Option<Request> {
+        self.calls.open_due_call(&mut self.run)
     }
 
-    /// Sends an attempt of a call, and schedules the end of the attempt.
+    /// Sends an attempt of a call and schedules the end of the attempt.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Rule`] if the attempt violates a rule.
-    pub fn send_attempt(&mut self, order: AttemptOrder) -> Result<(), Error> {
-        let sending = self.calls.send(order, self.discovery.endpoints(), &mut self.run);
-        sending.map_err(|violation| self.rule_error(violation))
+    pub fn send_attempt(&mut self, attempt: NewAttempt) -> Result<(), Error> {
+        let result = self.calls.send(attempt, self.discovery.endpoints(), &mut self.run);
+        result.map_err(|violation| self.rule_error(violation))
     }
 
-    /// Ends an attempt, and its call with it if the attempt succeeded. Returns `None` if the attempt
-    /// had been cancelled before.
+    /// Ends an attempt, and also its call if the attempt succeeded. Returns `None` if the attempt had
+    /// already ended.
     ///
     /// # Errors
     ///
@@ -164,8 +167,8 @@
         attempt: AttemptId,
         outcome: Outcome,
     ) -> Result<Option<EndedAttempt>, Error> {
-        let ending = self.calls.end_attempt(attempt, outcome, &mut self.run);
-        ending.map_err(|violation| self.rule_error(violation))
+        let result = self.calls.end_attempt(attempt, outcome, &mut self.run);
+        result.map_err(|violation| self.rule_error(violation))
     }
 
     /// Ends a call that the balancer rejected or failed.
@@ -174,32 +177,32 @@
     ///
     /// Returns [`Error::Rule`] if the final response of the call violates a rule.
     pub fn end_without_success(&mut self, request: RequestId, kind: FailureKind) -> Result<(), Error> {
-        let ending = self.calls.end_without_success(request, kind, &mut self.run);
-        ending.map_err(|violation| self.rule_error(violation))
+        let result = self.calls.end_without_success(request, kind, &mut self.run);
+        result.map_err(|violation| self.rule_error(violation))
     }
 }
 
 /// Endpoint updates, and the stop and start of the process.
 impl Environment<'_> {
-    /// Receives the endpoint changes before the index `end`. Returns `None` if the process does not
-    /// receive the changes, or has them already.
-    pub fn receive_changes(&mut self, end: usize) -> Option<Message> {
+    /// Receives the endpoint changes before the index `end_of_changes`. Returns `None` if the process is
+    /// down or starting, or already has the changes.
+    pub fn receive_changes(&mut self, end_of_changes: usize) -> Option<Message> {
         let now = self.run.queue.now();
-        let update = self.discovery.deliver(end, now)?;
+        let update = self.discovery.deliver(end_of_changes, now)?;
         for change in update.changes {
             self.run.accounting.record_notification(change, now);
         }
         Some(update.message)
     }
 
-    /// Stops the process; its open calls are lost.
+    /// Stops the process and counts its open calls as lost.
     pub fn stop(&mut self) {
         self.calls.drop_all(&mut self.run);
         self.discovery.stop();
         self.run.queue.end_incarnation();
     }
 
-    /// Draws the seed of the balancer of a new process.
+    /// Draws the seed for the balancer of a new process, and records the start of the process.
     pub fn draw_process_seed(&mut self) -> u64 {
         let seed = self.run.rng.random();
         self.run.accounting.record_start(self.run.queue.now(), seed);
@@ -225,9 +228,9 @@
     }
 }
 
-/// Observations.
+/// Recording of observations.
 impl Environment<'_> {
-    /// Counts a message of discovery.
+    /// Counts a message from discovery.
     pub fn count_message(&mut self, message: &Message) {
         self.run.accounting.count_message(self.run.queue.now(), message);
     }
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -1,7 +1,7 @@
 //! The simulated network and backends, as seen from one caller.
 //!
-//! Backends respond after an exponential service time without queues, so that callers do not affect one
-//! another.
+//! Backends respond after an exponentially distributed service time and have no queues, so that callers
+//! do not affect one another.
 
 use crate::fleet::faults::{Outage, OutageKind};
 use crate::fleet::random;
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
     /// Time of the send, in seconds.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Time at which the attempt times out, in seconds.
     pub timeout_at: Time,
 }
@@ -35,8 +35,8 @@
     scenario: &'a Scenario<'a>,
     /// The zone of the machine.
     zone: ZoneId,
-    /// Time of the last response of each backend, in seconds; `None` without a connection. Until the idle
-    /// timeout after a response, the connection to the backend is open.
+    /// Time of the last response of each backend, in seconds; `None` without a connection. The connection
+    /// to a backend is open from a response until the idle timeout has passed.
     last_response: Vec<Option<Time>>,
 }
 
@@ -52,30 +52,28 @@
         self.last_response[backend] = Some(now);
     }
 
-    /// Closes all connections, as the process has ended.
+    /// Closes all connections because the process has ended.
     pub fn close_connections(&mut self) {
         self.last_response.fill(None);
     }
 
-    /// Draws how long an endpoint update takes from a zone to this machine.
-    pub fn update_delay(&self, from_zone: ZoneId, rng: &mut SmallRng) -> Time {
+    /// Draws the delay of an endpoint update from a zone to this machine, in seconds.
+    pub fn draw_update_delay(&self, from_zone: ZoneId, rng: &mut SmallRng) -> Time {
         let delay = self.scenario.context.plan.update_delay;
-        let publication = delay.median * (delay.sigma * random::draw_normal(rng)).exp();
-        publication + 0.5 * self.round_trip(from_zone)
+        let discovery_delay = delay.median * (delay.sigma * random::draw_normal(rng)).exp();
+        discovery_delay + 0.5 * self.round_trip(from_zone)
     }
 
-    /// Returns whether some backend is in service and reachable, regardless of the endpoint list of the
-    /// caller.
+    /// Returns whether at least one backend is in service and reachable, regardless of the endpoint list
+    /// of the caller.
     pub fn any_backend_reachable(&self, now: Time) -> bool {
         let context = &self.scenario.context;
-        self.scenario
-            .service()
-            .machines
-            .clone()
-            .any(|machine| context.faults.in_service(machine, now) && !self.partitioned_from(machine, now))
+        self.scenario.service().machines.clone().any(|machine| {
+            context.faults.is_in_service(machine, now) && !self.is_partitioned_from(machine, now)
+        })
     }
 
-    /// Draws how an attempt to a backend ends.
+    /// Draws the end of an attempt to a backend.
     pub fn draw_attempt_end(&self, backend: usize, times: AttemptTimes, rng: &mut SmallRng) -> AttemptEnd {
         let context = &self.scenario.context;
         let service = self.scenario.service();
@@ -83,16 +81,16 @@
         let round_trip = self.round_trip(context.topology.machines[machine].zone);
         let service_time = service.service_time * random::draw_exponential(rng);
         let outage = context.faults.outages[machine];
-        let down = outage.filter(|outage| outage.is_down(times.sent));
-        let crashed = down.is_some_and(|outage| outage.kind == OutageKind::Crash);
-        if crashed || self.partitioned_from(machine, times.sent) {
-            return self.end_without_peer(backend, times);
+        let current_outage = outage.filter(|outage| outage.is_down(times.sent_at));
+        let crashed = current_outage.is_some_and(|outage| outage.kind == OutageKind::Crash);
+        if crashed || self.is_partitioned_from(machine, times.sent_at) {
+            return self.end_at_unreachable_backend(backend, times);
         }
-        if down.is_some() {
-            let at = times.timeout_at.min(times.sent + round_trip);
+        if current_outage.is_some() {
+            let at = times.timeout_at.min(times.sent_at + round_trip);
             return AttemptEnd { outcome: Outcome::NoConnection, at, unavailable: true };
         }
-        let response_at = times.sent + round_trip + service_time;
+        let response_at = times.sent_at + round_trip + service_time;
         let end = self.end_in_flight(machine, outage, times, response_at);
         if end.at >= times.timeout_at {
             return AttemptEnd { outcome: Outcome::Timeout, at: times.timeout_at, unavailable: false };
@@ -100,15 +98,16 @@
         end
     }
 
-    /// Returns the end of an attempt without a response: the attempt times out on an open connection, and
-    /// a new connection is not established.
-    fn end_without_peer(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
+    /// Returns the end of an attempt to a crashed or partitioned backend: on an open connection the
+    /// attempt times out; otherwise the connection is not established.
+    fn end_at_unreachable_backend(&self, backend: usize, times: AttemptTimes) -> AttemptEnd {
         let plan = self.scenario.context.plan;
-        let connected = self.last_response[backend].is_some_and(|last| times.sent < last + plan.idle_timeout);
-        if connected {
+        let is_connected =
+            self.last_response[backend].is_some_and(|last| times.sent_at < last + plan.idle_timeout);
+        if is_connected {
             return AttemptEnd { outcome: Outcome::Timeout, at: times.timeout_at, unavailable: true };
         }
-        let at = times.timeout_at.min(times.sent + plan.connect_timeout);
+        let at = times.timeout_at.min(times.sent_at + plan.connect_timeout);
         AttemptEnd { outcome: Outcome::NoConnection, at, unavailable: true }
     }
 
@@ -123,20 +122,23 @@
     ) -> AttemptEnd {
         let context = &self.scenario.context;
         let round_trip = self.round_trip(context.topology.machines[machine].zone);
-        let interrupting = outage.filter(|outage| (times.sent..response_at).contains(&outage.down));
-        let (outcome, at) = match interrupting {
-            Some(Outage { kind: OutageKind::Restart, down, .. }) => (Outcome::Reset, down + 0.5 * round_trip),
+        let interrupting_outage =
+            outage.filter(|outage| (times.sent_at..response_at).contains(&outage.down_at));
+        let (outcome, at) = match interrupting_outage {
+            Some(Outage { kind: OutageKind::Restart, down_at, .. }) => {
+                (Outcome::Reset, down_at + 0.5 * round_trip)
+            }
             Some(Outage { kind: OutageKind::Crash, .. }) => (Outcome::Timeout, times.timeout_at),
-            None if self.partitioned_from(machine, response_at) => (Outcome::Timeout, times.timeout_at),
+            None if self.is_partitioned_from(machine, response_at) => (Outcome::Timeout, times.timeout_at),
             None => (Outcome::Success, response_at),
         };
         AttemptEnd { outcome, at, unavailable: false }
     }
 
-    fn partitioned_from(&self, machine: usize, at: Time) -> bool {
+    fn is_partitioned_from(&self, machine: usize, at: Time) -> bool {
         let context = &self.scenario.context;
         let zone = context.topology.machines[machine].zone;
-        context.faults.partitioned(self.zone, zone, at, context.topology)
+        context.faults.is_partitioned(self.zone, zone, at, context.topology)
     }
 
     fn round_trip(&self, zone: ZoneId) -> Time {
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -1,5 +1,5 @@
-//! Measures the processor time of a balancer, by a replay of the recorded events of some callers of each
-//! role without the simulation.
+//! Measures the processor time of a balancer by replaying, without the simulation, the recorded events of
+//! some callers of each role.
 
 use super::plan::Plan;
 use super::recording::{Record, RecordedEvent, Recording};
@@ -18,31 +18,31 @@
 /// Processor time in `Balancer::handle`.
 #[derive(Clone, Copy, Debug, Default)]
 struct ProcessorTime {
-    /// Events of calls.
+    /// Processor time of the events of calls.
     calls: EventTimes,
-    /// Endpoint updates.
+    /// Processor time of the endpoint updates.
     updates: EventTimes,
-    /// The slowest endpoint update, in seconds.
-    slowest_update: f64,
+    /// Processor time of the slowest endpoint update, in seconds.
+    slowest_update_seconds: f64,
 }
 
 /// Processor time of the events of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct EventTimes {
     /// Sum of the processor times, in seconds.
-    total: f64,
+    total_seconds: f64,
     /// The number of events.
     count: usize,
 }
 
 impl EventTimes {
-    fn add(&mut self, time: f64, events: usize) {
-        self.total += time;
+    fn add(&mut self, seconds: f64, events: usize) {
+        self.total_seconds += seconds;
         self.count += events;
     }
 
     fn mean_microseconds(self) -> f64 {
-        1e6 * self.total / self.count as f64
+        1e6 * self.total_seconds / self.count as f64
     }
 }
 
@@ -51,7 +51,7 @@
     recording: &'a Recording,
     records: Peekable<Iter<'a, Record>>,
     balancer: Balancer,
-    /// Actions of the balancer, which are dropped after each event.
+    /// Actions of the balancer, which are discarded after each event.
     actions: Vec<Action>,
     measure_from: Time,
 }
@@ -67,46 +67,46 @@
         }
     }
 
-    /// Replays all records and adds up the processor time: events of calls in batches, each endpoint
-    /// update separately.
-    fn run(mut self, time: &mut ProcessorTime) {
+    /// Replays all records, and adds to `times` the processor time of the events that are not earlier than
+    /// `measure_from`. Events of calls are measured in batches, endpoint updates one by one.
+    fn run(mut self, times: &mut ProcessorTime) {
         while let Some(Record { at, event }) = self.records.next() {
             match event {
                 RecordedEvent::Start { seed } => {
                     self.balancer = Balancer::new(*at, *seed, self.recording.settings.clone());
                 }
-                RecordedEvent::Changes(list) => self.replay_update(*at, EndpointUpdate::Changes(list), time),
-                RecordedEvent::Full(list) => self.replay_update(*at, EndpointUpdate::Full(list), time),
-                RecordedEvent::Cached(list) => self.replay_update(*at, EndpointUpdate::Cached(list), time),
-                RecordedEvent::Plain(event) => self.replay_batch(*at, *event, time),
+                RecordedEvent::Changes(list) => self.replay_update(*at, EndpointUpdate::Changes(list), times),
+                RecordedEvent::Full(list) => self.replay_update(*at, EndpointUpdate::Full(list), times),
+                RecordedEvent::Cached(list) => self.replay_update(*at, EndpointUpdate::Cached(list), times),
+                RecordedEvent::WithoutEndpoints(event) => self.replay_batch(*at, *event, times),
             }
         }
     }
 
-    fn replay_update(&mut self, at: Time, update: EndpointUpdate<'_>, time: &mut ProcessorTime) {
+    fn replay_update(&mut self, at: Time, update: EndpointUpdate<'_>, times: &mut ProcessorTime) {
         let started = thread_time();
         self.handle(at, Event::Endpoints(update));
         if at >= self.measure_from {
             let elapsed = thread_time() - started;
-            time.updates.add(elapsed, 1);
-            time.slowest_update = time.slowest_update.max(elapsed);
+            times.updates.add(elapsed, 1);
+            times.slowest_update_seconds = times.slowest_update_seconds.max(elapsed);
         }
     }
 
     /// Replays an event of a call and the events of calls that follow, as one batch.
-    fn replay_batch(&mut self, at: Time, event: Event<'static>, time: &mut ProcessorTime) {
+    fn replay_batch(&mut self, at: Time, event: Event<'static>, times: &mut ProcessorTime) {
         let started = thread_time();
         self.handle(at, event);
         let mut events = 1;
         while events < MAX_BATCH_EVENTS
-            && let Some(Record { at, event: RecordedEvent::Plain(event) }) =
-                self.records.next_if(|record| matches!(record.event, RecordedEvent::Plain(_)))
+            && let Some(Record { at, event: RecordedEvent::WithoutEndpoints(event) }) =
+                self.records.next_if(|record| matches!(record.event, RecordedEvent::WithoutEndpoints(_)))
         {
             self.handle(*at, *event);
             events += 1;
         }
         if at >= self.measure_from {
-            time.calls.add(thread_time() - started, events);
+            times.calls.add(thread_time() - started, events);
         }
     }
 
@@ -133,26 +133,26 @@
     let mut table = Table::new(name, &columns);
     for result in results {
         for role in roles.iter() {
-            let Some(of_service) = result.service(role.service) else {
+            let Some(service_result) = result.service(role.service) else {
                 continue;
             };
-            let mut time = ProcessorTime::default();
-            for recording in &of_service.recordings {
-                Replay::new(recording, plan.warm_up).run(&mut time);
+            let mut times = ProcessorTime::default();
+            for recording in &service_result.recordings {
+                Replay::new(recording, plan.warm_up).run(&mut times);
             }
-            let callers = of_service.recordings.len() as f64;
+            let callers = service_result.recordings.len() as f64;
             let percent_of_core = |seconds: f64| 100.0 * seconds / (callers * plan.window);
             let service = &topology.services[role.service];
             table.row([
                 Value::from(result.phase.name()),
                 Value::from(role.name),
-                Value::from(service.rate / service.callers.len() as f64),
-                Value::from(time.calls.mean_microseconds()),
-                Value::from(percent_of_core(time.calls.total)),
-                Value::from(percent_of_core(time.calls.total) / plan.rate_scale),
-                Value::from(time.updates.mean_microseconds()),
-                Value::from(1e6 * time.slowest_update),
-                Value::from(percent_of_core(time.updates.total)),
+                Value::from(service.call_rate / service.callers.len() as f64),
+                Value::from(times.calls.mean_microseconds()),
+                Value::from(percent_of_core(times.calls.total_seconds)),
+                Value::from(percent_of_core(times.calls.total_seconds) / plan.rate_scale),
+                Value::from(times.updates.mean_microseconds()),
+                Value::from(1e6 * times.slowest_update_seconds),
+                Value::from(percent_of_core(times.updates.total_seconds)),
             ]);
         }
     }
--- a/crates/fleet-bench/src/fleet/tables/topology.rs
+++ b/crates/fleet-bench/src/fleet/tables/topology.rs
@@ -1,16 +1,16 @@
-//! Table of the fleet.
+//! Table of the fleet's topology.
 
 use crate::fleet::topology::Topology;
 use crate::report::{Table, Value};
 
-/// Returns the table of the sizes of the fleet.
+/// Returns the table of the numbers of services, layers, backends, proxies and calls of the fleet.
 pub fn table(topology: &Topology) -> Table {
     let services = &topology.services;
     let called = topology.called_services();
     let callers: Vec<usize> = called.iter().map(|s| services[*s].callers.len()).collect();
     let sizes: Vec<usize> = services.iter().map(|service| service.machines.len()).collect();
     let max = |counts: &[usize]| counts.iter().copied().max().unwrap_or(0);
-    let calls_per_second: f64 = called.iter().map(|s| services[*s].rate).sum();
+    let calls_per_second: f64 = called.iter().map(|s| services[*s].call_rate).sum();
     let rows = [
         ("services", services.len()),
         ("services called by proxies (the others: by clients only)", called.len()),
