--- a/crates/balancer-proxy/src/control/config/tests/page.rs
+++ b/crates/balancer-proxy/src/control/config/tests/page.rs
@@ -4,10 +4,10 @@
 use std::path::{Path, PathBuf};
 
 /// Number of cells in a row of the page: name, type, range, default, in force, effect.
-const CELLS: usize = 6;
+const CELLS_PER_ROW: usize = 6;
 /// The types of keys whose value is a string.
 pub(super) const TEXT_TYPES: [&str; 2] = ["text", "address"];
-/// Marks a type of which null is a value.
+/// Suffix of a type that includes null.
 pub(super) const OR_NULL: &str = " or null";
 
 /// A row of the page.
@@ -25,7 +25,7 @@
         self.name.starts_with("RELAY_")
     }
 
-    /// Returns whether null is a value of the key.
+    /// Returns whether the key accepts null.
     pub fn accepts_null(&self) -> bool {
         self.value_type.ends_with(OR_NULL)
     }
@@ -36,22 +36,22 @@
     }
 }
 
-/// Returns a path of the repository.
+/// Returns the path of a file in the repository.
 pub(super) fn repository_path(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path)
 }
 
 /// Returns the text of the page.
-pub(super) fn page() -> String {
+pub(super) fn read_page() -> String {
     fs::read_to_string(repository_path("docs/configuration.md")).unwrap()
 }
 
 /// Returns the rows of all tables whose first cell is a name in backquotes.
-pub(super) fn rows(page: &str) -> Vec<Row> {
+pub(super) fn parse_rows(page: &str) -> Vec<Row> {
     let rows = page.lines().filter(|line| line.starts_with("| `"));
     rows.map(|line| {
         let cells: Vec<_> = line.trim_matches('|').split('|').map(str::trim).collect();
-        assert_eq!(cells.len(), CELLS, "{line}");
+        assert_eq!(cells.len(), CELLS_PER_ROW, "{line}");
         assert!(cells.iter().all(|cell| !cell.is_empty()), "an empty cell: {line}");
         Row {
             name: cells[0].trim_matches('`').to_string(),
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The endpoint list in the JSON of discovery, and its translation for the decision module, which has
-//! ids in place of the names of backends and zones.
+//! The JSON format of the endpoint list from discovery, and the translation of the list for the decision
+//! module, which uses ids in place of the names of backends and zones.
 
 mod zone_names;
 
@@ -11,8 +11,9 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// Parameters of the 32-bit FNV-1a hash (Fowler, Noll and Vo).
+/// The initial value of the 32-bit FNV-1a hash (Fowler, Noll and Vo).
 const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+/// The multiplier of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
@@ -25,7 +26,7 @@
 pub struct RawEndpointList {
     /// Number of the list, which increases with each change.
     pub(super) generation: u64,
-    /// Whether the list is complete, so that endpoints that it does not have are gone.
+    /// Whether the list is complete, so that an endpoint that the list lacks is gone.
     pub(super) reset: bool,
     /// All endpoints if the list is complete, or else the endpoints that have changed.
     pub(super) instances: Vec<RawEndpoint>,
@@ -45,9 +46,9 @@
     /// Number of the cell of the backend.
     #[serde(default)]
     cell: u32,
-    /// Whether the backend takes new requests.
+    /// Whether the backend accepts new requests.
     lifecycle: RawLifecycle,
-    /// Weight by which load is divided among the backends; not below 0.
+    /// Relative share of the load that the backend receives; [`DEFAULT_WEIGHT`] if absent or invalid.
     weight: Option<f64>,
     /// Unix time of the start of the backend, in milliseconds; 0 if the backend started long ago.
     #[serde(default)]
@@ -72,66 +73,68 @@
     }
 }
 
-/// The ids of backends and zones in this process, by their names.
+/// Maps the names of backends and zones to their ids in this process.
 #[derive(Debug)]
 pub(super) struct EndpointNames {
     /// The zones of the settings and of the known backends.
     zones: ZoneNames,
     /// The id of each backend, by its name.
-    ids: HashMap<String, BackendId>,
-    /// All values of `ids`, so that a free id is found without a search through the map.
-    assigned_ids: HashSet<BackendId>,
+    backend_ids: HashMap<String, BackendId>,
+    /// All values of `backend_ids`, for a fast check whether an id is free.
+    assigned_backend_ids: HashSet<BackendId>,
     /// The zone of each listed backend.
-    zone_of: HashMap<BackendId, ZoneId>,
+    backend_zones: HashMap<BackendId, ZoneId>,
 }
 
 impl EndpointNames {
-    /// Creates a table with these zones of the settings and no backends.
+    /// Creates a table with the zones of the settings and without backends.
     pub(super) fn new(zones: &[String]) -> Self {
         Self {
             zones: ZoneNames::from_settings(zones),
-            ids: HashMap::new(),
-            assigned_ids: HashSet::new(),
-            zone_of: HashMap::new(),
+            backend_ids: HashMap::new(),
+            assigned_backend_ids: HashSet::new(),
+            backend_zones: HashMap::new(),
         }
     }
 
-    /// Returns the id of a zone that settings or backends in use have named.
+    /// Returns the id of a zone, or `None` if neither settings nor a backend in use has named the zone.
     pub(super) fn find_zone(&self, name: &str) -> Option<ZoneId> {
         self.zones.find(name)
     }
 
-    /// Returns the id of a zone that the settings in force name. A new zone gets the next id, and keeps that id.
-    pub(super) fn settings_zone(&mut self, name: &str) -> ZoneId {
-        self.zones.id_for_settings(name)
+    /// Returns the id of a zone in the settings in force. A new zone gets the next id. The zone keeps its id
+    /// for as long as the process runs.
+    pub(super) fn assign_settings_zone(&mut self, name: &str) -> ZoneId {
+        self.zones.assign_for_settings(name)
     }
 
     /// Returns the id of a backend: the hash of its name, or the next free number if another backend has
-    /// that id. All proxies thus use the same ids, by which they divide the backends among themselves.
-    pub(super) fn id(&mut self, name: &str) -> BackendId {
-        if let Some(&id) = self.ids.get(name) {
+    /// that id. Proxies thus use the same ids, which they need to divide the backends among themselves.
+    pub(super) fn backend_id(&mut self, name: &str) -> BackendId {
+        if let Some(&id) = self.backend_ids.get(name) {
             return id;
         }
         let mut id = BackendId(fnv1a(name));
-        while self.assigned_ids.contains(&id) {
+        while self.assigned_backend_ids.contains(&id) {
             id = BackendId(id.0.wrapping_add(1));
         }
-        self.assigned_ids.insert(id);
-        self.ids.insert(name.to_string(), id);
+        self.assigned_backend_ids.insert(id);
+        self.backend_ids.insert(name.to_string(), id);
         id
     }
 
-    /// Releases the ids of all backends that are not in use, and the names of zones that no other backend is
-    /// in. A backend that returns gets the same id again, as the id depends on the name.
+    /// Releases the ids of all backends that are not in use, and of all zones without a backend in use,
+    /// except for zones in settings. A backend that is listed again gets the same id, as the id depends on
+    /// the name.
     pub(super) fn retain_backends(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
-        self.ids.retain(|_, id| is_in_use(*id));
-        self.assigned_ids.retain(|id| is_in_use(*id));
-        self.zone_of.retain(|id, _| is_in_use(*id));
-        let zones_in_use: HashSet<ZoneId> = self.zone_of.values().copied().collect();
+        self.backend_ids.retain(|_, id| is_in_use(*id));
+        self.assigned_backend_ids.retain(|id| is_in_use(*id));
+        self.backend_zones.retain(|id, _| is_in_use(*id));
+        let zones_in_use: HashSet<ZoneId> = self.backend_zones.values().copied().collect();
         self.zones.retain(|zone| zones_in_use.contains(&zone));
     }
 
-    /// Translates endpoints. Their start times become times of `clock`.
+    /// Translates endpoints, and converts their start times to times of `clock`.
     pub(super) fn translate(&mut self, raw: Vec<RawEndpoint>, clock: &Clock) -> Vec<ListedEndpoint> {
         raw.into_iter().map(|raw| self.translate_endpoint(&raw, clock)).collect()
     }
@@ -139,9 +142,9 @@
     fn translate_endpoint(&mut self, raw: &RawEndpoint, clock: &Clock) -> ListedEndpoint {
         let is_valid_weight = |weight: &f64| weight.is_finite() && *weight >= 0.0;
         let started_at_seconds = raw.started_at_ms / MILLISECONDS_PER_SECOND;
-        let id = self.id(&raw.instance_id);
-        let zone = self.zones.id(&raw.zone);
-        self.zone_of.insert(id, zone);
+        let id = self.backend_id(&raw.instance_id);
+        let zone = self.zones.find_or_assign(&raw.zone);
+        self.backend_zones.insert(id, zone);
         let endpoint = Endpoint {
             id,
             cell: CellId(raw.cell),
--- a/crates/balancer-proxy/src/control/maintenance.rs
+++ b/crates/balancer-proxy/src/control/maintenance.rs
@@ -26,18 +26,20 @@
     store: Rc<MaintenanceStore>,
     discovery: Rc<Discovery>,
     engine: Rc<Engine>,
-    /// Ids of the backends that the engine has in maintenance, as it was notified last.
-    applied: RefCell<BTreeSet<String>>,
+    /// Ids of the backends in maintenance as of the last notification of the engine.
+    applied_in_maintenance: RefCell<BTreeSet<String>>,
 }
 
 impl Maintenance {
-    /// Notifies the engine of the backends in maintenance now, and of each change from then on.
+    /// Notifies the engine of the backends in maintenance, and spawns a task that notifies the engine of each
+    /// later change.
     ///
     /// # Panics
     ///
-    /// Panics outside of a [`tokio::task::LocalSet`], on which the store is polled.
+    /// Panics outside of a [`tokio::task::LocalSet`], on which the task is spawned.
     pub fn start(store: Rc<MaintenanceStore>, discovery: Rc<Discovery>, engine: Rc<Engine>) -> Rc<Self> {
-        let maintenance = Rc::new(Self { store, discovery, engine, applied: RefCell::default() });
+        let maintenance =
+            Rc::new(Self { store, discovery, engine, applied_in_maintenance: RefCell::default() });
         maintenance.notify_engine();
         tokio::task::spawn_local(maintenance.clone().poll_store());
         maintenance
@@ -48,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// [`NeverListed`] if discovery has listed the backend to no process of this address.
+    /// [`NeverListed`] if discovery has never listed the backend to any process on this address.
     pub async fn set_state(&self, backend: &str, state: MaintenanceState) -> Result<(), NeverListed> {
         self.store.refresh();
         if !self.store.record().ever_listed.contains(backend) {
@@ -59,7 +61,7 @@
         Ok(())
     }
 
-    /// Reads changes by another process and saves changes by this one, for as long as the process runs.
+    /// Periodically reads changes by another process and saves changes by this process. Never returns.
     async fn poll_store(self: Rc<Self>) {
         loop {
             tokio::time::sleep(STORE_POLL_INTERVAL).await;
@@ -72,7 +74,7 @@
     /// Notifies the engine of the differences between the record and the state applied last.
     fn notify_engine(&self) {
         let in_maintenance = self.store.record().in_maintenance.clone();
-        let previous = self.applied.replace(in_maintenance.clone());
+        let previous = self.applied_in_maintenance.replace(in_maintenance.clone());
         for backend in previous.symmetric_difference(&in_maintenance) {
             let is_in_maintenance = in_maintenance.contains(backend);
             let change = if is_in_maintenance { MaintenanceChange::Begins } else { MaintenanceChange::Ends };
--- a/crates/balancer-proxy/src/downstream/client_listener.rs
+++ b/crates/balancer-proxy/src/downstream/client_listener.rs
@@ -39,7 +39,7 @@
         sharing: AddressSharing,
         instance_lock: Option<&InstanceLock>,
     ) -> io::Result<Self> {
-        let offers = instance_lock.map(InstanceLock::other_listener_offers).unwrap_or_default();
+        let offers = instance_lock.map(InstanceLock::other_listener_offer_paths).unwrap_or_default();
         let listener = match receive_listener(&offers, address).await {
             Some(listener) => {
                 log!("balancer-proxy: the running process has handed its listener over");
@@ -63,7 +63,7 @@
     /// Offers the listener to a successor until the listener is closed. Without the offer, a successor binds
     /// its own listener, and connections that arrive while this listener is being closed may be reset.
     pub fn offer_to_successor(&mut self, instance_lock: &InstanceLock) {
-        let Some(path) = instance_lock.own_listener_offer() else { return };
+        let Some(path) = instance_lock.own_listener_offer_path() else { return };
         match ListenerOffer::start(path.clone(), &self.listener) {
             Ok(offer) => self.offer = Some(offer),
             Err(error) => {
