--- a/crates/repository-checks/src/lib.rs
+++ b/crates/repository-checks/src/lib.rs
@@ -1,4 +1,4 @@
-//! Checks of the repository as a whole, which no single crate can make of itself; they are in `tests/`.
+//! Checks that cover several crates, or files outside the crates. The checks are in `tests/`.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/repository-checks/tests/common/files.rs
+++ b/crates/repository-checks/tests/common/files.rs
@@ -9,7 +9,8 @@
 /// version control.
 const FOLDERS_WITHOUT_SOURCES: [&str; 4] = ["target", "journal", "logs", ".git"];
 
-/// Returns all files below a folder. The folder and the files are named relative to the root of the repository.
+/// Returns all files below a folder. The folder and the files are named relative to the root of the
+/// repository.
 pub fn files_below(folder: &Path) -> BTreeSet<PathBuf> {
     let mut files = BTreeSet::new();
     for entry in fs::read_dir(in_repository(folder)).unwrap() {
--- a/crates/repository-checks/tests/common/manifest.rs
+++ b/crates/repository-checks/tests/common/manifest.rs
@@ -4,19 +4,20 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Returns the names of the dependencies that a crate is built with, and not only tested with.
+/// Returns the names of the dependencies of a crate, without those that only its tests need.
 pub fn build_dependencies_of(crate_name: &str) -> BTreeSet<String> {
     let path = Path::new("crates").join(crate_name).join("Cargo.toml");
     dependencies_in(&files::read(&path))
 }
 
-/// Returns the names of the dependencies that the members of the workspace share.
+/// Returns the names of the dependencies that the workspace declares for its members.
 pub fn shared_dependencies() -> BTreeSet<String> {
     let manifest = files::read(Path::new("Cargo.toml"));
     keys_below(&manifest, |section| section == "workspace.dependencies")
 }
 
-/// Returns the names in all sections of a manifest with dependencies of the build, also those of one platform.
+/// Returns the names in the sections `dependencies` and `build-dependencies` of a manifest, including the
+/// sections for a single platform.
 pub fn dependencies_in(manifest: &str) -> BTreeSet<String> {
     keys_below(manifest, |section| {
         let kind = section.rsplit('.').next().unwrap_or_default();
@@ -24,7 +25,8 @@
     })
 }
 
-/// Returns the keys of the sections that are selected, and the last words of the headings of their subsections.
+/// Returns the keys of the selected sections, and the names of their subsections, such as `serde` for
+/// `[dependencies.serde]`.
 fn keys_below(manifest: &str, is_selected: impl Fn(&str) -> bool) -> BTreeSet<String> {
     let mut keys = BTreeSet::new();
     let mut is_inside = false;
@@ -46,7 +48,7 @@
     keys
 }
 
-/// Returns whether a line begins an entry, and does not continue the value of the entry before.
+/// Returns whether a line begins an entry. Any other line continues the value of the previous entry.
 fn starts_with_a_key(line: &str) -> bool {
     let is_key_character =
         |character: char| character.is_alphanumeric() || "-_\".".contains(character) || character == ' ';
--- a/crates/repository-checks/tests/common/source_code.rs
+++ b/crates/repository-checks/tests/common/source_code.rs
@@ -1,4 +1,4 @@
-//! The code of Rust files without the text that is not code.
+//! The code of Rust files without comments, the contents of literals, and unit tests.
 
 /// Returns the code of a file without comments, and with empty string and character literals.
 pub fn code_only(text: &str) -> String {
@@ -17,7 +17,7 @@
     code
 }
 
-/// Returns the code of a file like [`code_only`], without the unit tests.
+/// Returns the code of a file like [`code_only`], up to the first `#[cfg(test)]`.
 pub fn code_without_unit_tests(text: &str) -> String {
     let code = code_only(text);
     let (before_tests, _) = code.split_once("#[cfg(test)]").unwrap_or((&code, ""));
@@ -33,7 +33,7 @@
     CharacterLiteral,
 }
 
-/// A piece of the text.
+/// A comment, a literal or a single character of code.
 #[derive(Clone, Copy, Debug)]
 struct Token {
     kind: TokenKind,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns the length of a literal that begins and ends with this quotation mark.
+/// Returns the length in bytes of a literal that begins and ends with this quotation mark.
 fn quoted_length(text: &str, mark: char) -> usize {
     let mut is_escaped = false;
     for (position, character) in text.char_indices().skip(1) {
@@ -78,7 +78,8 @@
     text.len()
 }
 
-/// Returns the length of a raw string literal, such as `r#"a"#`; `None` for other text, such as `r#type`.
+/// Returns the length in bytes of a raw string literal, such as `r#"a"#`, or `None` for other text, such as
+/// `r#type`.
 fn raw_string_length(text: &str) -> Option<usize> {
     let after_prefix = text.strip_prefix('r')?;
     let hashes = after_prefix.len() - after_prefix.trim_start_matches('#').len();
--- a/crates/repository-checks/tests/source.rs
+++ b/crates/repository-checks/tests/decision_files.rs
@@ -1,4 +1,4 @@
-//! Limits on the decision module that the operators' reviews rest on.
+//! Limits on the files of the decision module. The operators rely on these limits when they review the files.
 
 mod common;
 
@@ -12,14 +12,14 @@
 const MAX_FILE_LINES: usize = 300;
 /// The longest line of a decision file, in characters.
 const MAX_LINE_CHARACTERS: usize = 110;
-/// The file that re-exports the types in which the decision module is spoken to.
+/// The file that re-exports the types of the decision module's interface.
 const INTERFACE: &str = "crates/balancer/src/interface/mod.rs";
 
 fn decision_files() -> BTreeSet<PathBuf> {
     files_below(Path::new("crates/balancer/src/decisions"))
 }
 
-/// Returns the files that the deploy file names as policy.
+/// Returns the files in the list `policy` of the deploy file.
 fn policy_files() -> BTreeSet<PathBuf> {
     let deploy = read(Path::new("deploy/balancer.toml"));
     let (_, list) = deploy.split_once("policy = [").unwrap();
@@ -30,21 +30,21 @@
 
 /// Returns a description of each limit that the text of a decision file exceeds.
 fn exceeded_limits(text: &str) -> Vec<String> {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     let lines = text.lines().count();
     if lines > MAX_FILE_LINES {
-        breaches.push(format!("{lines} lines"));
+        violations.push(format!("{lines} lines"));
     }
     for line in text.lines() {
         let characters = line.chars().count();
         if characters > MAX_LINE_CHARACTERS {
-            breaches.push(format!("a line of {characters} characters"));
+            violations.push(format!("a line of {characters} characters"));
         }
     }
-    breaches
+    violations
 }
 
-/// Returns the names of the constants that are times or other real numbers, or consist of them.
+/// Returns the names of the constants whose type is or contains `f64` or `Time`.
 fn tuning_constants(text: &str) -> Vec<String> {
     let code = code_only(text);
     let mut names = Vec::new();
@@ -64,22 +64,23 @@
 /// Returns the names of the types that the interface re-exports.
 fn interface_names(interface: &str) -> BTreeSet<String> {
     let paths = used_paths(&code_only(interface));
-    paths.into_iter().filter_map(|path| path.words.last().cloned()).collect()
+    paths.into_iter().filter_map(|path| path.segments.last().cloned()).collect()
 }
 
-/// Returns the imports of a decision file that do not name a type of the interface by `crate::interface`.
+/// Returns the imports of a decision file that import the interface by glob, or name a type of the interface
+/// by another path than `crate::interface`.
 fn indirect_imports(text: &str, interface: &BTreeSet<String>) -> Vec<String> {
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for path in used_paths(&code_only(text)) {
-        let words: Vec<_> = path.words.iter().map(String::as_str).collect();
-        let is_glob_of_interface = path.is_glob() && words.contains(&"interface");
-        let names_interface = words.last().is_some_and(|name| interface.contains(*name));
-        let is_direct = words.len() == 3 && words.starts_with(&["crate", "interface"]);
+        let segments: Vec<_> = path.segments.iter().map(String::as_str).collect();
+        let is_glob_of_interface = path.is_glob() && segments.contains(&"interface");
+        let names_interface = segments.last().is_some_and(|name| interface.contains(*name));
+        let is_direct = segments.len() == 3 && segments.starts_with(&["crate", "interface"]);
         if is_glob_of_interface || names_interface && !is_direct {
-            breaches.push(path.display());
+            violations.push(path.display());
         }
     }
-    breaches
+    violations
 }
 
 #[test]
@@ -88,11 +89,11 @@
 }
 
 #[test]
-fn each_decision_file_keeps_to_the_limits_of_lines_and_characters() {
+fn no_decision_file_exceeds_the_limits_of_lines_and_characters() {
     for file in decision_files() {
-        let breaches = exceeded_limits(&read(&file));
+        let violations = exceeded_limits(&read(&file));
 
-        assert!(breaches.is_empty(), "{}: {breaches:?}", file.display());
+        assert!(violations.is_empty(), "{}: {violations:?}", file.display());
     }
 }
 
@@ -106,21 +107,21 @@
 }
 
 #[test]
-fn decision_files_import_the_types_of_the_interface_from_there_by_name() {
+fn decision_files_import_interface_types_by_name_from_the_interface() {
     let interface = interface_names(&read(Path::new(INTERFACE)));
     assert!(interface.contains("Event") && interface.contains("Action"), "{interface:?}");
 
     let mut importing_files = 0;
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for file in decision_files() {
         let text = read(&file);
         importing_files += usize::from(text.contains("use crate::interface::"));
         let of_file = indirect_imports(&text, &interface);
-        breaches.extend(of_file.into_iter().map(|import| format!("{}: {import}", file.display())));
+        violations.extend(of_file.into_iter().map(|import| format!("{}: {import}", file.display())));
     }
 
-    assert!(breaches.is_empty(), "{breaches:#?}");
-    assert!(importing_files > 1, "decisions are made on events, which the interface defines");
+    assert!(violations.is_empty(), "{violations:#?}");
+    assert!(importing_files > 1, "only {importing_files} decision files import the interface");
 }
 
 #[test]
@@ -133,9 +134,9 @@
 use super::Event as Happening;
 ";
 
-    let breaches = indirect_imports(text, &interface);
+    let violations = indirect_imports(text, &interface);
 
-    assert_eq!(breaches, ["crate::interface::*", "crate::Outcome", "super::Event"]);
+    assert_eq!(violations, ["crate::interface::*", "crate::Outcome", "super::Event"]);
 }
 
 #[test]
@@ -144,17 +145,17 @@
     let sources = files_below(Path::new("crates/balancer/src"));
 
     let mut files_with_constants = 0;
-    let mut breaches = Vec::new();
+    let mut violations = Vec::new();
     for file in sources {
         let constants = tuning_constants(&read(&file));
         files_with_constants += usize::from(!constants.is_empty());
         if !constants.is_empty() && !policy.contains(&file) {
-            breaches.push(format!("{}: {constants:?}", file.display()));
+            violations.push(format!("{}: {constants:?}", file.display()));
         }
     }
 
     assert!(files_with_constants > 5, "tuning constants found only in {files_with_constants} files");
-    assert!(breaches.is_empty(), "{breaches:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
--- a/crates/repository-checks/tests/dependencies.rs
+++ b/crates/repository-checks/tests/dependencies.rs
@@ -1,16 +1,17 @@
-//! The decision module stays free of I/O and of formats, and the crates that operators build stay free of the
-//! dependencies of the scale tests.
+//! Checks that the decision module depends on no crate for I/O or data formats, and that the crates that
+//! operators build depend on nothing that only the scale tests need.
 
 mod common;
 
 use common::manifest::{build_dependencies_of, dependencies_in, shared_dependencies};
 use std::collections::BTreeSet;
 
-/// The crates for I/O and formats that the decision module must not depend on. A crate whose name extends one of
-/// these by `-` or `_`, such as `hyper-util`, counts as the same.
+/// The crates for I/O and data formats on which the decision module must not depend. A crate whose name
+/// continues one of these names after `-` or `_`, such as `hyper-util`, is forbidden too.
 const FORBIDDEN_IN_THE_DECISION_MODULE: [&str; 3] = ["tokio", "hyper", "serde"];
 /// The crates that operators build.
-const OPERATORS_CRATES: [&str; 4] = ["balancer", "balancer-settings", "balancer-proxy", "simulator-adapter"];
+const CRATES_BUILT_BY_OPERATORS: [&str; 4] =
+    ["balancer", "balancer-settings", "balancer-proxy", "simulator-adapter"];
 
 /// Returns the dependencies that are forbidden in the decision module.
 fn forbidden_among(dependencies: &BTreeSet<String>) -> Vec<&String> {
@@ -23,7 +24,7 @@
     dependencies.iter().filter(is_forbidden).collect()
 }
 
-/// Returns the dependencies of the scale tests that the members of the workspace do not share.
+/// Returns the dependencies of the scale tests that the workspace does not declare for all of its members.
 fn own_dependencies_of_the_scale_tests() -> BTreeSet<String> {
     let shared = shared_dependencies();
     build_dependencies_of("fleet-bench").difference(&shared).cloned().collect()
@@ -44,12 +45,12 @@
     let of_scale_tests = own_dependencies_of_the_scale_tests();
     assert!(of_scale_tests.contains("clap"), "no dependencies read: {of_scale_tests:?}");
 
-    for crate_name in OPERATORS_CRATES {
+    for crate_name in CRATES_BUILT_BY_OPERATORS {
         let dependencies = build_dependencies_of(crate_name);
-        let breaches: Vec<_> = dependencies.intersection(&of_scale_tests).collect();
+        let forbidden: Vec<_> = dependencies.intersection(&of_scale_tests).collect();
 
         assert!(!dependencies.is_empty(), "{crate_name}: no dependencies read");
-        assert!(breaches.is_empty(), "{crate_name} depends on {breaches:?}");
+        assert!(forbidden.is_empty(), "{crate_name} depends on {forbidden:?}");
         assert!(!dependencies.contains("fleet-bench"), "{crate_name} depends on the scale tests");
     }
 }
--- a/crates/repository-checks/tests/documentation.rs
+++ b/crates/repository-checks/tests/documentation.rs
@@ -1,14 +1,16 @@
-//! The pages for operators and newcomers name only existing files.
+//! Checks that the pages for operators and new engineers name only existing files and modules.
 
 use repository_checks::in_repository;
 use std::fs;
 use std::path::Path;
 
-/// The page that names the modules of the concerns, and where their list begins and ends.
+/// The page that lists the concerns of the decision module.
 const CONTRIBUTING: &str = "CONTRIBUTING.md";
+/// The text before the list of concerns.
 const CONCERNS_BEGIN: &str = "in a module named after it, with private fields:";
+/// The text after the list of concerns.
 const CONCERNS_END: &str = ". ";
-/// The folder of these modules.
+/// The folder of the modules that are named after the concerns.
 const DECISIONS: &str = "crates/balancer/src/decisions";
 /// The pages whose paths are checked.
 const PAGES: [&str; 10] = [
@@ -23,15 +25,16 @@
     "docs/open.md",
     "docs/runbook.md",
 ];
-/// The folders with which a path of the repository may begin.
+/// The folders at the beginning of a word that mark it as a path of the repository.
 const FOLDERS: [&str; 6] = ["crates/", "src/", "tests/", "docs/", "deploy/", ".ci/"];
-/// The endings by which a word is taken for a path of the repository.
+/// The endings of a word that mark it as a path of the repository.
 const ENDINGS: [&str; 4] = [".rs", ".md", ".toml", ".json"];
-/// The beginnings of paths outside the repository: the operators' kit, and files of a machine in service.
-const FOREIGN: [&str; 5] = ["more/", "sites/", "bin/", "KIT/", "/"];
+/// The beginnings of paths outside the repository: files of the operators' kit, and files on production
+/// machines.
+const OUTSIDE_PREFIXES: [&str; 5] = ["more/", "sites/", "bin/", "KIT/", "/"];
 
-fn is_foreign(word: &str) -> bool {
-    FOREIGN.iter().any(|prefix| word.starts_with(prefix))
+fn is_outside_the_repository(word: &str) -> bool {
+    OUTSIDE_PREFIXES.iter().any(|prefix| word.starts_with(prefix))
 }
 
 fn looks_like_a_path(word: &str) -> bool {
@@ -43,12 +46,12 @@
 /// are relative to the page.
 fn paths_in(page: &str, text: &str) -> Vec<String> {
     let folder = Path::new(page).parent().unwrap_or(Path::new(""));
-    let is_mark = |c: char| c.is_whitespace() || "`()[],;|\"'<>".contains(c);
+    let is_separator = |c: char| c.is_whitespace() || "`()[],;|\"'<>".contains(c);
     let mut paths = Vec::new();
-    for word in text.split(is_mark) {
+    for word in text.split(is_separator) {
         let word = word.trim_end_matches(['.', ':']);
         let is_pattern = word.contains('*') || word.contains('$') || word.contains("ADDRESS");
-        if !looks_like_a_path(word) || is_foreign(word) || is_pattern {
+        if !looks_like_a_path(word) || is_outside_the_repository(word) || is_pattern {
             continue;
         }
         let from_root = Path::new(word);
@@ -88,7 +91,7 @@
     list.split('`').skip(1).step_by(2).collect()
 }
 
-/// Returns whether a concern has a module of its name.
+/// Returns whether a module is named after the concern.
 fn is_module(concern: &str) -> bool {
     let folder = in_repository(DECISIONS);
     folder.join(format!("{concern}.rs")).exists() || folder.join(concern).join("mod.rs").exists()
--- a/crates/repository-checks/tests/file_length.rs
+++ b/crates/repository-checks/tests/file_length.rs
@@ -1,4 +1,4 @@
-//! Rust files stay short enough to be read in one go.
+//! Checks that no Rust file exceeds the line limit, so that each file can be read in one go.
 
 mod common;
 
@@ -14,15 +14,15 @@
 }
 
 /// Returns the files with more lines than allowed, each with the number of lines.
-fn too_long(files: &[RustFile]) -> Vec<String> {
-    let mut breaches = Vec::new();
+fn files_over_the_limit(files: &[RustFile]) -> Vec<String> {
+    let mut violations = Vec::new();
     for RustFile { path, text } in files {
         let lines = text.lines().count();
         if lines > MAX_LINES {
-            breaches.push(format!("{path}: {lines} lines"));
+            violations.push(format!("{path}: {lines} lines"));
         }
     }
-    breaches
+    violations
 }
 
 #[test]
@@ -31,10 +31,10 @@
         |path: std::path::PathBuf| RustFile { text: read(&path), path: path.display().to_string() };
     let files: Vec<_> = rust_files().into_iter().map(read_file).collect();
 
-    let breaches = too_long(&files);
+    let violations = files_over_the_limit(&files);
 
     assert!(files.len() > 200, "only {} Rust files found", files.len());
-    assert!(breaches.is_empty(), "{breaches:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
@@ -42,7 +42,7 @@
     let with_lines = |path: &str, lines| RustFile { path: path.to_string(), text: "//\n".repeat(lines) };
     let files = [with_lines("allowed.rs", MAX_LINES), with_lines("planted.rs", MAX_LINES + 1)];
 
-    let breaches = too_long(&files);
+    let violations = files_over_the_limit(&files);
 
-    assert_eq!(breaches, ["planted.rs: 301 lines"]);
+    assert_eq!(violations, ["planted.rs: 301 lines"]);
 }
--- a/crates/repository-checks/tests/imports.rs
+++ b/crates/repository-checks/tests/imports.rs
@@ -1,4 +1,4 @@
-//! Imports name each item, so that a reader can find the origin of every name in a file.
+//! Checks that imports name each item, so that a reader can find the origin of every name in a file.
 
 mod common;
 
@@ -7,14 +7,14 @@
 use common::use_declarations::{UsedPath, used_paths};
 use std::path::Path;
 
-/// Returns whether a file may import the path by glob: only tests may, and only the prelude of a crate.
+/// Returns whether the path is the glob of a prelude in a test. No other globs are allowed.
 fn is_prelude_of_a_test(file: &Path, path: &UsedPath) -> bool {
     let is_test = file.iter().any(|folder| folder == "tests");
-    let words: Vec<_> = path.words.iter().map(String::as_str).collect();
-    is_test && words.ends_with(&["prelude", "*"])
+    let segments: Vec<_> = path.segments.iter().map(String::as_str).collect();
+    is_test && segments.ends_with(&["prelude", "*"])
 }
 
-/// Returns the imports and re-exports by glob that a file with this text may not have.
+/// Returns the forbidden imports and re-exports by glob in the text of a file.
 fn forbidden_globs(file: &Path, text: &str) -> Vec<String> {
     let paths = used_paths(&code_only(text));
     let is_forbidden = |path: &&UsedPath| path.is_glob() && !is_prelude_of_a_test(file, path);
@@ -26,10 +26,10 @@
 fn only_tests_import_by_glob_and_only_preludes() {
     let files = rust_files();
 
-    let breaches: Vec<_> = files.iter().flat_map(|file| forbidden_globs(file, &read(file))).collect();
+    let violations: Vec<_> = files.iter().flat_map(|file| forbidden_globs(file, &read(file))).collect();
 
     assert!(files.len() > 200, "only {} Rust files found", files.len());
-    assert!(breaches.is_empty(), "{breaches:#?}");
+    assert!(violations.is_empty(), "{violations:#?}");
 }
 
 #[test]
--- a/crates/repository-checks/tests/layers.rs
+++ b/crates/repository-checks/tests/layers.rs
@@ -1,5 +1,4 @@
-//! No two files import one another, directly or through others, and each layer of the proxy imports only from
-//! the layers below.
+//! Checks that the modules of a crate have no import cycle, and that no layer imports a layer above it.
 
 mod common;
 
@@ -10,7 +9,7 @@
 use std::fs;
 use std::path::Path;
 
-/// The path of a module below its crate, such as `proxy::engine::timers`.
+/// The path of a module in its crate, such as `engine::timers`.
 type ModulePath = Vec<String>;
 
 /// A file of a crate.
@@ -50,33 +49,35 @@
 impl Crate {
     fn read(source: &Path) -> Self {
         let files = module_files(source, &[]);
-        let known: BTreeSet<ModulePath> = files.iter().map(|file| file.module.clone()).collect();
+        let crate_modules: BTreeSet<ModulePath> = files.iter().map(|file| file.module.clone()).collect();
         let mut imports = BTreeMap::new();
         for ModuleFile { module, code } in files {
-            let imported = imports_of(&module, &code, &known);
+            let imported = imports_of(&module, &code, &crate_modules);
             imports.insert(module, imported);
         }
         Self { imports }
     }
 
-    /// Returns the modules of an import cycle, if there is one. The last module is the first one again.
+    /// Returns the modules along an import cycle, or `None` if there is none. The cycle begins and ends with
+    /// the same module.
     fn cycle(&self) -> Option<Vec<ModulePath>> {
         self.imports.keys().find_map(|start| self.import_path(start, start, &mut BTreeSet::new()))
     }
 
-    /// Returns a chain of imports from one module to another, if there is one beyond the modules `seen`.
+    /// Returns a chain of imports from one module to another, or `None` if there is none. The search skips
+    /// the modules in `visited`, and adds each module that it visits.
     fn import_path(
         &self,
         from: &ModulePath,
         to: &ModulePath,
-        seen: &mut BTreeSet<ModulePath>,
+        visited: &mut BTreeSet<ModulePath>,
     ) -> Option<Vec<ModulePath>> {
         for next in &self.imports[from] {
             if next == to {
                 return Some(vec![from.clone(), to.clone()]);
             }
-            if seen.insert(next.clone())
-                && let Some(rest) = self.import_path(next, to, seen)
+            if visited.insert(next.clone())
+                && let Some(rest) = self.import_path(next, to, visited)
             {
                 return Some([vec![from.clone()], rest].concat());
             }
@@ -85,14 +86,15 @@
     }
 }
 
-/// Returns the modules of the crate that a module imports by `use`. A folder's own module re-exports its files, so
-/// that a path through it counts as an import of the file that is named, or of the folder's own module.
-fn imports_of(module: &ModulePath, code: &str, known: &BTreeSet<ModulePath>) -> BTreeSet<ModulePath> {
+/// Returns the modules of the crate that a module imports by `use`. Re-exports do not count. A `mod.rs`
+/// re-exports items of the files in its folder. A path that names a file counts as an import of that file,
+/// and any other path into the folder as an import of its `mod.rs`.
+fn imports_of(module: &ModulePath, code: &str, crate_modules: &BTreeSet<ModulePath>) -> BTreeSet<ModulePath> {
     let mut imports = BTreeSet::new();
     for path in used_paths(code).into_iter().filter(|path| !path.is_re_export) {
-        let absolute = absolute_path(module, &path.words);
-        let mut named = (1..=absolute.len()).rev().map(|length| absolute[..length].to_vec());
-        if let Some(import) = named.find(|path| known.contains(path))
+        let absolute = absolute_path(module, &path.segments);
+        let mut prefixes = (1..=absolute.len()).rev().map(|length| absolute[..length].to_vec());
+        if let Some(import) = prefixes.find(|path| crate_modules.contains(path))
             && import != *module
         {
             imports.insert(import);
@@ -101,76 +103,78 @@
     imports
 }
 
-/// Returns the path below the crate for a path that a module uses.
-fn absolute_path(module: &ModulePath, words: &[String]) -> ModulePath {
-    match words.first().map(String::as_str) {
-        Some("crate") => words[1..].to_vec(),
-        Some("self") => [module.as_slice(), &words[1..]].concat(),
+/// Returns the path from the root of the crate for a path in a `use` declaration of a module.
+fn absolute_path(module: &ModulePath, segments: &[String]) -> ModulePath {
+    match segments.first().map(String::as_str) {
+        Some("crate") => segments[1..].to_vec(),
+        Some("self") => [module.as_slice(), &segments[1..]].concat(),
         Some("super") => {
-            let supers = words.iter().take_while(|word| *word == "super").count();
+            let supers = segments.iter().take_while(|segment| *segment == "super").count();
             let kept = module.len().saturating_sub(supers);
-            [&module[..kept], &words[supers..]].concat()
+            [&module[..kept], &segments[supers..]].concat()
         }
-        _ => [module.as_slice(), words].concat(),
+        _ => [module.as_slice(), segments].concat(),
     }
 }
 
-fn sources_of(name: &str) -> std::path::PathBuf {
-    in_repository("crates").join(name).join("src")
+fn source_folder(crate_name: &str) -> std::path::PathBuf {
+    in_repository("crates").join(crate_name).join("src")
 }
 
-fn words(path: &str) -> ModulePath {
+fn module_path(path: &str) -> ModulePath {
     path.split("::").map(str::to_string).collect()
 }
 
-/// A crate, and the number of modules that a check of the crate must at least find.
-struct CrateSize {
+/// A crate whose imports are checked.
+struct CheckedCrate {
     name: &'static str,
-    least_modules: usize,
+    /// The check fails if it finds no more modules than this number, because it has then not read all sources.
+    module_count_floor: usize,
 }
 
 #[test]
-fn no_file_imports_itself_through_others() {
+fn no_crate_has_an_import_cycle() {
     let crates = [
-        CrateSize { name: "balancer", least_modules: 30 },
-        CrateSize { name: "balancer-settings", least_modules: 4 },
-        CrateSize { name: "balancer-proxy", least_modules: 50 },
-        CrateSize { name: "simulator-adapter", least_modules: 10 },
-        CrateSize { name: "fleet-bench", least_modules: 50 },
+        CheckedCrate { name: "balancer", module_count_floor: 30 },
+        CheckedCrate { name: "balancer-settings", module_count_floor: 4 },
+        CheckedCrate { name: "balancer-proxy", module_count_floor: 50 },
+        CheckedCrate { name: "simulator-adapter", module_count_floor: 10 },
+        CheckedCrate { name: "fleet-bench", module_count_floor: 50 },
     ];
-    for CrateSize { name, least_modules } in crates {
-        let modules = Crate::read(&sources_of(name));
+    for CheckedCrate { name, module_count_floor } in crates {
+        let modules = Crate::read(&source_folder(name));
 
-        assert!(modules.imports.len() > least_modules, "{name}: {} modules", modules.imports.len());
+        assert!(modules.imports.len() > module_count_floor, "{name}: {} modules", modules.imports.len());
         assert_eq!(modules.cycle(), None, "{name}");
     }
 }
 
 /// A layer of a crate.
 struct Layer {
-    /// The path of the module, or of the folder, that makes up the layer.
+    /// The path of the module or folder that forms the layer.
     name: &'static str,
-    /// The layers above.
+    /// The paths of the layers above this layer.
     above: &'static [&'static str],
 }
 
 /// Asserts that no module of a layer imports a module of the layers above it.
 fn assert_layers(modules: &Crate, layers: &[Layer]) {
     for Layer { name, above } in layers {
-        let is_in_layer = |(module, _): &(&ModulePath, _)| module.starts_with(&words(name));
+        let is_in_layer = |(module, _): &(&ModulePath, _)| module.starts_with(&module_path(name));
         let files: Vec<_> = modules.imports.iter().filter(is_in_layer).collect();
         assert!(!files.is_empty(), "the layer {name} has no module");
         for (module, imports) in files {
-            let breach =
-                imports.iter().find(|import| above.iter().any(|above| import.starts_with(&words(above))));
-            assert_eq!(breach, None, "imported by {module:?}");
+            let forbidden = imports
+                .iter()
+                .find(|import| above.iter().any(|above| import.starts_with(&module_path(above))));
+            assert_eq!(forbidden, None, "{module:?} imports a layer above the layer {name}");
         }
     }
 }
 
 #[test]
-fn the_layers_of_the_proxy_import_only_what_lies_below_them() {
-    let proxy = Crate::read(&sources_of("balancer-proxy"));
+fn no_layer_of_the_proxy_imports_a_layer_above() {
+    let proxy = Crate::read(&source_folder("balancer-proxy"));
 
     assert_layers(
         &proxy,
@@ -188,10 +192,11 @@
 
 #[test]
 fn the_interface_of_the_decision_module_imports_nothing_else_of_the_crate() {
-    let balancer = Crate::read(&sources_of("balancer"));
-    let interface = balancer.imports.iter().filter(|(module, _)| module.starts_with(&words("interface")));
+    let balancer = Crate::read(&source_folder("balancer"));
+    let interface =
+        balancer.imports.iter().filter(|(module, _)| module.starts_with(&module_path("interface")));
 
-    let is_outside = |import: &&ModulePath| !import.starts_with(&words("interface"));
+    let is_outside = |import: &&ModulePath| !import.starts_with(&module_path("interface"));
     let imports: Vec<_> = interface.clone().flat_map(|(_, imports)| imports).filter(is_outside).collect();
 
     assert!(interface.count() > 4, "modules of the interface are missing");
@@ -200,16 +205,16 @@
 
 #[test]
 fn the_data_structures_of_the_decision_module_import_no_decision() {
-    let balancer = Crate::read(&sources_of("balancer"));
+    let balancer = Crate::read(&source_folder("balancer"));
 
     assert_layers(&balancer, &[Layer { name: "support", above: &["decisions"] }]);
 }
 
 #[test]
 fn finds_a_planted_import_of_a_layer_above() {
-    let known = ["above", "below"].map(words).into();
-    let module = words("below");
-    let imports = imports_of(&module, "use crate::above::A;", &known);
+    let crate_modules = ["above", "below"].map(module_path).into();
+    let module = module_path("below");
+    let imports = imports_of(&module, "use crate::above::A;", &crate_modules);
     let planted = Crate { imports: [(module, imports)].into() };
 
     let check =
@@ -230,13 +235,14 @@
 
 #[test]
 fn finds_a_planted_import_cycle() {
-    let known = ["a", "b", "c"].map(words).into();
+    let crate_modules = ["a", "b", "c"].map(module_path).into();
     let codes =
         [("a", "use crate::b::B;"), ("b", "use super::c::{self, C};"), ("c", "use crate::{a::A, b};")];
-    let imports = codes.map(|(module, code)| (words(module), imports_of(&words(module), code, &known)));
+    let imports = codes
+        .map(|(module, code)| (module_path(module), imports_of(&module_path(module), code, &crate_modules)));
     let planted = Crate { imports: imports.into() };
 
     let cycle = planted.cycle();
 
-    assert_eq!(cycle, Some(["a", "b", "c", "a"].map(words).to_vec()));
+    assert_eq!(cycle, Some(["a", "b", "c", "a"].map(module_path).to_vec()));
 }
--- a/crates/repository-checks/tests/log_lines/logged_text.rs
+++ b/crates/repository-checks/tests/log_lines/logged_text.rs
@@ -12,18 +12,18 @@
 }
 
 impl LoggedText {
-    /// Creates a log line or an error text from a format with or without the names of placeholders.
+    /// Creates a log line or an error text from a format string. The names of its placeholders are removed.
     pub fn new(module: &str, text: &str) -> Self {
         Self { module: module.to_string(), text: without_placeholder_names(text) }
     }
 }
 
-/// The rows of the runbook and the texts of the sources without a counterpart.
+/// The differences between the texts of the sources and the rows of the runbook.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Differences {
     /// Texts of the sources without a row.
     pub missing_in_the_runbook: Vec<LoggedText>,
-    /// Rows whose text the sources do not have.
+    /// Rows without a text in the sources.
     pub not_in_the_sources: Vec<LoggedText>,
 }
 
@@ -47,7 +47,7 @@
     let mut parts = text.split('{');
     let mut plain = parts.next().unwrap_or_default().to_string();
     for part in parts {
-        let (_, after) = part.split_once('}').expect("a placeholder that ends");
+        let (_, after) = part.split_once('}').expect("the placeholder should end with `}`");
         plain.push_str("{}");
         plain.push_str(after);
     }
--- a/crates/repository-checks/tests/log_lines/main.rs
+++ b/crates/repository-checks/tests/log_lines/main.rs
@@ -1,8 +1,8 @@
-//! The runbook has a row for each line that the proxy logs, and for each error text that such a line may
-//! carry, and no row for a line or text that does not exist.
+//! Checks that the runbook has a row for each log line of the proxy and for each error text that a log line
+//! may contain, and that it has no other rows.
 //!
-//! A row and a line of the sources are compared by their module and their text. The names of placeholders do
-//! not count: `{error}`, `{}` and `{reason}` stand for any text.
+//! A row matches a text of the sources if the module and the text are equal. The names of placeholders are
+//! ignored: `{error}`, `{}` and `{reason}` are equal.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -44,7 +44,7 @@
 ";
 
 #[test]
-fn the_runbook_has_each_line_that_the_proxy_logs_and_no_other() {
+fn the_runbook_has_each_log_line_of_the_proxy_and_no_other() {
     let runbook = read(Path::new(RUNBOOK));
 
     let logged = log_lines_of(&source_files());
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_runbook_has_each_error_text_that_log_lines_carry_and_no_other() {
+fn the_runbook_has_each_error_text_of_log_lines_and_no_other() {
     let runbook = read(Path::new(RUNBOOK));
     let files = source_files();
 
--- a/crates/repository-checks/tests/log_lines/runbook.rs
+++ b/crates/repository-checks/tests/log_lines/runbook.rs
@@ -9,8 +9,8 @@
     let after_heading = page.lines().skip_while(|line| *line != heading);
     let table = after_heading.skip_while(|line| !line.starts_with('|'));
     let rows = table.take_while(|line| line.starts_with('|'));
-    let head_and_rule = 2;
-    rows.skip(head_and_rule).map(row).collect()
+    let header_lines = 2;
+    rows.skip(header_lines).map(row).collect()
 }
 
 fn row(line: &str) -> LoggedText {
@@ -20,8 +20,8 @@
     LoggedText::new(module, text)
 }
 
-/// Returns the content of a cell that consists of one piece of code.
+/// Returns the text between the backquotes of a cell.
 fn code_in(cell: &str) -> &str {
     let code = cell.trim().strip_prefix('`').and_then(|cell| cell.strip_suffix('`'));
-    code.unwrap_or_else(|| panic!("not in backquotes: {cell}"))
+    code.unwrap_or_else(|| panic!("a cell of the runbook is not in backquotes: {cell}"))
 }
--- a/crates/repository-checks/tests/log_lines/sources.rs
+++ b/crates/repository-checks/tests/log_lines/sources.rs
@@ -32,7 +32,8 @@
     /// Returns the string literals that directly follow `opening`, as formats or texts.
     ///
     /// # Panics
-    /// At a log line whose format is not a literal, as no row of the runbook can be compared with such a line.
+    /// Panics if the format of a log line is not a literal, because such a line cannot be compared with the
+    /// rows of the runbook.
     pub fn literals_after(&self, opening: &str) -> BTreeSet<LoggedText> {
         let mut literals = BTreeSet::new();
         for (position, _) in self.code.match_indices(opening) {
@@ -45,7 +46,11 @@
                 literals.insert(LoggedText::new(&self.module, &literal_content(literal)));
             } else {
                 let is_log_line = LOG_INVOCATIONS.contains(&opening);
-                assert!(!is_log_line, "in {}: not a literal: {argument}", self.module);
+                assert!(
+                    !is_log_line,
+                    "the format of a log line in {} is not a literal: {argument}",
+                    self.module
+                );
             }
         }
         literals
@@ -77,9 +82,9 @@
     let mut content = String::new();
     let mut characters = literal.chars();
     loop {
-        match characters.next().expect("a string literal that ends") {
+        match characters.next().expect("the string literal should end with a quotation mark") {
             '"' => return content,
-            '\\' => content.push(characters.next().expect("an escaped character")),
+            '\\' => content.push(characters.next().expect("a character should follow the backslash")),
             character => content.push(character),
         }
     }
--- a/crates/repository-checks/tests/source_code.rs
+++ b/crates/repository-checks/tests/source_code.rs
@@ -1,4 +1,4 @@
-//! The reading of Rust code that the checks rest on.
+//! Tests of the parser of Rust code that the other checks use.
 
 mod common;
 
