--- a/crates/balancer-settings/src/translation.rs
+++ b/crates/balancer-settings/src/translation.rs
@@ -67,7 +67,7 @@
             slow_start_overload_window: rules.tip_after.unwrap_or(defaults::SLOW_START_OVERLOAD_WINDOW),
             key_rest_duration: rules.settle_after_doubt.unwrap_or(defaults::KEY_REST_DURATION),
             idle_close_limit: rules.release_within,
-            quantum: self.quantum.unwrap_or(defaults::QUANTUM),
+            clock_resolution: self.quantum.unwrap_or(defaults::QUANTUM),
         })
     }
 }
--- a/crates/balancer-settings/tests/translation.rs
+++ b/crates/balancer-settings/tests/translation.rs
@@ -58,7 +58,7 @@
         slow_start_overload_window: 1.5,
         key_rest_duration: 0.2,
         idle_close_limit: Some(4.0),
-        quantum: 0.005,
+        clock_resolution: 0.005,
     }
 }
 
--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -126,7 +126,7 @@
         QuotaStatus::Within => 1.0,
         QuotaStatus::Exceeded => settings.over_quota_weight,
     };
-    let work = traffic.expected_latency(class).max(settings.quantum);
+    let work = traffic.expected_latency(class).max(settings.clock_resolution);
     quota_weight * settings.class(class).priority_weight / work
 }
 
@@ -135,7 +135,7 @@
 /// latency objective is the limit, because a call that waits longer only keeps backends busy.
 pub(super) fn effective_timeout(request: &Request, settings: &Settings) -> Time {
     let class = settings.class(request.class);
-    let timeout = request.timeout - RESPONSE_MARGIN_CLOCK_TICKS * settings.quantum;
+    let timeout = request.timeout - RESPONSE_MARGIN_CLOCK_TICKS * settings.clock_resolution;
     if class.late_priority_weight <= 0.0 { timeout.min(class.latency_objective) } else { timeout }
 }
 
--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -61,7 +61,7 @@
 
     /// Returns T1 for a call of a class with `time_left` until its deadline, both in seconds.
     fn t1(&self, class: ClassIndex, time_left: Time) -> Time {
-        first_interval(self.traffic.latency(class), time_left, self.settings.quantum)
+        first_interval(self.traffic.latency(class), time_left, self.settings.clock_resolution)
     }
 
     /// Returns whether a request of this rank is admitted. The overload level is the fraction of requests
--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -24,7 +24,7 @@
 impl Balancer {
     /// Returns the bounds of the next attempt of a call, or None if the call must not be sent.
     pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<PermittedAttempt> {
-        attempts::next_attempt(&self.calls[key], self.now, self.settings.quantum)
+        attempts::next_attempt(&self.calls[key], self.now, self.settings.clock_resolution)
     }
 
     /// Sends the next attempt of a call, if an attempt is permitted and a backend is available. Returns
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -26,9 +26,9 @@
         let orphan_key = self.ordered_keys.remove_orphan(ended.id, ended.attempt);
         let ordering_key = key.map_or(orphan_key, |key| self.calls[key].ordering_key());
         if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
-            // Clocks are rounded to the quantum. The additional quantum ensures that the key is blocked
+            // Times are rounded to the clock resolution. Adding the resolution ensures that the key is blocked
             // for the full duration.
-            let until = self.now + self.settings.key_rest_duration + self.settings.quantum;
+            let until = self.now + self.settings.key_rest_duration + self.settings.clock_resolution;
             self.ordered_keys.block_until(ordering_key, until);
         }
         match (key, orphan_key) {
--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -67,7 +67,7 @@
         self.class_latencies = class_latencies.chain([unobserved]).collect();
         // Rates are divided by a time span that approaches the time constant. The time constant must
         // therefore not be 0 under any settings.
-        let min_objective = settings.quantum.max(f64::EPSILON);
+        let min_objective = settings.clock_resolution.max(f64::EPSILON);
         let longest_objective =
             settings.classes.iter().map(|class| class.latency_objective).fold(min_objective, f64::max);
         self.time_constant = RATE_TIME_CONSTANT_T1_MULTIPLE * MAX_T1_FRACTION * longest_objective;
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -130,7 +130,7 @@
     pub idle_close_limit: Option<Time>,
     /// The resolution of timers and clocks, in seconds: the least difference between two distinct times that
     /// are passed to [`Balancer::handle`](crate::Balancer::handle).
-    pub quantum: Time,
+    pub clock_resolution: Time,
 }
 
 impl Settings {
@@ -196,7 +196,7 @@
             slow_start_overload_window: 1.0,
             key_rest_duration: 0.0,
             idle_close_limit: None,
-            quantum: 0.001,
+            clock_resolution: 0.001,
         }
     }
 }
--- a/crates/balancer/tests/concerns/admission.rs
+++ b/crates/balancer/tests/concerns/admission.rs
@@ -120,7 +120,7 @@
     let worthless_when_late = request_class("class", Effect::Safe);
     let of_use_when_late = RequestClass { late_priority_weight: 0.1, ..worthless_when_late.clone() };
     let classes = vec![worthless_when_late, of_use_when_late];
-    let settings = Settings { classes, quantum: 0.01, ..Settings::default() };
+    let settings = Settings { classes, clock_resolution: 0.01, ..Settings::default() };
     let useful = |class, timeout| effective_timeout(&Request { class, timeout, ..request(1) }, &settings);
 
     assert_close(useful(ClassIndex(0), 2.0), 1.0);
--- a/crates/balancer/tests/concerns/traffic.rs
+++ b/crates/balancer/tests/concerns/traffic.rs
@@ -39,7 +39,7 @@
     let with_one_class = traffic.time_constant();
     let longer = RequestClass { latency_objective: 2.0 * OBJECTIVE, ..RequestClass::default() };
     let with_longer = Settings { classes: vec![RequestClass::default(), longer], ..Settings::default() };
-    let without_times = Settings { quantum: 0.0, ..settings_with_classes(0) };
+    let without_times = Settings { clock_resolution: 0.0, ..settings_with_classes(0) };
 
     traffic.apply_settings(&with_longer, &[None, None]);
     let with_longer_class = traffic.time_constant();
--- a/crates/balancer/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -24,7 +24,7 @@
         slow_start_overload_multiple: 0.0,
         slow_start_overload_window: 0.0,
         endpoint_poll_limit: 0.0,
-        quantum: 0.0,
+        clock_resolution: 0.0,
         must_poll_endpoints: true,
         ..Settings::default()
     }
@@ -53,7 +53,7 @@
 fn serves_a_class_without_a_latency_objective() {
     // Guards against rates over a window of length zero, which are not a number.
     let mut settings = safe_settings();
-    settings.quantum = 0.0;
+    settings.clock_resolution = 0.0;
     settings.classes[0].latency_objective = 0.0;
     settings.classes[0].late_priority_weight = 0.5;
     let mut harness = BalancerHarness::new(settings, &endpoints(3));
--- a/crates/balancer/tests/replay/simulation.rs
+++ b/crates/balancer/tests/replay/simulation.rs
@@ -198,7 +198,7 @@
                 self.requests.remove(&id);
             }
             Action::SetTimer { at, token } => {
-                let lateness = self.settings.quantum * self.random.random::<f64>();
+                let lateness = self.settings.clock_resolution * self.random.random::<f64>();
                 self.agenda.add(at.max(self.now) + lateness, Occurrence::TimerDue(token));
             }
             Action::HealthCheck(backend) => {
