--- a/crates/balancer-settings/src/translation.rs
+++ b/crates/balancer-settings/src/translation.rs
@@ -65,7 +65,7 @@
                 .fall_multiple
                 .unwrap_or(defaults::SLOW_START_OVERLOAD_MULTIPLE),
             slow_start_overload_window: rules.tip_after.unwrap_or(defaults::SLOW_START_OVERLOAD_WINDOW),
-            key_rest_duration: rules.settle_after_doubt.unwrap_or(defaults::KEY_REST_DURATION),
+            key_block_duration: rules.settle_after_doubt.unwrap_or(defaults::KEY_REST_DURATION),
             idle_close_limit: rules.release_within,
             clock_resolution: self.quantum.unwrap_or(defaults::QUANTUM),
         })
--- a/crates/balancer-settings/tests/translation.rs
+++ b/crates/balancer-settings/tests/translation.rs
@@ -56,7 +56,7 @@
         slow_start_duration: 8.0,
         slow_start_overload_multiple: 2.5,
         slow_start_overload_window: 1.5,
-        key_rest_duration: 0.2,
+        key_block_duration: 0.2,
         idle_close_limit: Some(4.0),
         clock_resolution: 0.005,
     }
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -28,7 +28,7 @@
         if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
             // Times are rounded to the clock resolution. Adding the resolution ensures that the key is blocked
             // for the full duration.
-            let until = self.now + self.settings.key_rest_duration + self.settings.clock_resolution;
+            let until = self.now + self.settings.key_block_duration + self.settings.clock_resolution;
             self.ordered_keys.block_until(ordering_key, until);
         }
         match (key, orphan_key) {
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -124,7 +124,7 @@
     pub slow_start_overload_window: Time,
     /// The time for which no request of an ordering key is dispatched after an attempt of the key that may
     /// still be running, in seconds.
-    pub key_rest_duration: Time,
+    pub key_block_duration: Time,
     /// The time within which idle connections to a draining backend must be closed, in seconds; `None` if
     /// they may stay open.
     pub idle_close_limit: Option<Time>,
@@ -194,7 +194,7 @@
             slow_start_duration: 10.0,
             slow_start_overload_multiple: 3.0,
             slow_start_overload_window: 1.0,
-            key_rest_duration: 0.0,
+            key_block_duration: 0.0,
             idle_close_limit: None,
             clock_resolution: 0.001,
         }
--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -101,7 +101,7 @@
                 return Some("order: an earlier request is not finished");
             }
             let key_rests = |attempt: &Attempt| {
-                attempt.may_still_run() && now < attempt.ended_at + self.settings.key_rest_duration
+                attempt.may_still_run() && now < attempt.ended_at + self.settings.key_block_duration
             };
             if earlier.attempts.iter().any(key_rests) {
                 return Some("order: the key has not rested");
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -102,7 +102,7 @@
         max_attempts: 3,
         max_retry_after: 1.0,
         must_poll_endpoints: true,
-        key_rest_duration: 0.2,
+        key_block_duration: 0.2,
         idle_close_limit: Some(0.1),
         ..Settings::default()
     }
--- a/crates/balancer/tests/decisions/ordered_keys.rs
+++ b/crates/balancer/tests/decisions/ordered_keys.rs
@@ -11,7 +11,7 @@
     let mut settings = settings_with_effect(Effect::Unsafe);
     settings.classes[0].ordered_by_key = true;
     settings.classes[0].late_priority_weight = 0.5;
-    settings.key_rest_duration = 0.2;
+    settings.key_block_duration = 0.2;
     BalancerHarness::new(settings, &endpoints(4))
 }
 
--- a/crates/balancer/tests/replay/scenarios/requests.rs
+++ b/crates/balancer/tests/replay/scenarios/requests.rs
@@ -30,7 +30,7 @@
 }
 
 pub fn ordered_keys() -> Scenario {
-    let mut settings = Settings { key_rest_duration: 0.05, cancellation_allowed: false, ..settings() };
+    let mut settings = Settings { key_block_duration: 0.05, cancellation_allowed: false, ..settings() };
     for class in &mut settings.classes {
         class.ordered_by_key = true;
     }
