--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -47,7 +47,7 @@
             timeout: call.deadline() - self.now,
             write_within: write_deadline - self.now,
         });
-        self.calls.clear_lack_of_capacity(key);
+        self.calls.clear_unaccepted_attempt(key);
         self.schedule_health_check(actions);
         true
     }
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -93,7 +93,7 @@
             return; // another attempt may still be answered
         }
         if matches!(ended.outcome, Outcome::Rejected | Outcome::NoConnection) {
-            self.calls.record_lack_of_capacity(key);
+            self.calls.record_unaccepted_attempt(key);
         }
         if !self.calls[key].retry_timer().is_set() || self.permitted_attempt(key).is_none() {
             self.finish_unserved(key, actions);
--- a/crates/balancer/src/decisions/balancer/mod.rs
+++ b/crates/balancer/src/decisions/balancer/mod.rs
@@ -129,7 +129,7 @@
     /// unanswered calls, so that hedged attempts do not count as additional calls.
     fn calls_in_flight(&self) -> f64 {
         let attempts = self.backends.in_flight_at_healthy_backends(self.now);
-        (attempts + self.calls.lacking_capacity()).min(self.calls.unanswered()) as f64
+        (attempts + self.calls.with_unaccepted_attempt()).min(self.calls.unanswered()) as f64
     }
 
     /// Returns the number of requests without a final response.
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -46,7 +46,7 @@
     pub(super) stage: CallStage,
     pub(super) body: BodyProgress,
     /// Whether the latest attempt was rejected or got no connection, and the call waits for a retry.
-    pub(super) lacks_capacity: bool,
+    pub(super) latest_attempt_unaccepted: bool,
     /// The backend that was drawn for the latest placement but not chosen. The next retry is sent to this
     /// backend.
     alternative: Option<BackendIndex>,
@@ -70,7 +70,7 @@
             ordering_key: None,
             stage: CallStage::Undispatched,
             body: BodyProgress { is_streamed: is_receiving, is_receiving, is_consumed: false },
-            lacks_capacity: false,
+            latest_attempt_unaccepted: false,
             alternative: None,
         }
     }
--- a/crates/balancer/src/decisions/calls/mod.rs
+++ b/crates/balancer/src/decisions/calls/mod.rs
@@ -22,7 +22,7 @@
     /// The dispatched calls whose body is still being received.
     receiving: usize,
     /// The calls whose latest attempt was rejected or got no connection, and that wait for a retry.
-    lacking_capacity: usize,
+    with_unaccepted_attempt: usize,
 }
 
 impl StateCounts {
@@ -31,20 +31,20 @@
         Self {
             queued: usize::from(call.stage == CallStage::Queued),
             receiving: usize::from(call.stage == CallStage::Dispatched && call.body.is_receiving),
-            lacking_capacity: usize::from(call.lacks_capacity),
+            with_unaccepted_attempt: usize::from(call.latest_attempt_unaccepted),
         }
     }
 
     fn add(&mut self, other: Self) {
         self.queued += other.queued;
         self.receiving += other.receiving;
-        self.lacking_capacity += other.lacking_capacity;
+        self.with_unaccepted_attempt += other.with_unaccepted_attempt;
     }
 
     fn subtract(&mut self, other: Self) {
         self.queued -= other.queued;
         self.receiving -= other.receiving;
-        self.lacking_capacity -= other.lacking_capacity;
+        self.with_unaccepted_attempt -= other.with_unaccepted_attempt;
     }
 }
 
@@ -69,8 +69,8 @@
 
     /// Returns the number of calls whose latest attempt was rejected or got no connection, and that wait
     /// for a retry.
-    pub fn lacking_capacity(&self) -> usize {
-        self.counts.lacking_capacity
+    pub fn with_unaccepted_attempt(&self) -> usize {
+        self.counts.with_unaccepted_attempt
     }
 
     /// Returns the key of the call with this request id.
@@ -125,14 +125,14 @@
     }
 
     /// Records that the latest attempt of a call was rejected or got no connection.
-    pub fn record_lack_of_capacity(&mut self, key: CallKey) {
-        self.change(key, |call| call.lacks_capacity = true);
+    pub fn record_unaccepted_attempt(&mut self, key: CallKey) {
+        self.change(key, |call| call.latest_attempt_unaccepted = true);
     }
 
     /// Records that a call has been sent, and no longer waits for a retry after a rejection or a missing
     /// connection.
-    pub fn clear_lack_of_capacity(&mut self, key: CallKey) {
-        self.change(key, |call| call.lacks_capacity = false);
+    pub fn clear_unaccepted_attempt(&mut self, key: CallKey) {
+        self.change(key, |call| call.latest_attempt_unaccepted = false);
     }
 
     /// Updates the indices of classes and tenants in all calls after a change from the settings `old` to
--- a/crates/balancer/tests/concerns/calls.rs
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -118,14 +118,14 @@
     let retried = table.insert(safe_call(1), CallStage::Undispatched);
     let ended = table.insert(safe_call(2), CallStage::Undispatched);
 
-    table.record_lack_of_capacity(retried);
-    table.record_lack_of_capacity(retried);
-    table.record_lack_of_capacity(ended);
-    let at_first = table.lacking_capacity();
-    table.clear_lack_of_capacity(retried);
-    table.clear_lack_of_capacity(retried);
-    let after_the_retry = table.lacking_capacity();
+    table.record_unaccepted_attempt(retried);
+    table.record_unaccepted_attempt(retried);
+    table.record_unaccepted_attempt(ended);
+    let at_first = table.with_unaccepted_attempt();
+    table.clear_unaccepted_attempt(retried);
+    table.clear_unaccepted_attempt(retried);
+    let after_the_retry = table.with_unaccepted_attempt();
     table.remove(ended);
 
-    assert_eq!([at_first, after_the_retry, table.lacking_capacity()], [2, 1, 0]);
+    assert_eq!([at_first, after_the_retry, table.with_unaccepted_attempt()], [2, 1, 0]);
 }
