--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -22,7 +22,7 @@
         let call = Call::new(&request, self.settings.clone(), self.now, timeout, t1);
         let call = call.with_ordering_key(ordering_key);
         let is_queued = must_wait || ordering_key.is_some();
-        let stage = if is_queued { CallStage::Queued } else { CallStage::Undispatched };
+        let stage = if is_queued { CallStage::Queued } else { CallStage::Ready };
         let key = self.calls.insert(call, stage);
         if !request.streaming_body {
             self.set_deadline_timer(key, actions);
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -68,7 +68,7 @@
             retry_timer: RetryTimer::new(t1),
             attempts: Vec::new(),
             ordering_key: None,
-            stage: CallStage::Undispatched,
+            stage: CallStage::Ready,
             body: BodyProgress { is_streamed: is_receiving, is_receiving, is_consumed: false },
             latest_attempt_unaccepted: false,
             alternative: None,
@@ -211,7 +211,7 @@
 
     /// Ends the wait of a queued call at `now`, and sets a new T1 in seconds.
     pub(super) fn leave_queue(&mut self, now: Time, t1: Time) {
-        self.stage = CallStage::Undispatched;
+        self.stage = CallStage::Ready;
         self.dispatched_at = now;
         self.retry_timer.set_t1(t1);
     }
--- a/crates/balancer/src/decisions/calls/call_stage.rs
+++ b/crates/balancer/src/decisions/calls/call_stage.rs
@@ -6,7 +6,7 @@
     /// The call waits for admission or for its ordering key.
     Queued,
     /// The call is not queued, or no longer queued, and has not been dispatched.
-    Undispatched,
+    Ready,
     /// The call has been dispatched, and counts as sent.
     Dispatched,
 }
--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -34,7 +34,7 @@
     let streamed = Request { streaming_body: true, ..request(1) };
     let settings = settings_with_effect(Effect::Safe);
     let mut table = CallTable::default();
-    let key = table.insert(call_of(streamed, settings), CallStage::Undispatched);
+    let key = table.insert(call_of(streamed, settings), CallStage::Ready);
     table.record_dispatch(key);
     let deadline_while_receiving = table[key].deadline();
     let time_left_while_receiving = table[key].time_left(100.0);
@@ -133,7 +133,7 @@
     let without = Settings { classes: classes(&["b"]), tenants: tenants(&["y"]), ..Settings::default() };
     let mut table = CallTable::default();
     let of_tenant = Request { tenant: Some(TenantIndex(0)), ..request(1) };
-    let key = table.insert(call_of(of_tenant, old.clone()), CallStage::Undispatched);
+    let key = table.insert(call_of(of_tenant, old.clone()), CallStage::Ready);
 
     table.remap_indices(&old, &moved);
     let moved_class = table[key].current_class();
--- a/crates/balancer/tests/concerns/calls.rs
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -13,7 +13,7 @@
 #[test]
 fn finds_a_call_by_its_request_until_the_call_has_ended() {
     let mut table = CallTable::default();
-    let key = table.insert(safe_call(7), CallStage::Undispatched);
+    let key = table.insert(safe_call(7), CallStage::Ready);
     let found = table.key_of(RequestId(7));
 
     let removed = table.remove(key);
@@ -28,10 +28,10 @@
 #[test]
 fn does_not_reuse_the_key_of_an_ended_call() {
     let mut table = CallTable::default();
-    let ended = table.insert(safe_call(1), CallStage::Undispatched);
+    let ended = table.insert(safe_call(1), CallStage::Ready);
     table.remove(ended);
 
-    let key = table.insert(safe_call(2), CallStage::Undispatched);
+    let key = table.insert(safe_call(2), CallStage::Ready);
 
     assert_ne!(key, ended);
     assert!(table.contains(key));
@@ -59,7 +59,7 @@
 fn a_call_that_ends_while_it_is_queued_is_no_longer_counted() {
     let mut table = CallTable::default();
     let ended = table.insert(safe_call(1), CallStage::Queued);
-    table.insert(safe_call(2), CallStage::Undispatched);
+    table.insert(safe_call(2), CallStage::Ready);
 
     table.remove(ended);
 
@@ -70,7 +70,7 @@
 #[test]
 fn a_streamed_call_is_unanswered_from_the_end_of_its_body_on() {
     let mut table = CallTable::default();
-    let key = table.insert(streamed_call(1), CallStage::Undispatched);
+    let key = table.insert(streamed_call(1), CallStage::Ready);
     table.record_dispatch(key);
     let unanswered_while_receiving = table.unanswered();
 
@@ -103,7 +103,7 @@
 fn a_streamed_call_that_ends_undispatched_after_its_wait_leaves_the_counts_as_they_were() {
     let mut table = CallTable::default();
     let key = table.insert(streamed_call(1), CallStage::Queued);
-    table.insert(safe_call(2), CallStage::Undispatched);
+    table.insert(safe_call(2), CallStage::Ready);
 
     table.leave_queue(key, 1.0, 0.5);
     table.stop_receiving(key);
@@ -115,8 +115,8 @@
 #[test]
 fn counts_a_call_that_lacks_capacity_once_and_until_it_is_sent_again_or_ends() {
     let mut table = CallTable::default();
-    let retried = table.insert(safe_call(1), CallStage::Undispatched);
-    let ended = table.insert(safe_call(2), CallStage::Undispatched);
+    let retried = table.insert(safe_call(1), CallStage::Ready);
+    let ended = table.insert(safe_call(2), CallStage::Ready);
 
     table.record_unaccepted_attempt(retried);
     table.record_unaccepted_attempt(retried);
--- a/crates/balancer/tests/concerns/timer.rs
+++ b/crates/balancer/tests/concerns/timer.rs
@@ -10,12 +10,11 @@
 /// Returns the keys of some calls. Some are at the places of calls that have ended.
 fn call_keys() -> Vec<CallKey> {
     let mut table = CallTable::default();
-    let first: Vec<CallKey> =
-        (0..10).map(|id| table.insert(safe_call(id), CallStage::Undispatched)).collect();
+    let first: Vec<CallKey> = (0..10).map(|id| table.insert(safe_call(id), CallStage::Ready)).collect();
     for ended in &first[..5] {
         table.remove(*ended);
     }
-    let later = (10..20).map(|id| table.insert(safe_call(id), CallStage::Undispatched));
+    let later = (10..20).map(|id| table.insert(safe_call(id), CallStage::Ready));
     first.iter().copied().chain(later).collect()
 }
 
