--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -26,8 +26,8 @@
         let orphan_key = self.ordered_keys.remove_orphan(ended.id, ended.attempt);
         let ordering_key = key.map_or(orphan_key, |key| self.calls[key].ordering_key());
         if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
-            // Times are rounded to the clock resolution. Adding the resolution ensures that the key is blocked
-            // for the full duration.
+            // Times are rounded to the clock resolution. Adding the resolution ensures that the key is
+            // blocked for the full duration.
             let until = self.now + self.settings.key_block_duration + self.settings.clock_resolution;
             self.ordered_keys.block_until(ordering_key, until);
         }
