--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -22,7 +22,7 @@
         let call = Call::new(&request, self.settings.clone(), self.now, timeout, t1);
         let call = call.with_ordering_key(ordering_key);
         let is_queued = must_wait || ordering_key.is_some();
-        let stage = if is_queued { CallStage::Queued } else { CallStage::Undispatched };
+        let stage = if is_queued { CallStage::Queued } else { CallStage::Ready };
         let key = self.calls.insert(call, stage);
         if !request.streaming_body {
             self.set_deadline_timer(key, actions);
@@ -61,7 +61,7 @@
 
     /// Returns T1 for a call of a class with `time_left` until its deadline, both in seconds.
     fn t1(&self, class: ClassIndex, time_left: Time) -> Time {
-        first_interval(self.traffic.latency(class), time_left, self.settings.quantum)
+        first_interval(self.traffic.latency(class), time_left, self.settings.clock_resolution)
     }
 
     /// Returns whether a request of this rank is admitted. The overload level is the fraction of requests
--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -35,7 +35,7 @@
     let streamed = Request { streaming_body: true, ..request(1) };
     let settings = settings_with_effect(Effect::Safe);
     let mut table = CallTable::default();
-    let key = table.insert(call_for_request(streamed, settings), CallStage::Undispatched);
+    let key = table.insert(call_for_request(streamed, settings), CallStage::Ready);
     table.record_dispatch(key);
     let deadline_while_receiving = table[key].deadline();
     let time_left_while_receiving = table[key].time_left(100.0);
@@ -134,7 +134,7 @@
     let removed = Settings { classes: classes(&["b"]), tenants: tenants(&["y"]), ..Settings::default() };
     let mut table = CallTable::default();
     let tenant_request = Request { tenant: Some(TenantIndex(0)), ..request(1) };
-    let key = table.insert(call_for_request(tenant_request, old.clone()), CallStage::Undispatched);
+    let key = table.insert(call_for_request(tenant_request, old.clone()), CallStage::Ready);
 
     table.remap_indices(&old, &reordered);
     let reordered_class = table[key].current_class();
--- a/crates/balancer/tests/concerns/calls.rs
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -13,7 +13,7 @@
 #[test]
 fn finds_a_call_by_its_request_id_until_the_call_is_removed() {
     let mut table = CallTable::default();
-    let key = table.insert(safe_call(7), CallStage::Undispatched);
+    let key = table.insert(safe_call(7), CallStage::Ready);
     let found = table.key_of(RequestId(7));
 
     let removed = table.remove(key);
@@ -28,10 +28,10 @@
 #[test]
 fn does_not_reuse_the_key_of_a_removed_call() {
     let mut table = CallTable::default();
-    let ended = table.insert(safe_call(1), CallStage::Undispatched);
+    let ended = table.insert(safe_call(1), CallStage::Ready);
     table.remove(ended);
 
-    let key = table.insert(safe_call(2), CallStage::Undispatched);
+    let key = table.insert(safe_call(2), CallStage::Ready);
 
     assert_ne!(key, ended);
     assert!(table.contains(key));
@@ -59,7 +59,7 @@
 fn does_not_count_a_call_that_ended_while_it_was_queued() {
     let mut table = CallTable::default();
     let ended = table.insert(safe_call(1), CallStage::Queued);
-    table.insert(safe_call(2), CallStage::Undispatched);
+    table.insert(safe_call(2), CallStage::Ready);
 
     table.remove(ended);
 
@@ -70,7 +70,7 @@
 #[test]
 fn counts_a_streamed_call_as_unanswered_after_the_end_of_its_body() {
     let mut table = CallTable::default();
-    let key = table.insert(streamed_call(1), CallStage::Undispatched);
+    let key = table.insert(streamed_call(1), CallStage::Ready);
     table.record_dispatch(key);
     let unanswered_while_receiving = table.unanswered();
 
@@ -103,7 +103,7 @@
 fn keeps_the_counts_when_a_streamed_call_ends_after_its_wait_without_a_dispatch() {
     let mut table = CallTable::default();
     let key = table.insert(streamed_call(1), CallStage::Queued);
-    table.insert(safe_call(2), CallStage::Undispatched);
+    table.insert(safe_call(2), CallStage::Ready);
 
     table.leave_queue(key, 1.0, 0.5);
     table.stop_receiving(key);
@@ -115,17 +115,17 @@
 #[test]
 fn counts_a_call_that_lacks_capacity_once_until_it_is_sent_again_or_ends() {
     let mut table = CallTable::default();
-    let retried = table.insert(safe_call(1), CallStage::Undispatched);
-    let ended = table.insert(safe_call(2), CallStage::Undispatched);
-
-    table.record_lack_of_capacity(retried);
-    table.record_lack_of_capacity(retried);
-    table.record_lack_of_capacity(ended);
-    let at_first = table.lacking_capacity();
-    table.clear_lack_of_capacity(retried);
-    table.clear_lack_of_capacity(retried);
-    let after_the_retry = table.lacking_capacity();
+    let retried = table.insert(safe_call(1), CallStage::Ready);
+    let ended = table.insert(safe_call(2), CallStage::Ready);
+
+    table.record_unaccepted_attempt(retried);
+    table.record_unaccepted_attempt(retried);
+    table.record_unaccepted_attempt(ended);
+    let at_first = table.with_unaccepted_attempt();
+    table.clear_unaccepted_attempt(retried);
+    table.clear_unaccepted_attempt(retried);
+    let after_the_retry = table.with_unaccepted_attempt();
     table.remove(ended);
 
-    assert_eq!([at_first, after_the_retry, table.lacking_capacity()], [2, 1, 0]);
+    assert_eq!([at_first, after_the_retry, table.with_unaccepted_attempt()], [2, 1, 0]);
 }
