--- a/crates/fleet-bench/src/address.rs
+++ b/crates/fleet-bench/src/address.rs
@@ -24,19 +24,19 @@
 }
 
 /// The next number to be assigned, counted over all roles.
-static NEXT_NUMBER: AtomicUsize = AtomicUsize::new(0);
+static NEXT_ADDRESS_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
 /// Allocates `count` addresses. No other run uses these addresses at the same time, as an address
 /// contains the id of this process.
 pub fn allocate(role: AddressRole, count: usize) -> impl Iterator<Item = SocketAddr> {
-    let first = NEXT_NUMBER.fetch_add(count, Ordering::Relaxed);
+    let first = NEXT_ADDRESS_NUMBER.fetch_add(count, Ordering::Relaxed);
     (first..first + count).map(move |number| address_of(role, number))
 }
 
 /// Allocates one address.
 #[must_use]
 pub fn allocate_one(role: AddressRole) -> SocketAddr {
-    address_of(role, NEXT_NUMBER.fetch_add(1, Ordering::Relaxed))
+    address_of(role, NEXT_ADDRESS_NUMBER.fetch_add(1, Ordering::Relaxed))
 }
 
 fn address_of(role: AddressRole, number: usize) -> SocketAddr {
--- a/crates/fleet-bench/src/backend.rs
+++ b/crates/fleet-bench/src/backend.rs
@@ -1,7 +1,7 @@
 //! Stub backends in this process, which respond at once to every request with a request id.
 
 use crate::address::{self, AddressRole};
-use crate::background::{self, BackgroundRuntime};
+use crate::background_runtime::{self, BackgroundRuntime};
 use crate::error::Error;
 use crate::request_head::RequestHead;
 use std::io;
@@ -33,7 +33,10 @@
     /// Returns [`Error::Io`] if an address cannot be bound or the thread cannot be started.
     pub fn start(count: usize) -> Result<Self, Error> {
         let addresses: Vec<_> = address::allocate(AddressRole::Backend, count).collect();
-        let listeners = addresses.iter().map(|at| background::bind(*at)).collect::<io::Result<Vec<_>>>()?;
+        let listeners = addresses
+            .iter()
+            .map(|at| background_runtime::bind_nonblocking(*at))
+            .collect::<io::Result<Vec<_>>>()?;
         let responses = Arc::<AtomicU64>::default();
         let counter = responses.clone();
         let runtime = BackgroundRuntime::start("backends", move || {
--- a/crates/fleet-bench/src/background.rs
+++ b/crates/fleet-bench/src/background_runtime.rs
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// Returns the system's error if the address cannot be bound.
-pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+pub fn bind_nonblocking(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
--- a/crates/fleet-bench/src/control.rs
+++ b/crates/fleet-bench/src/control.rs
@@ -14,9 +14,9 @@
 use crate::error::Error;
 use crate::proxy::find_program;
 use crate::report::{Report, Table};
+use crate::resource_usage::MachineLoad;
 use crate::rollout;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::MachineLoad;
 use group::ProxyGroup;
 use list_changes::{ListChangeRates, MIN_CHANGES_PER_WINDOW};
 use std::path::Path;
@@ -85,7 +85,7 @@
         table.row([
             listed.into(),
             rates.restarts_per_day.into(),
-            rates.configurations_per_day.into(),
+            rates.configuration_changes_per_day.into(),
             rates.changes_per_second().into(),
         ]);
     }
--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -1,19 +1,19 @@
 //! Measures the cost of an up-to-date list for a proxy, in windows of constant change rates.
 
-use super::group::{HEAD_COLUMNS, ProxyGroup, Snapshot};
+use super::group::{GROUP_COLUMNS, ProxyGroup, UsageSnapshot};
 use super::list_changes::ListChangeRates;
 use super::plan::{ACKNOWLEDGEMENT_TIMEOUT, Plan};
 use crate::budget;
 use crate::discovery::{PollCounts, PropagationLatency};
 use crate::error::Error;
 use crate::report::{Table, Value};
-use crate::usage::ProcessUsage;
+use crate::resource_usage::ProcessUsage;
 use std::time::Duration;
 
 /// Fraction of a core from which on the discovery server itself may limit the measured rates.
-const SERVER_BUSY_CORES: f64 = 0.8;
+const SERVER_NEAR_LIMIT_CORES: f64 = 0.8;
 
-const COLUMNS: [&str; 16] = [
+const COST_COLUMNS: [&str; 16] = [
     "changes/s",
     "polls/s",
     "bytes/s",
@@ -37,10 +37,10 @@
 pub fn table() -> Table {
     let mut table = Table::new(
         "Cost of an up-to-date list for each proxy, and time until a change is in force (seen at the next poll)",
-        &HEAD_COLUMNS,
+        &GROUP_COLUMNS,
     );
     table.columns.push("rate".to_string());
-    table.columns.extend(COLUMNS.map(str::to_string));
+    table.columns.extend(COST_COLUMNS.map(str::to_string));
     table
 }
 
@@ -64,7 +64,7 @@
         rows.push((rate.to_string(), measure_window(group, rate, plan.window, notes)?));
     }
     for (name, costs) in rows {
-        table.row(group.row_head().into_iter().chain([name.into()]).chain(costs.cells()));
+        table.row(group.group_cells().into_iter().chain([name.into()]).chain(costs.cells()));
     }
     Ok(())
 }
@@ -76,7 +76,7 @@
     seconds: f64,
     notes: &mut Vec<String>,
 ) -> Result<Costs, Error> {
-    let times = group.changes.draw_times(rate, seconds);
+    let times = group.changes.change_times(rate, seconds);
     drop(group.discovery.take_propagation()?);
     let before = group.snapshot()?;
     group.publish_at(&times)?;
@@ -92,7 +92,7 @@
             "{row}: 2 s after the window, {pending} acknowledgements of changes were missing."
         ));
     }
-    if costs.server_cores > SERVER_BUSY_CORES {
+    if costs.server_cores > SERVER_NEAR_LIMIT_CORES {
         notes.push(format!("{row}: the discovery server was near its limit, which lengthens these times."));
     }
     Ok(costs)
@@ -100,7 +100,7 @@
 
 /// The time until a change is in force, in milliseconds; NaN if no proxy has acknowledged one.
 #[derive(Clone, Copy)]
-struct InForceMs {
+struct InForceLatencyMs {
     /// The median over proxies and changes.
     median: f64,
     /// The 99th percentile over proxies and changes.
@@ -109,7 +109,7 @@
     last: f64,
 }
 
-impl From<&PropagationLatency> for InForceMs {
+impl From<&PropagationLatency> for InForceLatencyMs {
     fn from(latency: &PropagationLatency) -> Self {
         let per_proxy = &latency.per_proxy;
         Self {
@@ -135,17 +135,17 @@
     max_resident_bytes: f64,
     max_peak_resident_bytes: f64,
     max_open_files: f64,
-    in_force: InForceMs,
+    in_force_latency_ms: InForceLatencyMs,
     /// Processor time of the discovery server, as a fraction of a core.
     server_cores: f64,
     /// Fraction of the time in which a task of the machine waited for a processor.
-    machine_stalled: f64,
+    machine_stall_fraction: f64,
 }
 
 impl Costs {
     fn between(
-        before: &Snapshot,
-        after: &Snapshot,
+        before: &UsageSnapshot,
+        after: &UsageSnapshot,
         changes: usize,
         propagation: &PropagationLatency,
     ) -> Self {
@@ -167,9 +167,9 @@
             max_resident_bytes: max(|usage| usage.resident_bytes),
             max_peak_resident_bytes: max(|usage| usage.peak_resident_bytes),
             max_open_files: max(|usage| usage.open_files as u64),
-            in_force: InForceMs::from(propagation),
+            in_force_latency_ms: InForceLatencyMs::from(propagation),
             server_cores: after.server_usage.cores_since(&before.server_usage),
-            machine_stalled: after.machine.stall_since(&before.machine),
+            machine_stall_fraction: after.machine.stall_fraction_since(&before.machine),
         }
     }
 
@@ -188,24 +188,24 @@
         }
     }
 
-    fn cells(self) -> [Value; COLUMNS.len()] {
+    fn cells(self) -> [Value; COST_COLUMNS.len()] {
         [
             self.changes_per_second.into(),
             self.polls_per_second.into(),
             self.bytes_per_second.into(),
-            (self.bytes_per_second / budget::CONTROL_BYTES_PER_SECOND).into(),
+            (self.bytes_per_second / budget::CONTROL_PLANE_BYTES_PER_SECOND).into(),
             (100.0 * self.mean_cores).into(),
-            (self.mean_cores / budget::CONTROL_CORES).into(),
+            (self.mean_cores / budget::CONTROL_PLANE_CORES).into(),
             (100.0 * self.max_cores).into(),
             (self.max_resident_bytes / 1e6).into(),
             (self.max_peak_resident_bytes / 1e6).into(),
-            (self.max_peak_resident_bytes / budget::RESIDENT_BYTES).into(),
+            (self.max_peak_resident_bytes / budget::RESIDENT_MEMORY_BYTES).into(),
             self.max_open_files.into(),
-            self.in_force.median.into(),
-            self.in_force.p99.into(),
-            self.in_force.last.into(),
+            self.in_force_latency_ms.median.into(),
+            self.in_force_latency_ms.p99.into(),
+            self.in_force_latency_ms.last.into(),
             (100.0 * self.server_cores).into(),
-            (100.0 * self.machine_stalled).into(),
+            (100.0 * self.machine_stall_fraction).into(),
         ]
     }
 }
--- a/crates/fleet-bench/src/control/group.rs
+++ b/crates/fleet-bench/src/control/group.rs
@@ -4,13 +4,13 @@
 use super::plan::GroupSize;
 use crate::address::{self, AddressRole};
 use crate::discovery::{Discovery, PollCounts};
-use crate::draw::derive_seed;
 use crate::error::Error;
 use crate::instance::{Instance, InstanceList, create_instances};
 use crate::proxy::{ProxyConfig, ProxyOptions, ProxyProcess};
 use crate::report::Value;
+use crate::resource_usage::{MachineLoad, ProcessUsage};
+use crate::sampling::derive_seed;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::{MachineLoad, ProcessUsage};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -19,14 +19,14 @@
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(20);
 const FIRST_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Idle time between the first polls and the first window.
-const SETTLE_TIME: Duration = Duration::from_secs(1);
+const IDLE_SETTLE_TIME: Duration = Duration::from_secs(1);
 const ACKNOWLEDGEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Multiplier of the list size in the number of a group. Groups have fewer proxies than this, so that
 /// each group has its own seed.
 const GROUP_SEED_STRIDE: usize = 1_000;
 
-/// The names of the columns of [`ProxyGroup::row_head`].
-pub const HEAD_COLUMNS: [&str; 3] = ["listed", "proxies", "mode"];
+/// The names of the columns of [`ProxyGroup::group_cells`].
+pub const GROUP_COLUMNS: [&str; 3] = ["listed", "proxies", "mode"];
 
 /// A group of real proxies that have the same endpoint list, and their discovery server.
 pub struct ProxyGroup<'a> {
@@ -44,7 +44,7 @@
 }
 
 /// Usage of the proxies, of their discovery server and of the machine at one time.
-pub struct Snapshot {
+pub struct UsageSnapshot {
     /// Time at which the usage was read.
     pub at: Instant,
     /// The usage of each proxy.
@@ -82,7 +82,7 @@
             proxy.wait_until_ready(shutdown)?;
         }
         group.wait_for_first_polls()?;
-        shutdown.sleep(SETTLE_TIME)?;
+        shutdown.sleep(IDLE_SETTLE_TIME)?;
         Ok(group)
     }
 
@@ -124,11 +124,11 @@
     /// # Errors
     ///
     /// Returns [`Error::Procfs`] if a proxy has ended.
-    pub fn snapshot(&self) -> Result<Snapshot, Error> {
+    pub fn snapshot(&self) -> Result<UsageSnapshot, Error> {
         let usages = self.proxies.iter().map(ProxyProcess::usage).collect::<Result<_, _>>()?;
         let counts = self.discovery.counts();
         let server_usage = ProcessUsage::of_self()?;
-        Ok(Snapshot { at: Instant::now(), usages, counts, server_usage, machine: MachineLoad::now()? })
+        Ok(UsageSnapshot { at: Instant::now(), usages, counts, server_usage, machine: MachineLoad::now()? })
     }
 
     /// Publishes a change at each of these times from now on.
@@ -138,7 +138,7 @@
     /// Returns [`Error::Interrupted`] once a signal has arrived.
     pub fn publish_at(&mut self, times: &[Duration]) -> Result<(), Error> {
         let Self { discovery, changes, shutdown, .. } = self;
-        discovery.publish_at(times, shutdown, || changes.draw_change(discovery))
+        discovery.publish_at(times, shutdown, || changes.next_change(discovery))
     }
 
     /// Waits until every proxy has acknowledged every version, or until the timeout.
@@ -172,9 +172,9 @@
         }))
     }
 
-    /// Returns the first cells of a row about this group, under [`HEAD_COLUMNS`].
+    /// Returns the first cells of a row about this group, under [`GROUP_COLUMNS`].
     #[must_use]
-    pub fn row_head(&self) -> [Value; HEAD_COLUMNS.len()] {
+    pub fn group_cells(&self) -> [Value; GROUP_COLUMNS.len()] {
         [self.size.listed.into(), self.proxies.len().into(), self.size.registry_mode.name().into()]
     }
 }
--- a/crates/fleet-bench/src/control/list_changes.rs
+++ b/crates/fleet-bench/src/control/list_changes.rs
@@ -1,7 +1,7 @@
 //! Changes of an endpoint list in the proportions of the operators' fleet.
 
 use crate::discovery::{Change, Discovery};
-use crate::draw::draw_arrivals;
+use crate::sampling::poisson_arrivals;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -10,11 +10,11 @@
 pub const MIN_CHANGES_PER_WINDOW: usize = 3;
 
 /// Backends of the operators' fleet.
-const FLEET_BACKENDS: f64 = 5_500.0;
+const FLEET_BACKEND_COUNT: f64 = 5_500.0;
 /// Restarts per day in the fleet that the operators expect.
 const FLEET_RESTARTS_PER_DAY: f64 = 680.0;
 /// Changes of configuration per day in the fleet that the operators expect.
-const FLEET_CONFIGURATIONS_PER_DAY: f64 = 13_000.0;
+const FLEET_CONFIGURATION_CHANGES_PER_DAY: f64 = 13_000.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 /// A restart is two changes of the list: draining, then the return or the replacement.
 const CHANGES_PER_RESTART: f64 = 2.0;
@@ -24,24 +24,24 @@
     /// Restarts per day.
     pub restarts_per_day: f64,
     /// Changes of configuration per day.
-    pub configurations_per_day: f64,
+    pub configuration_changes_per_day: f64,
 }
 
 impl ListChangeRates {
     /// Returns the rates of a list with this many entries.
     #[must_use]
     pub fn of(listed: usize) -> Self {
-        let fraction = listed as f64 / FLEET_BACKENDS;
+        let fraction = listed as f64 / FLEET_BACKEND_COUNT;
         Self {
             restarts_per_day: fraction * FLEET_RESTARTS_PER_DAY,
-            configurations_per_day: fraction * FLEET_CONFIGURATIONS_PER_DAY,
+            configuration_changes_per_day: fraction * FLEET_CONFIGURATION_CHANGES_PER_DAY,
         }
     }
 
     /// Changes of the list per second.
     #[must_use]
     pub fn changes_per_second(&self) -> f64 {
-        (CHANGES_PER_RESTART * self.restarts_per_day + self.configurations_per_day) / SECONDS_PER_DAY
+        (CHANGES_PER_RESTART * self.restarts_per_day + self.configuration_changes_per_day) / SECONDS_PER_DAY
     }
 }
 
@@ -61,8 +61,8 @@
 
     /// Draws the times of the changes in a window: a Poisson process of `rate` changes per second during
     /// `window` seconds, with at least [`MIN_CHANGES_PER_WINDOW`] changes.
-    pub fn draw_times(&mut self, rate: f64, window: f64) -> Vec<Duration> {
-        let mut times = draw_arrivals(&mut self.rng, rate, window);
+    pub fn change_times(&mut self, rate: f64, window: f64) -> Vec<Duration> {
+        let mut times = poisson_arrivals(&mut self.rng, rate, window);
         while rate > 0.0 && times.len() < MIN_CHANGES_PER_WINDOW {
             times.push(Duration::from_secs_f64(self.rng.random::<f64>() * window));
         }
@@ -71,11 +71,11 @@
     }
 
     /// Draws the next change.
-    pub fn draw_change(&mut self, discovery: &Discovery) -> Change {
+    pub fn next_change(&mut self, discovery: &Discovery) -> Change {
         let serving = discovery.serving();
         let index = serving[self.rng.random_range(0..serving.len())];
         let restart_changes = CHANGES_PER_RESTART * FLEET_RESTARTS_PER_DAY;
-        let restart_probability = restart_changes / (restart_changes + FLEET_CONFIGURATIONS_PER_DAY);
+        let restart_probability = restart_changes / (restart_changes + FLEET_CONFIGURATION_CHANGES_PER_DAY);
         if !self.rng.random_bool(restart_probability) {
             return Change::Weight { index, weight: self.rng.random_range(0.5..2.0) };
         }
--- a/crates/fleet-bench/src/control/plan.rs
+++ b/crates/fleet-bench/src/control/plan.rs
@@ -14,7 +14,7 @@
 /// Polls are observed for this long after an outage of discovery.
 pub const RECOVERY_WINDOW: Duration = Duration::from_secs(6);
 /// Delay of a slow response, which is longer than a proxy waits for discovery.
-const OVERLONG_DELAY: Duration = Duration::from_secs(10);
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_secs(10);
 /// Number of windows that are measured in addition to the rates of the plan: without changes, and at the
 /// rate of the fleet.
 const BASELINE_WINDOWS: usize = 2;
@@ -73,13 +73,13 @@
         match self {
             Self::Refusing | Self::RefusingFullList => Availability::Refusing,
             Self::Silent | Self::SilentFullList => Availability::Silent,
-            Self::Slow | Self::SlowFullList => Availability::Slow(OVERLONG_DELAY),
+            Self::Slow | Self::SlowFullList => Availability::Slow(SLOW_RESPONSE_DELAY),
         }
     }
 
     /// Returns whether the server sends the full list to all proxies after the outage.
     #[must_use]
-    pub fn forgets_history(self) -> bool {
+    pub fn discards_history(self) -> bool {
         matches!(self, Self::RefusingFullList | Self::SilentFullList | Self::SlowFullList)
     }
 
--- a/crates/fleet-bench/src/control/recovery.rs
+++ b/crates/fleet-bench/src/control/recovery.rs
@@ -1,21 +1,21 @@
 //! Measures the polls of all proxies after an outage of discovery.
 
-use super::group::{HEAD_COLUMNS, ProxyGroup};
+use super::group::{GROUP_COLUMNS, ProxyGroup};
 use super::plan::{Outage, RECOVERY_WINDOW};
 use crate::discovery::{Availability, TrafficEvent, Transfer};
 use crate::error::Error;
 use crate::report::{Table, Value};
-use crate::usage::MachineLoad;
+use crate::resource_usage::MachineLoad;
 use std::time::{Duration, Instant};
 
 /// Changes that are published during an outage.
 const CHANGES_PER_OUTAGE: usize = 10;
 /// The polls are counted within these times after the outage, in seconds.
-const COUNTED_SECONDS: [f64; 3] = [0.1, 1.0, RECOVERY_WINDOW.as_secs() as f64];
+const POLL_COUNT_WINDOWS_SECONDS: [f64; 3] = [0.1, 1.0, RECOVERY_WINDOW.as_secs() as f64];
 /// The peak of polls is counted over this time.
-const PEAK_SPAN: Duration = Duration::from_millis(100);
+const PEAK_POLL_WINDOW: Duration = Duration::from_millis(100);
 
-const COLUMNS: [&str; 10] = [
+const RECOVERY_COLUMNS: [&str; 10] = [
     "outage",
     "polls, 0.1 s",
     "KB, 0.1 s",
@@ -33,9 +33,9 @@
 pub fn table() -> Table {
     let mut table = Table::new(
         "Polls of all proxies after an outage of discovery, and time until all proxies are up to date",
-        &HEAD_COLUMNS,
+        &GROUP_COLUMNS,
     );
-    table.columns.extend(COLUMNS.map(str::to_string));
+    table.columns.extend(RECOVERY_COLUMNS.map(str::to_string));
     table
 }
 
@@ -52,17 +52,17 @@
     let machine = MachineLoad::now()?;
     simulate_outage(group, outage, outage_seconds)?;
     let recovery = observe_recovery(group)?;
-    let machine_stalled = MachineLoad::now()?.stall_since(&machine);
+    let machine_stall_fraction = MachineLoad::now()?.stall_fraction_since(&machine);
 
-    let mut row = group.row_head().to_vec();
+    let mut row = group.group_cells().to_vec();
     row.push(outage.name().into());
-    for seconds in COUNTED_SECONDS {
+    for seconds in POLL_COUNT_WINDOWS_SECONDS {
         row.push(recovery.polls_within(seconds).into());
         row.push((recovery.bytes_within(seconds) as f64 / 1e3).into());
     }
-    row.push(max_polls_within(&recovery.poll_times(), PEAK_SPAN).into());
+    row.push(max_count_within(&recovery.poll_times(), PEAK_POLL_WINDOW).into());
     row.push(recovery.complete_after_seconds.into());
-    row.push((100.0 * machine_stalled).into());
+    row.push((100.0 * machine_stall_fraction).into());
     Ok(row)
 }
 
@@ -72,8 +72,8 @@
     let times: Vec<Duration> = (1..=CHANGES_PER_OUTAGE as u32).map(|number| interval * number).collect();
     group.publish_at(&times)?;
     group.shutdown.sleep(interval)?;
-    if outage.forgets_history() {
-        group.discovery.forget_history();
+    if outage.discards_history() {
+        group.discovery.discard_history();
     }
     Ok(())
 }
@@ -101,17 +101,17 @@
 }
 
 impl Recovery {
-    fn within(&self, seconds: f64) -> impl Iterator<Item = &TrafficEvent> {
+    fn events_within(&self, seconds: f64) -> impl Iterator<Item = &TrafficEvent> {
         let start = self.start;
         self.traffic.iter().filter(move |event| event.at.duration_since(start).as_secs_f64() < seconds)
     }
 
     fn polls_within(&self, seconds: f64) -> usize {
-        self.within(seconds).filter(|event| event.transfer == Transfer::Poll).count()
+        self.events_within(seconds).filter(|event| event.transfer == Transfer::Poll).count()
     }
 
     fn bytes_within(&self, seconds: f64) -> usize {
-        self.within(seconds).map(|event| event.bytes).sum()
+        self.events_within(seconds).map(|event| event.bytes).sum()
     }
 
     fn poll_times(&self) -> Vec<Instant> {
@@ -121,7 +121,7 @@
 }
 
 /// Returns the highest number of these times, which are in order, within a span.
-fn max_polls_within(times: &[Instant], span: Duration) -> usize {
+fn max_count_within(times: &[Instant], span: Duration) -> usize {
     let from = |first: usize| times.partition_point(|time| *time < times[first] + span) - first;
     (0..times.len()).map(from).max().unwrap_or(0)
 }
--- a/crates/fleet-bench/src/discovery.rs
+++ b/crates/fleet-bench/src/discovery.rs
@@ -14,20 +14,20 @@
 pub use server::Availability;
 
 use crate::address::{self, AddressRole};
-use crate::background::{self, BackgroundRuntime};
+use crate::background_runtime::{self, BackgroundRuntime};
 use crate::error::Error;
 use crate::instance::Instance;
 use crate::shutdown::ShutdownSignal;
 use list::VersionedList;
 use poll_log::PollLog;
-use server::{Shared, State, serve_proxy};
+use server::{ServerState, SharedState, serve_proxy};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// A discovery server that runs on its own thread until the value is dropped.
 pub struct Discovery {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     addresses: Vec<SocketAddr>,
     _runtime: BackgroundRuntime,
 }
@@ -42,14 +42,14 @@
         let addresses: Vec<_> = address::allocate(AddressRole::Discovery, proxies).collect();
         let mut listeners = Vec::new();
         for &address in &addresses {
-            listeners.push((address, background::bind(address)?));
+            listeners.push((address, background_runtime::bind_nonblocking(address)?));
         }
-        let state = State { list: VersionedList::new(instances), log: PollLog::new(proxies)? };
-        let shared = Arc::new(Shared::new(state));
-        let served = shared.clone();
+        let state = ServerState { list: VersionedList::new(instances), log: PollLog::new(proxies)? };
+        let shared = Arc::new(SharedState::new(state));
+        let server_state = shared.clone();
         let runtime = BackgroundRuntime::start("discovery", move || {
             for (proxy, (address, listener)) in listeners.into_iter().enumerate() {
-                tokio::spawn(serve_proxy(served.clone(), proxy, address, listener));
+                tokio::spawn(serve_proxy(server_state.clone(), proxy, address, listener));
             }
         })?;
         Ok(Self { shared, addresses, _runtime: runtime })
@@ -91,8 +91,8 @@
     }
 
     /// Forgets all changes: proxies that lack a version get the full list.
-    pub fn forget_history(&self) {
-        self.shared.state().list.forget_history();
+    pub fn discard_history(&self) {
+        self.shared.state().list.discard_history();
     }
 
     /// Sets whether the server responds.
--- a/crates/fleet-bench/src/discovery/list.rs
+++ b/crates/fleet-bench/src/discovery/list.rs
@@ -1,6 +1,6 @@
 //! The versioned instance list and its responses to polls.
 
-use crate::instance::{FIRST_VERSION, Instance, InstanceList, Lifecycle};
+use crate::instance::{FIRST_LIST_VERSION, Instance, InstanceList, Lifecycle};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -40,7 +40,7 @@
     /// The version in which each instance last changed.
     changed_in: Vec<u64>,
     /// Changes up to this version are forgotten.
-    oldest_known_version: u64,
+    oldest_retained_version: u64,
     /// Responses with the present version, by the version that the poll names; `None` for the full list.
     responses: HashMap<Option<u64>, Arc<[u8]>>,
 }
@@ -49,10 +49,10 @@
     /// Creates a list in its first version.
     pub fn new(instances: Vec<Instance>) -> Self {
         Self {
-            version: FIRST_VERSION,
-            changed_in: vec![FIRST_VERSION; instances.len()],
+            version: FIRST_LIST_VERSION,
+            changed_in: vec![FIRST_LIST_VERSION; instances.len()],
             instances,
-            oldest_known_version: FIRST_VERSION,
+            oldest_retained_version: FIRST_LIST_VERSION,
             responses: HashMap::new(),
         }
     }
@@ -92,8 +92,8 @@
     }
 
     /// Forgets all changes: polls that name an older version get the full list.
-    pub fn forget_history(&mut self) {
-        self.oldest_known_version = self.version;
+    pub fn discard_history(&mut self) {
+        self.oldest_retained_version = self.version;
         self.responses.clear();
     }
 
@@ -114,7 +114,7 @@
     ///
     /// Returns an error if the list cannot be serialized.
     pub fn response(&mut self, since: Option<u64>) -> Result<Arc<[u8]>, serde_json::Error> {
-        let known = self.oldest_known_version..=self.version;
+        let known = self.oldest_retained_version..=self.version;
         let since = since.filter(|since| known.contains(since));
         if let Some(response) = self.responses.get(&since) {
             return Ok(response.clone());
--- a/crates/fleet-bench/src/discovery/poll_log.rs
+++ b/crates/fleet-bench/src/discovery/poll_log.rs
@@ -1,7 +1,7 @@
 //! Polls and responses of each proxy, and the version of the list that each proxy has.
 
 use crate::error::Error;
-use crate::instance::FIRST_VERSION;
+use crate::instance::FIRST_LIST_VERSION;
 use crate::latency::LatencyHistogram;
 use std::time::{Duration, Instant};
 
@@ -83,7 +83,7 @@
     pub fn new(proxies: usize) -> Result<Self, Error> {
         Ok(Self {
             published: Vec::new(),
-            acknowledged: vec![FIRST_VERSION; proxies],
+            acknowledged: vec![FIRST_LIST_VERSION; proxies],
             last_acknowledged_at: Instant::now(),
             counts: vec![PollCounts::default(); proxies],
             propagation: PropagationLatency::new()?,
@@ -111,14 +111,14 @@
 
     fn acknowledge(&mut self, proxy: usize, version: u64, now: Instant) {
         let previous = self.acknowledged[proxy];
-        let newest = FIRST_VERSION + self.published.len() as u64;
+        let newest = FIRST_LIST_VERSION + self.published.len() as u64;
         if version <= previous || version > newest {
             return;
         }
         self.acknowledged[proxy] = version;
         self.last_acknowledged_at = now;
-        let first = (previous - FIRST_VERSION) as usize;
-        let end = (version - FIRST_VERSION) as usize;
+        let first = (previous - FIRST_LIST_VERSION) as usize;
+        let end = (version - FIRST_LIST_VERSION) as usize;
         for published in &mut self.published[first..end] {
             let latency = now.duration_since(published.at);
             self.propagation.per_proxy.record(latency);
--- a/crates/fleet-bench/src/discovery/server.rs
+++ b/crates/fleet-bench/src/discovery/server.rs
@@ -14,8 +14,8 @@
 /// Maximum wait of a long poll, by the protocol.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
 /// Backoff after a failed accept, or when an address cannot be bound again yet.
-const SOCKET_BACKOFF: Duration = Duration::from_millis(2);
-const LIST_PATH: &str = "/api/targets";
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(2);
+const INSTANCE_LIST_PATH: &str = "/api/targets";
 const NOT_FOUND_RESPONSE: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 
 /// Availability of the server.
@@ -33,14 +33,14 @@
 
 /// State of the server on which a waiting poll depends.
 #[derive(Clone, Copy, Debug)]
-pub struct Status {
+pub struct ServerStatus {
     /// Availability of the server.
     pub availability: Availability,
     /// The present version of the list.
     pub version: u64,
 }
 
-impl Status {
+impl ServerStatus {
     fn is_silent(&self) -> bool {
         self.availability == Availability::Silent
     }
@@ -51,7 +51,7 @@
 }
 
 /// The list, and the log of the polls.
-pub struct State {
+pub struct ServerState {
     /// The instance list in its present version.
     pub list: VersionedList,
     /// The polls of all proxies.
@@ -59,21 +59,21 @@
 }
 
 /// State that all connections share.
-pub struct Shared {
-    state: Mutex<State>,
+pub struct SharedState {
+    state: Mutex<ServerState>,
     /// The present status; a change wakes the waiting polls.
-    pub status: watch::Sender<Status>,
+    pub status: watch::Sender<ServerStatus>,
 }
 
-impl Shared {
+impl SharedState {
     /// Creates the state of a server that is up and serves this list.
-    pub fn new(state: State) -> Self {
-        let status = Status { availability: Availability::Up, version: state.list.version() };
+    pub fn new(state: ServerState) -> Self {
+        let status = ServerStatus { availability: Availability::Up, version: state.list.version() };
         Self { state: Mutex::new(state), status: watch::Sender::new(status) }
     }
 
     /// Locks the state.
-    pub fn state(&self) -> MutexGuard<'_, State> {
+    pub fn state(&self) -> MutexGuard<'_, ServerState> {
         // Each method leaves valid counts, so that the counts are usable after a panic elsewhere.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -107,7 +107,7 @@
 impl Poll {
     /// Parses path and query; `None` for another path.
     fn parse(path: &str) -> Option<Self> {
-        let query = match path.strip_prefix(LIST_PATH)? {
+        let query = match path.strip_prefix(INSTANCE_LIST_PATH)? {
             "" => return Some(Self { since: None, wait: Duration::ZERO }),
             rest => rest.strip_prefix('?')?,
         };
@@ -121,7 +121,7 @@
 }
 
 /// Serves one proxy at its own address. While the server refuses connections, the address is not bound.
-pub async fn serve_proxy(shared: Arc<Shared>, proxy: usize, address: SocketAddr, first: StdListener) {
+pub async fn serve_proxy(shared: Arc<SharedState>, proxy: usize, address: SocketAddr, first: StdListener) {
     let mut listener = TcpListener::from_std(first);
     loop {
         match listener {
@@ -132,7 +132,7 @@
             }
             Err(error) => {
                 tracing::warn!("discovery: {address}: {error}");
-                tokio::time::sleep(SOCKET_BACKOFF).await;
+                tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
         }
         listener = TcpListener::bind(address).await;
@@ -140,12 +140,12 @@
 }
 
 /// Accepts connections until the server refuses connections.
-async fn accept_connections(shared: &Arc<Shared>, proxy: usize, listener: TcpListener) {
+async fn accept_connections(shared: &Arc<SharedState>, proxy: usize, listener: TcpListener) {
     let mut status = shared.status.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = status.wait_for(Status::is_refusing) => return,
+            _ = status.wait_for(ServerStatus::is_refusing) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -153,25 +153,25 @@
             }
             Err(error) => {
                 tracing::warn!("discovery: {error}");
-                tokio::time::sleep(SOCKET_BACKOFF).await;
+                tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_until_refusing(shared: Arc<Shared>, proxy: usize, mut stream: TcpStream) {
+async fn serve_until_refusing(shared: Arc<SharedState>, proxy: usize, mut stream: TcpStream) {
     let _ = stream.set_nodelay(true); // a failure makes the connection slower only
     let mut status = shared.status.subscribe();
     tokio::select! {
         ended = serve_connection(&shared, proxy, &mut stream) => if let Err(error) = ended {
             tracing::debug!("discovery: {error}");
         },
-        _ = status.wait_for(Status::is_refusing) => {}
+        _ = status.wait_for(ServerStatus::is_refusing) => {}
     }
 }
 
 /// Responds to the polls of one connection until the connection ends.
-async fn serve_connection(shared: &Shared, proxy: usize, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve_connection(shared: &SharedState, proxy: usize, stream: &mut TcpStream) -> io::Result<()> {
     let mut buffer = Vec::new();
     while let Some(head) = RequestHead::read(stream, &mut buffer).await? {
         let poll = Poll::parse(&head.path);
@@ -185,13 +185,13 @@
             // A waiting proxy sends nothing, so a read means that the proxy has given up and closed.
             _ = stream.read_buf(&mut buffer) => return Ok(()),
         };
-        write_counted(shared, proxy, stream, &response).await?;
+        write_and_count(shared, proxy, stream, &response).await?;
     }
     Ok(())
 }
 
-async fn write_counted(
-    shared: &Shared,
+async fn write_and_count(
+    shared: &SharedState,
     proxy: usize,
     stream: &mut TcpStream,
     response: &[u8],
--- a/crates/fleet-bench/src/fleet.rs
+++ b/crates/fleet-bench/src/fleet.rs
@@ -35,7 +35,7 @@
 mod topology;
 
 use crate::error::Error;
-use crate::plan::Source;
+use crate::plan::PlanSource;
 use crate::report::Report;
 use faults::Faults;
 pub use plan::{Phase, Plan};
@@ -49,7 +49,7 @@
 pub struct Args {
     /// Source of the plan
     #[command(flatten)]
-    pub source: Source,
+    pub source: PlanSource,
     /// Phase to simulate; may be given several times [default: all phases in turn]
     #[arg(long = "phase", value_name = "PHASE")]
     pub phases: Vec<Phase>,
--- a/crates/fleet-bench/src/instance.rs
+++ b/crates/fleet-bench/src/instance.rs
@@ -4,13 +4,13 @@
 use std::net::SocketAddr;
 
 /// The version with which every list begins.
-pub const FIRST_VERSION: u64 = 1;
+pub const FIRST_LIST_VERSION: u64 = 1;
 /// Zones over which instances are spread.
-const ZONES: [&str; 3] = ["a", "b", "c"];
+const ZONE_NAMES: [&str; 3] = ["a", "b", "c"];
 /// Cells over which instances are spread.
-const CELLS: usize = 9;
+const CELL_COUNT: usize = 9;
 /// Multiplier (2^32 divided by the golden ratio) that turns a number into a random-looking id.
-const ID_MULTIPLIER: u32 = 0x9e37_79b1;
+const INSTANCE_ID_MULTIPLIER: u32 = 0x9e37_79b1;
 
 /// The lifecycle state of a listed instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -50,11 +50,11 @@
     fn serving(number: usize, host_port: SocketAddr) -> Self {
         Self {
             // The ids differ as much as the ids in the operators' example.
-            instance_id: format!("s-{:08x}", (number as u32).wrapping_mul(ID_MULTIPLIER)),
+            instance_id: format!("s-{:08x}", (number as u32).wrapping_mul(INSTANCE_ID_MULTIPLIER)),
             host_port,
-            zone: ZONES[number % ZONES.len()],
+            zone: ZONE_NAMES[number % ZONE_NAMES.len()],
             machine_type: "m2",
-            cell: number % CELLS,
+            cell: number % CELL_COUNT,
             lifecycle: Lifecycle::Serving,
             weight: 1.0,
             started_at_ms: 0,
@@ -82,6 +82,6 @@
     /// Creates the full list in its first version, with which a proxy is started.
     #[must_use]
     pub fn initial(instances: &'a [Instance]) -> Self {
-        Self { generation: FIRST_VERSION, reset: true, instances: instances.iter().collect() }
+        Self { generation: FIRST_LIST_VERSION, reset: true, instances: instances.iter().collect() }
     }
 }
--- a/crates/fleet-bench/src/added.rs
+++ b/crates/fleet-bench/src/latency_overhead.rs
@@ -6,26 +6,26 @@
 //! persistent connections. The added latency at a percentile is the difference of the two percentiles.
 
 mod analysis;
-mod bench;
 mod connection;
 mod load;
 mod plan;
 mod tables;
+mod test_bed;
 mod verdict;
 
 pub use plan::{Args, Plan};
-pub use verdict::{Observation, Verdict};
+pub use verdict::{LatencyObservation, Verdict};
 
 use crate::budget;
 use crate::error::Error;
 use crate::proxy::find_program;
 use crate::report::Report;
+use crate::resource_usage::MachineLoad;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::MachineLoad;
 use analysis::Analysis;
-use bench::Bench;
-use load::CALLERS;
+use load::CALLER_COUNT;
 use tables::Tables;
+use test_bed::ProxyTestBed;
 use verdict::MAX_GENERATOR_DELAY_FRACTION;
 
 /// Runs `fleet-bench added`.
@@ -41,19 +41,19 @@
     let mut tables = Tables::new();
     let load_at_start = MachineLoad::now()?;
     for &listed in &plan.listed {
-        let mut bench = Bench::start(plan.seed, &shutdown, &program, listed)?;
+        let mut test_bed = ProxyTestBed::start(plan.seed, &shutdown, &program, listed)?;
         for load in plan.loads() {
             tracing::info!("{listed} listed, {} calls/s, {} changes/s", load.rate, load.changes);
-            let result = bench.measure(load)?;
+            let result = test_bed.measure(load)?;
             tables.add(listed, load, &Analysis::of(result, load)?);
         }
-        bench.check_backends()?;
+        test_bed.check_backends()?;
     }
     report.tables.extend(tables.into_tables());
     report.notes.push(format!(
         "Machine too busy: at the 99th percentile the generator began its calls later than {:.2} ms \
          ({MAX_GENERATOR_DELAY_FRACTION} of the budget), or direct calls exceeded the budget. Calls piled up: \
-         more than {CALLERS} calls were in flight.",
+         more than {CALLER_COUNT} calls were in flight.",
         MAX_GENERATOR_DELAY_FRACTION * budget::ADDED_LATENCY_MS
     ));
     report.notes.push(load_at_start.note_until_now()?);
--- a/crates/fleet-bench/src/added/analysis.rs
+++ b/crates/fleet-bench/src/latency_overhead/analysis.rs
@@ -1,18 +1,18 @@
 //! Statistics of the calls of one measurement.
 
-use super::bench::LoadResult;
 use super::load::{CallSample, Route, WARM_UP_SECONDS};
 use super::plan::LoadPlan;
-use super::verdict::{Observation, Verdict};
+use super::test_bed::LoadResult;
+use super::verdict::{LatencyObservation, Verdict};
 use crate::error::Error;
 use crate::latency::LatencyHistogram;
 use std::time::Duration;
 
 /// Maximum of the measured latencies; a longer latency counts as the maximum.
-const MAX_LATENCY: Duration = Duration::from_secs(60);
+const MAX_RECORDED_LATENCY: Duration = Duration::from_secs(60);
 /// Number of equal parts of the measured time; the added latency of each part shows how steady the run
 /// was.
-const SEGMENTS: usize = 5;
+const SEGMENT_COUNT: usize = 5;
 /// The quantile to which the budget applies.
 const BUDGET_QUANTILE: f64 = 0.99;
 
@@ -58,7 +58,7 @@
     /// Cost of a proxied call at the proxy.
     pub proxy_cost: ProxyCost,
     /// The fraction of the time in which a task of the machine waited for a processor.
-    pub machine_stalled: f64,
+    pub machine_stall_fraction: f64,
 }
 
 impl Analysis {
@@ -80,7 +80,7 @@
             generator_delay_ms: generator_delays.quantile_ms(BUDGET_QUANTILE),
             queued_fraction: queued as f64 / samples.len() as f64,
             proxy_cost,
-            machine_stalled: result.machine_stalled,
+            machine_stall_fraction: result.machine_stall_fraction,
         })
     }
 
@@ -93,7 +93,7 @@
     /// Compares the added latency with its budget.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
-        let observation = Observation {
+        let observation = LatencyObservation {
             generator_delay_ms: self.generator_delay_ms,
             queued_fraction: self.queued_fraction,
             direct_ms: self.direct.latencies.quantile_ms(BUDGET_QUANTILE),
@@ -105,8 +105,8 @@
 
 impl RouteLatencies {
     fn of(samples: &[CallSample], route: Route) -> Result<Self, Error> {
-        let failed = of_route(samples, route).filter(|sample| sample.latency.is_none()).count();
-        let latencies = histogram(of_route(samples, route).filter_map(|sample| sample.latency))?;
+        let failed = samples_of_route(samples, route).filter(|sample| sample.latency.is_none()).count();
+        let latencies = histogram(samples_of_route(samples, route).filter_map(|sample| sample.latency))?;
         Ok(Self { route, latencies, failed })
     }
 }
@@ -114,16 +114,16 @@
 impl SegmentRange {
     fn of(samples: &[CallSample], seconds: f64) -> Result<Self, Error> {
         let mut added_ms = Vec::new();
-        for segment in 0..SEGMENTS {
+        for segment in 0..SEGMENT_COUNT {
             let quantile_ms = |route: Route| -> Result<f64, Error> {
-                let of_segment =
-                    of_route(samples, route).filter(|sample| segment_of(sample, seconds) == segment);
+                let of_segment = samples_of_route(samples, route)
+                    .filter(|sample| segment_index(sample, seconds) == segment);
                 Ok(histogram(of_segment.filter_map(|sample| sample.latency))?.quantile_ms(BUDGET_QUANTILE))
             };
             added_ms.push(quantile_ms(Route::Proxied)? - quantile_ms(Route::Direct)?);
         }
         added_ms.sort_by(f64::total_cmp);
-        Ok(Self { min_ms: added_ms[0], max_ms: added_ms[SEGMENTS - 1] })
+        Ok(Self { min_ms: added_ms[0], max_ms: added_ms[SEGMENT_COUNT - 1] })
     }
 }
 
@@ -131,7 +131,7 @@
     fn of(result: &LoadResult) -> Self {
         let before = &result.usage_before;
         let after = &result.usage_after;
-        let calls = of_route(&result.samples, Route::Proxied).count() as f64;
+        let calls = samples_of_route(&result.samples, Route::Proxied).count() as f64;
         let us_per_call =
             |after: Duration, before: Duration| after.saturating_sub(before).as_secs_f64() * 1e6 / calls;
         Self {
@@ -141,18 +141,18 @@
     }
 }
 
-fn of_route(samples: &[CallSample], route: Route) -> impl Iterator<Item = &CallSample> {
+fn samples_of_route(samples: &[CallSample], route: Route) -> impl Iterator<Item = &CallSample> {
     samples.iter().filter(move |sample| sample.call.route == route)
 }
 
 /// Returns the index of the part of the measured time in which a call was scheduled.
-fn segment_of(sample: &CallSample, seconds: f64) -> usize {
+fn segment_index(sample: &CallSample, seconds: f64) -> usize {
     let fraction = (sample.call.at.as_secs_f64() - WARM_UP_SECONDS) / seconds;
-    ((fraction * SEGMENTS as f64) as usize).min(SEGMENTS - 1)
+    ((fraction * SEGMENT_COUNT as f64) as usize).min(SEGMENT_COUNT - 1)
 }
 
 fn histogram(latencies: impl Iterator<Item = Duration>) -> Result<LatencyHistogram, Error> {
-    let mut histogram = LatencyHistogram::with_max(MAX_LATENCY)?;
+    let mut histogram = LatencyHistogram::with_max(MAX_RECORDED_LATENCY)?;
     histogram.extend(latencies);
     Ok(histogram)
 }
--- a/crates/fleet-bench/src/added/connection.rs
+++ b/crates/fleet-bench/src/latency_overhead/connection.rs
@@ -8,7 +8,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const READ_BUFFER_BYTES: usize = 2_048;
 /// Maximum number of header fields in a response.
-const MAX_HEADERS: usize = 32;
+const MAX_RESPONSE_HEADERS: usize = 32;
 const STATUS_OK: u16 = 200;
 
 /// A persistent connection to one server, opened again after the server has closed the connection.
@@ -93,7 +93,7 @@
 impl Response {
     /// Parses a response; returns `None` if the response is not complete.
     fn parse(buffer: &[u8]) -> io::Result<Option<Self>> {
-        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_RESPONSE_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         let httparse::Status::Complete(head_bytes) = response.parse(buffer).map_err(io::Error::other)? else {
             return Ok(None);
--- a/crates/fleet-bench/src/added/load.rs
+++ b/crates/fleet-bench/src/latency_overhead/load.rs
@@ -1,8 +1,8 @@
 //! An open-loop load of calls that are made directly or through the proxy.
 
 use super::connection::Connection;
-use crate::draw::draw_arrivals;
 use crate::error::Error;
+use crate::sampling::poisson_arrivals;
 use crate::shutdown::ShutdownSignal;
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -14,11 +14,11 @@
 pub const WARM_UP_SECONDS: f64 = 1.5;
 /// Maximum number of calls in flight. A further call waits for a caller, and the wait counts as latency
 /// of the call.
-pub const CALLERS: usize = 128;
+pub const CALLER_COUNT: usize = 128;
 /// Time within which all callers have connected.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
+const CALLER_CONNECT_TIME: Duration = Duration::from_millis(200);
 /// Duration of the busy loop at the end of a wait, as a sleep ends late by some tens of microseconds.
-const SPIN_TIME: Duration = Duration::from_micros(150);
+const SPIN_WAIT_TIME: Duration = Duration::from_micros(150);
 
 /// Route of a call to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,8 +53,8 @@
 }
 
 /// Draws calls of a Poisson process, with `rate` calls per second on each route.
-pub fn draw_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
-    let times = draw_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
+pub fn poisson_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
+    let times = poisson_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
     let mut calls = Vec::with_capacity(times.len());
     for at in times {
         let route = if rng.random() { Route::Proxied } else { Route::Direct };
@@ -65,7 +65,7 @@
 
 /// A call that a caller takes from the schedule.
 #[derive(Clone, Copy, Debug)]
-struct TakenCall {
+struct NumberedCall {
     /// Number of the call, from 0.
     number: usize,
     /// The call.
@@ -85,23 +85,23 @@
 }
 
 /// The calls of one load, which the callers make in turn.
-pub struct Schedule {
+pub struct CallSchedule {
     start: Instant,
     calls: Vec<ScheduledCall>,
     next: AtomicUsize,
 }
 
-impl Schedule {
+impl CallSchedule {
     /// Creates a schedule of these calls, which starts once the callers have had time to connect.
     #[must_use]
     pub fn start_soon(calls: Vec<ScheduledCall>) -> Self {
-        Self { start: Instant::now() + CONNECT_TIME, calls, next: AtomicUsize::new(0) }
+        Self { start: Instant::now() + CALLER_CONNECT_TIME, calls, next: AtomicUsize::new(0) }
     }
 
     /// Takes the next call.
-    fn take_next(&self) -> Option<TakenCall> {
+    fn take_next(&self) -> Option<NumberedCall> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        self.calls.get(number).map(|call| TakenCall { number, call: *call })
+        self.calls.get(number).map(|call| NumberedCall { number, call: *call })
     }
 }
 
@@ -126,9 +126,13 @@
     /// # Errors
     ///
     /// Returns [`Error::Interrupted`] once a signal has arrived.
-    pub fn run(mut self, schedule: &Schedule, shutdown: &ShutdownSignal) -> Result<Vec<CallSample>, Error> {
+    pub fn run(
+        mut self,
+        schedule: &CallSchedule,
+        shutdown: &ShutdownSignal,
+    ) -> Result<Vec<CallSample>, Error> {
         let mut samples = Vec::new();
-        while let Some(TakenCall { number, call }) = schedule.take_next() {
+        while let Some(NumberedCall { number, call }) = schedule.take_next() {
             let due = schedule.start + call.at;
             let was_free = Instant::now() < due;
             wait_precisely(due, call.at, shutdown)?;
@@ -148,7 +152,7 @@
 /// Sleeps for most of the time until `due`, which is `since_start` after the start of the load, and
 /// spins for the rest.
 fn wait_precisely(due: Instant, since_start: Duration, shutdown: &ShutdownSignal) -> Result<(), Error> {
-    shutdown.sleep_until(due - SPIN_TIME.min(since_start))?;
+    shutdown.sleep_until(due - SPIN_WAIT_TIME.min(since_start))?;
     while Instant::now() < due {
         std::hint::spin_loop();
     }
--- a/crates/fleet-bench/src/added/plan.rs
+++ b/crates/fleet-bench/src/latency_overhead/plan.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Seconds that a measurement takes in addition to its load.
-const OVERHEAD_SECONDS: f64 = 1.0;
+const MEASUREMENT_OVERHEAD_SECONDS: f64 = 1.0;
 
 /// Arguments of `fleet-bench added`.
 #[derive(clap::Args, Debug)]
@@ -93,7 +93,7 @@
         check_range("changes", "0 to 1,000 a second", &(0.0..=1_000.0), self.changes.iter().copied())?;
         check_range("seconds", "0.5 to 600 s", &(0.5..=600.0), [self.seconds])?;
         let measurements = self.listed.len() * self.rates.len() * self.changes.len();
-        check_run_time(measurements as f64 * (self.seconds + WARM_UP_SECONDS + OVERHEAD_SECONDS))
+        check_run_time(measurements as f64 * (self.seconds + WARM_UP_SECONDS + MEASUREMENT_OVERHEAD_SECONDS))
     }
 
     /// Returns the loads that are measured with each list, in the order of the run.
--- a/crates/fleet-bench/src/added/tables.rs
+++ b/crates/fleet-bench/src/latency_overhead/tables.rs
@@ -7,7 +7,7 @@
 use crate::report::{Table, Value};
 
 /// The columns that name a measurement.
-const NAME_COLUMNS: [&str; 3] = ["listed", "calls/s", "changes/s"];
+const MEASUREMENT_COLUMNS: [&str; 3] = ["listed", "calls/s", "changes/s"];
 const ADDED_COLUMNS: [&str; 13] = [
     "50%, ms",
     "90%, ms",
@@ -43,7 +43,7 @@
     #[must_use]
     pub fn new() -> Self {
         let by_measurement =
-            |name: &str, columns: &[&str]| Table::new(name, &[&NAME_COLUMNS[..], columns].concat());
+            |name: &str, columns: &[&str]| Table::new(name, &[&MEASUREMENT_COLUMNS[..], columns].concat());
         let added = by_measurement(
             "Latency that the proxy adds to a call: differences of percentiles, with 99% by fifths of the run",
             &ADDED_COLUMNS,
@@ -87,7 +87,7 @@
         (100.0 * analysis.queued_fraction).into(),
         analysis.proxy_cost.processor_us.into(),
         analysis.proxy_cost.run_queue_wait_us.into(),
-        (100.0 * analysis.machine_stalled).into(),
+        (100.0 * analysis.machine_stall_fraction).into(),
         analysis.verdict().text().into(),
     ]
 }
--- a/crates/fleet-bench/src/added/bench.rs
+++ b/crates/fleet-bench/src/latency_overhead/test_bed.rs
@@ -1,16 +1,16 @@
 //! A real proxy with its endpoint list, in front of stub backends.
 
-use super::load::{CALLERS, CallSample, Caller, Schedule, WARM_UP_SECONDS, draw_calls};
+use super::load::{CALLER_COUNT, CallSample, CallSchedule, Caller, WARM_UP_SECONDS, poisson_calls};
 use super::plan::LoadPlan;
 use crate::address::{self, AddressRole};
 use crate::backend::Backends;
 use crate::discovery::{Change, Discovery};
-use crate::draw::{derive_seed, draw_arrivals};
 use crate::error::Error;
 use crate::instance::{InstanceList, create_instances};
 use crate::proxy::{ProxyConfig, ProxyOptions, ProxyProcess, RegistryMode};
+use crate::resource_usage::{MachineLoad, ProcessUsage};
+use crate::sampling::{derive_seed, poisson_arrivals};
 use crate::shutdown::ShutdownSignal;
-use crate::usage::{MachineLoad, ProcessUsage};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::path::Path;
@@ -18,10 +18,10 @@
 
 /// Maximum number of stub backends. The entries of the list share the addresses of the backends in turn,
 /// as a proxy sends to few entries of a list, whatever the size of the list.
-const BACKENDS: usize = 8;
+const MAX_STUB_BACKENDS: usize = 8;
 
 /// A real proxy with its endpoint list, in front of stub backends that respond at once.
-pub struct Bench<'a> {
+pub struct ProxyTestBed<'a> {
     shutdown: &'a ShutdownSignal,
     listed: usize,
     rng: SmallRng,
@@ -40,10 +40,10 @@
     /// The usage of the proxy after the load.
     pub usage_after: ProcessUsage,
     /// The fraction of the time in which a task of the machine waited for a processor.
-    pub machine_stalled: f64,
+    pub machine_stall_fraction: f64,
 }
 
-impl<'a> Bench<'a> {
+impl<'a> ProxyTestBed<'a> {
     /// Starts the servers and the proxy, and waits until the proxy is ready.
     ///
     /// # Errors
@@ -56,7 +56,7 @@
         program: &Path,
         listed: usize,
     ) -> Result<Self, Error> {
-        let backends = Backends::start(BACKENDS.min(listed))?;
+        let backends = Backends::start(MAX_STUB_BACKENDS.min(listed))?;
         let instances = create_instances(backends.addresses().iter().copied().cycle().take(listed));
         let discovery = Discovery::start(instances.clone(), 1)?;
         let mut proxy = ProxyProcess::spawn(&ProxyOptions {
@@ -97,21 +97,21 @@
         let machine = MachineLoad::now()?;
         let samples = self.run_load(load)?;
         let usage_after = self.proxy.usage()?;
-        let machine_stalled = MachineLoad::now()?.stall_since(&machine);
-        Ok(LoadResult { samples, usage_before, usage_after, machine_stalled })
+        let machine_stall_fraction = MachineLoad::now()?.stall_fraction_since(&machine);
+        Ok(LoadResult { samples, usage_before, usage_after, machine_stall_fraction })
     }
 
     fn run_load(&mut self, load: LoadPlan) -> Result<Vec<CallSample>, Error> {
         let seconds = WARM_UP_SECONDS + load.seconds;
-        let calls = draw_calls(&mut self.rng, load.rate, seconds);
-        let changes = draw_arrivals(&mut self.rng, load.changes, seconds);
+        let calls = poisson_calls(&mut self.rng, load.rate, seconds);
+        let changes = poisson_arrivals(&mut self.rng, load.changes, seconds);
         let shutdown = self.shutdown;
         let proxy = self.proxy.listen();
         let backends = self.backends.addresses().to_vec();
-        let schedule = Schedule::start_soon(calls);
+        let schedule = CallSchedule::start_soon(calls);
         std::thread::scope(|scope| {
             let mut callers = Vec::new();
-            for number in 0..CALLERS {
+            for number in 0..CALLER_COUNT {
                 let backend = backends[number % backends.len()];
                 let schedule = &schedule;
                 callers.push(scope.spawn(move || Caller::connect(backend, proxy)?.run(schedule, shutdown)));
--- a/crates/fleet-bench/src/added/verdict.rs
+++ b/crates/fleet-bench/src/latency_overhead/verdict.rs
@@ -10,7 +10,7 @@
 
 /// Figures of one measurement that decide the verdict; latencies and delays are 99th percentiles.
 #[derive(Clone, Copy, Debug)]
-pub struct Observation {
+pub struct LatencyObservation {
     /// Delay of the generator in beginning its calls, in milliseconds.
     pub generator_delay_ms: f64,
     /// The fraction of the calls that waited for a caller.
@@ -29,9 +29,9 @@
     /// The added latency exceeds the budget.
     OverBudget,
     /// More calls were in flight than there are callers.
-    PiledUp,
+    CallsQueued,
     /// The machine was too busy to measure.
-    TooBusy,
+    MachineTooBusy,
 }
 
 impl Verdict {
@@ -41,23 +41,23 @@
         match self {
             Self::WithinBudget => "within budget",
             Self::OverBudget => "over budget",
-            Self::PiledUp => "over budget: calls piled up",
-            Self::TooBusy => "inconclusive: machine too busy",
+            Self::CallsQueued => "over budget: calls piled up",
+            Self::MachineTooBusy => "inconclusive: machine too busy",
         }
     }
 }
 
-impl Observation {
+impl LatencyObservation {
     /// Compares the added latency with the budget. Calls that pile up are a fault of the proxy, also
     /// where the piled-up calls delay direct calls; a late generator is a fault of the machine.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         if self.generator_delay_ms > MAX_GENERATOR_DELAY_FRACTION * budget::ADDED_LATENCY_MS {
-            Verdict::TooBusy
+            Verdict::MachineTooBusy
         } else if self.queued_fraction > MAX_QUEUED_FRACTION {
-            Verdict::PiledUp
+            Verdict::CallsQueued
         } else if self.direct_ms > budget::ADDED_LATENCY_MS {
-            Verdict::TooBusy
+            Verdict::MachineTooBusy
         } else if self.added_ms <= budget::ADDED_LATENCY_MS {
             Verdict::WithinBudget
         } else {
--- a/crates/fleet-bench/src/lib.rs
+++ b/crates/fleet-bench/src/lib.rs
@@ -54,10 +54,10 @@
 //!
 //! ```
 //! use fleet_bench::fleet::{self, Phase};
-//! use fleet_bench::plan::Source;
+//! use fleet_bench::plan::PlanSource;
 //!
 //! let report = fleet::run(&fleet::Args {
-//!     source: Source { seed: Some(7), ..Source::default() },
+//!     source: PlanSource { seed: Some(7), ..PlanSource::default() },
 //!     phases: vec![Phase::Rack],
 //!     services: Some(20),
 //!     backends: Some(60),
@@ -74,25 +74,25 @@
 //! # Ok::<(), fleet_bench::error::Error>(())
 //! ```
 
-pub mod added;
 mod address;
 pub mod backend;
-mod background;
+mod background_runtime;
 mod budget;
 pub mod control;
 pub mod discovery;
-pub mod draw;
 pub mod error;
 pub mod fleet;
 pub mod instance;
 mod latency;
+pub mod latency_overhead;
 pub mod plan;
 mod proxy;
 pub mod report;
 mod request_head;
+mod resource_usage;
 mod rollout;
+pub mod sampling;
 mod shutdown;
 pub mod slopes;
 pub mod stats;
 mod thread_clock;
-mod usage;
--- a/crates/fleet-bench/src/main.rs
+++ b/crates/fleet-bench/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand};
 use fleet_bench::error::Error;
 use fleet_bench::report::Report;
-use fleet_bench::{added, control, fleet, slopes};
+use fleet_bench::{control, fleet, latency_overhead, slopes};
 use std::io::{self, ErrorKind, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -29,7 +29,8 @@
     /// Simulates a fleet of thousands of balancers with faults on virtual time
     Fleet(fleet::Args),
     /// Measures the latency that the real proxy adds to a call
-    Added(added::Args),
+    #[command(name = "added")]
+    LatencyOverhead(latency_overhead::Args),
 }
 
 /// Runs the command, and writes the report as JSON if a file is given.
@@ -38,7 +39,7 @@
         Command::Slopes(args) => slopes::run(args),
         Command::Control(args) => control::run(args),
         Command::Fleet(args) => fleet::run(args),
-        Command::Added(args) => added::run(args),
+        Command::LatencyOverhead(args) => latency_overhead::run(args),
     }?;
     if let Some(path) = &cli.json {
         report.write(path)?;
--- a/crates/fleet-bench/src/plan.rs
+++ b/crates/fleet-bench/src/plan.rs
@@ -11,7 +11,7 @@
 
 /// Arguments of every command: the source of the plan.
 #[derive(clap::Args, Clone, Debug, Default)]
-pub struct Source {
+pub struct PlanSource {
     /// Experiment file (TOML) with the plan; other arguments override its values
     #[arg(long, value_name = "FILE")]
     pub experiment: Option<PathBuf>,
@@ -20,7 +20,7 @@
     pub seed: Option<u64>,
 }
 
-impl Source {
+impl PlanSource {
     /// Reads the plan of a command from the experiment file, or returns the default plan without a file.
     ///
     /// # Errors
@@ -50,7 +50,7 @@
 pub struct ProxyRunArgs {
     /// The source of the plan
     #[command(flatten)]
-    pub source: Source,
+    pub source: PlanSource,
     /// Run a small plan, which takes less than half a minute
     #[arg(long, conflicts_with = "experiment")]
     pub quick: bool,
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`Source::read`].
+    /// Returns the errors of [`PlanSource::read`].
     pub fn read<P: DeserializeOwned + Default>(&self, quick: P) -> Result<P, Error> {
         if self.quick { Ok(quick) } else { self.source.read() }
     }
--- a/crates/fleet-bench/src/proxy.rs
+++ b/crates/fleet-bench/src/proxy.rs
@@ -6,8 +6,8 @@
 pub use config::{ProxyConfig, RegistryMode};
 
 use crate::error::Error;
+use crate::resource_usage::ProcessUsage;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::ProcessUsage;
 use procfs::process::Process;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -20,14 +20,14 @@
 use tempfile::TempDir;
 
 /// A started proxy must be ready within this time, also on a busy machine.
-const READY_TIMEOUT: Duration = Duration::from_secs(60);
+const READINESS_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval between two readiness checks.
-const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout for connecting and for each read of a readiness check or management call.
-const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const CONFIG_FILE: &str = "config.json";
-const LOG_FILE: &str = "log";
-const READY_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n";
+const SOCKET_TIMEOUT: Duration = Duration::from_secs(5);
+const CONFIG_FILE_NAME: &str = "config.json";
+const LOG_FILE_NAME: &str = "log";
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n";
 
 /// Returns the path of the proxy's program: `named`, or `balancer-proxy` beside this program.
 ///
@@ -74,7 +74,7 @@
     /// Returns an error if its files cannot be written or the program cannot be started.
     pub fn spawn(options: &ProxyOptions<'_>) -> Result<Self, Error> {
         let directory = TempDir::with_prefix("fleet-bench-")?;
-        let config_path = directory.path().join(CONFIG_FILE);
+        let config_path = directory.path().join(CONFIG_FILE_NAME);
         let config = options.config.to_json()?;
         std::fs::write(&config_path, config)
             .map_err(|error| Error::File { path: config_path.clone(), error })?;
@@ -88,8 +88,8 @@
             .env("TMPDIR", directory.path())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(File::create(directory.path().join(LOG_FILE))?);
-        let (child, process) = launch(&mut command)?;
+            .stderr(File::create(directory.path().join(LOG_FILE_NAME))?);
+        let (child, process) = spawn_process(&mut command)?;
         let (listen, management) = (options.listen, options.management);
         Ok(Self { command, child, process, directory, listen, management })
     }
@@ -103,7 +103,7 @@
     /// Returns the path of the configuration file.
     #[must_use]
     pub fn config_path(&self) -> PathBuf {
-        self.directory.path().join(CONFIG_FILE)
+        self.directory.path().join(CONFIG_FILE_NAME)
     }
 
     /// Sends SIGHUP, on which the proxy reads its configuration file again.
@@ -133,7 +133,7 @@
     ///
     /// Returns an error if the program cannot be started.
     pub fn restart(&mut self) -> Result<(), Error> {
-        (self.child, self.process) = launch(&mut self.command)?;
+        (self.child, self.process) = spawn_process(&mut self.command)?;
         Ok(())
     }
 
@@ -144,7 +144,7 @@
     /// Returns [`Error::ProxyEnded`] or [`Error::ProxyNotReady`] if the proxy does not become ready, and
     /// [`Error::Interrupted`] once a signal has arrived.
     pub fn wait_until_ready(&mut self, shutdown: &ShutdownSignal) -> Result<(), Error> {
-        let deadline = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READINESS_TIMEOUT;
         while !self.is_ready() {
             shutdown.check()?;
             let address = self.listen;
@@ -154,18 +154,18 @@
             if Instant::now() > deadline {
                 return Err(Error::ProxyNotReady { address, last_log_line: self.last_log_line() });
             }
-            std::thread::sleep(READY_POLL_INTERVAL);
+            std::thread::sleep(READINESS_POLL_INTERVAL);
         }
         Ok(())
     }
 
     fn is_ready(&self) -> bool {
-        let response = http_request(self.listen, READY_REQUEST);
+        let response = http_request(self.listen, READINESS_REQUEST);
         response.is_ok_and(|response| response.starts_with("HTTP/1.1 200"))
     }
 
     fn last_log_line(&self) -> String {
-        let log = std::fs::read_to_string(self.directory.path().join(LOG_FILE)).unwrap_or_default();
+        let log = std::fs::read_to_string(self.directory.path().join(LOG_FILE_NAME)).unwrap_or_default();
         log.lines().last().unwrap_or("its log is empty").to_string()
     }
 
@@ -198,7 +198,7 @@
     }
 }
 
-fn launch(command: &mut Command) -> Result<(Child, Process), Error> {
+fn spawn_process(command: &mut Command) -> Result<(Child, Process), Error> {
     let path = PathBuf::from(command.get_program());
     let mut child = command.spawn().map_err(|error| Error::File { path, error })?;
     let process = i32::try_from(child.id()).ok().and_then(|id| Process::new(id).ok());
@@ -211,8 +211,8 @@
 }
 
 fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
-    stream.set_read_timeout(Some(CALL_TIMEOUT))?;
+    let stream = TcpStream::connect_timeout(&address, SOCKET_TIMEOUT)?;
+    stream.set_read_timeout(Some(SOCKET_TIMEOUT))?;
     Ok(stream)
 }
 
--- a/crates/fleet-bench/src/request_head.rs
+++ b/crates/fleet-bench/src/request_head.rs
@@ -5,9 +5,9 @@
 use tokio::net::TcpStream;
 
 /// Maximum size of a request head.
-const MAX_HEAD_BYTES: usize = 16 << 10;
+const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
 /// Maximum number of header fields.
-const MAX_HEADERS: usize = 48;
+const MAX_REQUEST_HEADERS: usize = 48;
 
 /// The head of a request.
 #[derive(Debug)]
@@ -35,7 +35,7 @@
                 buffer.drain(..head.head_bytes);
                 return Ok(Some(head));
             }
-            if buffer.len() > MAX_HEAD_BYTES {
+            if buffer.len() > MAX_REQUEST_HEAD_BYTES {
                 return Err(io::Error::other("a head that does not end"));
             }
             if stream.read_buf(buffer).await? == 0 {
@@ -46,7 +46,7 @@
 
     /// Parses the head at the beginning of the buffer; returns `None` if the head is not complete.
     fn parse(buffer: &[u8]) -> io::Result<Option<Self>> {
-        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_REQUEST_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         let httparse::Status::Complete(head_bytes) = request.parse(buffer).map_err(io::Error::other)? else {
             return Ok(None);
--- a/crates/fleet-bench/src/usage.rs
+++ b/crates/fleet-bench/src/resource_usage.rs
@@ -93,7 +93,7 @@
 
     /// Returns the fraction of the time since an earlier reading in which a task waited for a processor.
     #[must_use]
-    pub fn stall_since(&self, earlier: &Self) -> f64 {
+    pub fn stall_fraction_since(&self, earlier: &Self) -> f64 {
         let stalled = self.stalled.saturating_sub(earlier.stalled);
         stalled.as_secs_f64() / self.at.duration_since(earlier.at).as_secs_f64()
     }
--- a/crates/fleet-bench/src/rollout.rs
+++ b/crates/fleet-bench/src/rollout.rs
@@ -13,17 +13,17 @@
 use crate::latency::LatencyHistogram;
 use crate::proxy::ProxyProcess;
 use crate::report::{Report, Table, Value};
+use crate::resource_usage::MachineLoad;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::MachineLoad;
 use managed_proxy::STATS_POLL_INTERVAL;
 use proxy_set::{FileCounts, ProxySet, ROLLOUT_TIMEOUT};
 use scenario::{InvalidFile, KillTime, Measurement, UNOBSERVED_CHANGES_PER_SECOND};
 use std::time::Duration;
 
 /// Upper bound of the latency of any rollout.
-const MAX_LATENCY: Duration = Duration::from_secs(600);
+const MAX_RECORDED_LATENCY: Duration = Duration::from_secs(600);
 
-const COLUMNS: [&str; 11] = [
+const ROLLOUT_COLUMNS: [&str; 11] = [
     "rollout",
     "changes",
     "proxies",
@@ -52,12 +52,12 @@
 ) -> Result<(), Error> {
     let name = "Settings rollouts: time until a change is in force, and cost for each proxy";
     let proxies = ProxySet::new(shutdown, processes)?;
-    let mut rollouts = Rollouts { proxies, table: Table::new(name, &COLUMNS) };
-    rollouts.run_without_faults(plan)?;
-    rollouts.run_invalid_files()?;
-    rollouts.run_silent_discovery(discovery)?;
-    rollouts.run_killed_proxies()?;
-    report.tables.push(rollouts.table);
+    let mut runner = ScenarioRunner { proxies, table: Table::new(name, &ROLLOUT_COLUMNS) };
+    runner.run_without_faults(plan)?;
+    runner.run_invalid_files()?;
+    runner.run_silent_discovery(discovery)?;
+    runner.run_killed_proxies()?;
+    report.tables.push(runner.table);
     report.notes.push(format!(
         "Times are from the start of a change, or of the burst, before the first file is written, until \
          stats show the version; stats are polled every {} ms. Processor time of a change is the excess over \
@@ -81,12 +81,12 @@
     }
 }
 
-struct Rollouts<'a> {
+struct ScenarioRunner<'a> {
     proxies: ProxySet<'a>,
     table: Table,
 }
 
-impl<'a> Rollouts<'a> {
+impl<'a> ScenarioRunner<'a> {
     fn run_without_faults(&mut self, plan: &Plan) -> Result<(), Error> {
         let changes = plan.changes;
         let per_second = plan.changes_per_second;
@@ -142,13 +142,13 @@
         self.proxies.reset_stats()?;
         let measurement = run(&mut self.proxies)?;
         let files = self.proxies.file_counts()?;
-        let machine_stalled = MachineLoad::now()?.stall_since(&machine);
+        let machine_stall_fraction = MachineLoad::now()?.stall_fraction_since(&machine);
         let expected = scenario.rejected_per_proxy * self.proxies.len() as u64;
         if files.rejected != expected {
             let scenario = scenario.name.to_string();
             return Err(Error::RejectedFiles { scenario, rejected: files.rejected, expected });
         }
-        let row = self.row(scenario, &measurement, files, machine_stalled)?;
+        let row = self.row(scenario, &measurement, files, machine_stall_fraction)?;
         self.table.row(row);
         Ok(())
     }
@@ -158,10 +158,10 @@
         scenario: &Scenario,
         measurement: &Measurement,
         files: FileCounts,
-        machine_stalled: f64,
-    ) -> Result<[Value; COLUMNS.len()], Error> {
+        machine_stall_fraction: f64,
+    ) -> Result<[Value; ROLLOUT_COLUMNS.len()], Error> {
         let proxies = self.proxies.len();
-        let mut latencies = LatencyHistogram::with_max(MAX_LATENCY)?;
+        let mut latencies = LatencyHistogram::with_max(MAX_RECORDED_LATENCY)?;
         latencies.extend(measurement.latencies.iter().copied());
         let last_ms = latencies.quantile_ms(1.0);
         Ok([
@@ -175,7 +175,7 @@
             (files.applied as f64 / proxies as f64).into(),
             (files.rejected as usize).into(),
             measurement.processor_ms.into(),
-            (100.0 * machine_stalled).into(),
+            (100.0 * machine_stall_fraction).into(),
         ])
     }
 }
--- a/crates/fleet-bench/src/rollout/managed_proxy.rs
+++ b/crates/fleet-bench/src/rollout/managed_proxy.rs
@@ -96,7 +96,7 @@
     /// # Errors
     ///
     /// Returns an error if the file cannot be written or the process is gone.
-    pub fn change_to(&mut self, version: u64) -> Result<(), Error> {
+    pub fn reload_with_version(&mut self, version: u64) -> Result<(), Error> {
         self.write_version(version)?;
         self.process.reload()
     }
--- a/crates/fleet-bench/src/rollout/proxy_set.rs
+++ b/crates/fleet-bench/src/rollout/proxy_set.rs
@@ -3,8 +3,8 @@
 use super::managed_proxy::{ManagedProxy, SettingsStats};
 use crate::error::Error;
 use crate::proxy::ProxyProcess;
+use crate::resource_usage::ProcessUsage;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::ProcessUsage;
 use std::thread::{Builder, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// Returns the first error of an action.
-    pub fn for_all<T: Send>(
+    pub fn run_on_all<T: Send>(
         &mut self,
         action: impl Fn(&mut ManagedProxy<'a>) -> Result<T, Error> + Sync,
     ) -> Result<Vec<T>, Error> {
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Returns [`Error::RolloutTimeout`] if a proxy takes longer than [`ROLLOUT_TIMEOUT`].
-    pub fn act_and_wait(
+    pub fn run_and_wait(
         &mut self,
         expected: &str,
         action: impl Fn(&mut ManagedProxy<'a>) -> Result<(), Error> + Sync,
@@ -91,7 +91,7 @@
     ) -> Result<Vec<Duration>, Error> {
         let shutdown = self.shutdown;
         let start = Instant::now();
-        let fulfilled_at = self.for_all(|proxy| {
+        let fulfilled_at = self.run_on_all(|proxy| {
             action(proxy)?;
             proxy.wait_for_stats(shutdown, start + ROLLOUT_TIMEOUT, |stats| condition(proxy, stats))
         })?;
@@ -126,7 +126,7 @@
     ) -> Result<Vec<Duration>, Error> {
         let version = self.version;
         let has_version = |_: &ManagedProxy<'a>, stats: &SettingsStats| stats.version == Some(version);
-        self.act_and_wait(&format!("settings version {version}"), action, has_version)
+        self.run_and_wait(&format!("settings version {version}"), action, has_version)
     }
 
     /// Changes the settings of all proxies to the next version.
@@ -136,7 +136,7 @@
     /// Returns [`Error::RolloutTimeout`] if a proxy takes longer than [`ROLLOUT_TIMEOUT`].
     pub fn roll_out_next(&mut self) -> Result<Vec<Duration>, Error> {
         let version = self.advance_version(1);
-        self.roll_out(|proxy| proxy.change_to(version))
+        self.roll_out(|proxy| proxy.reload_with_version(version))
     }
 
     /// Reads the usage of all proxies.
@@ -154,7 +154,7 @@
     ///
     /// Returns an error if a proxy does not respond.
     pub fn reset_stats(&mut self) -> Result<(), Error> {
-        self.for_all(|proxy| {
+        self.run_on_all(|proxy| {
             proxy.initial_stats = proxy.stats()?;
             Ok(())
         })?;
@@ -167,7 +167,7 @@
     ///
     /// Returns an error if a proxy does not respond.
     pub fn file_counts(&mut self) -> Result<FileCounts, Error> {
-        let stats = self.for_all(|proxy| Ok(proxy.stats()?.since(proxy.initial_stats)))?;
+        let stats = self.run_on_all(|proxy| Ok(proxy.stats()?.since(proxy.initial_stats)))?;
         Ok(FileCounts {
             applied: stats.iter().map(|stats| stats.applied).sum(),
             rejected: stats.iter().map(|stats| stats.rejected).sum(),
--- a/crates/fleet-bench/src/rollout/scenario.rs
+++ b/crates/fleet-bench/src/rollout/scenario.rs
@@ -3,14 +3,14 @@
 use super::managed_proxy::ManagedProxy;
 use super::proxy_set::ProxySet;
 use crate::error::Error;
-use crate::usage::ProcessUsage;
+use crate::resource_usage::ProcessUsage;
 use std::time::{Duration, Instant};
 
 /// Changes per second where processor time is measured. At the fleet's own rate the cost of a change
 /// would be lost in the variation of an idle proxy's processor time.
 pub const UNOBSERVED_CHANGES_PER_SECOND: f64 = 20.0;
 /// The proxies complete the work of the previous scenario within this time.
-const SETTLE_TIME: Duration = Duration::from_secs(1);
+const IDLE_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// One in this many proxies is killed.
 const PROXIES_PER_KILL: usize = 10;
 
@@ -78,7 +78,7 @@
 pub fn roll_out_unobserved(proxies: &mut ProxySet<'_>, changes: usize) -> Result<Measurement, Error> {
     let interval = Duration::from_secs_f64(1.0 / UNOBSERVED_CHANGES_PER_SECOND);
     let duration = interval * changes as u32;
-    proxies.shutdown().sleep(SETTLE_TIME)?;
+    proxies.shutdown().sleep(IDLE_SETTLE_TIME)?;
     let before = proxies.usages()?;
     proxies.shutdown().sleep(duration)?;
     let start = Instant::now();
@@ -86,7 +86,7 @@
     for number in 0..changes {
         proxies.shutdown().sleep_until(start + interval * number as u32)?;
         let version = proxies.advance_version(1);
-        proxies.for_all(|proxy| proxy.change_to(version))?;
+        proxies.run_on_all(|proxy| proxy.reload_with_version(version))?;
     }
     proxies.shutdown().sleep_until(start + duration)?;
     let after = proxies.usages()?;
@@ -120,9 +120,10 @@
 pub fn roll_out_burst(proxies: &mut ProxySet<'_>, changes: usize) -> Result<Measurement, Error> {
     let first = proxies.version() + 1;
     let last = proxies.advance_version(changes);
-    let change_to_each =
-        |proxy: &mut ManagedProxy<'_>| (first..=last).try_for_each(|version| proxy.change_to(version));
-    Ok(proxies.roll_out(change_to_each)?.into())
+    let reload_each_version = |proxy: &mut ManagedProxy<'_>| {
+        (first..=last).try_for_each(|version| proxy.reload_with_version(version))
+    };
+    Ok(proxies.roll_out(reload_each_version)?.into())
 }
 
 /// Rolls out one change after an invalid file, which must be rejected and leave the old version in force.
@@ -135,7 +136,7 @@
     invalid: InvalidFile,
 ) -> Result<Measurement, Error> {
     let version = proxies.version();
-    proxies.act_and_wait(
+    proxies.run_and_wait(
         &format!("one file rejected and settings version {version}"),
         |proxy| {
             let text = match invalid {
@@ -164,11 +165,11 @@
     let shutdown = proxies.shutdown();
     let latencies = proxies.roll_out(|proxy| {
         if proxy.index % PROXIES_PER_KILL != 0 {
-            return proxy.change_to(version);
+            return proxy.reload_with_version(version);
         }
         match kill_time {
             KillTime::AfterSignal => {
-                proxy.change_to(version)?;
+                proxy.reload_with_version(version)?;
                 proxy.kill()?;
                 proxy.process.restart()
             }
@@ -181,7 +182,7 @@
                 proxy.kill()?;
                 proxy.process.restart()?;
                 proxy.process.wait_until_ready(shutdown)?;
-                proxy.change_to(version)
+                proxy.reload_with_version(version)
             }
         }
     })?;
--- a/crates/fleet-bench/src/draw.rs
+++ b/crates/fleet-bench/src/sampling.rs
@@ -14,7 +14,7 @@
 
 /// Draws the arrival times of a Poisson process with `rate` arrivals per second on average, during
 /// `seconds`. There are no arrivals at a rate of 0.
-pub fn draw_arrivals(rng: &mut impl Rng, rate: f64, seconds: f64) -> Vec<Duration> {
+pub fn poisson_arrivals(rng: &mut impl Rng, rate: f64, seconds: f64) -> Vec<Duration> {
     if rate <= 0.0 {
         return Vec::new();
     }
--- a/crates/fleet-bench/src/slopes.rs
+++ b/crates/fleet-bench/src/slopes.rs
@@ -4,7 +4,7 @@
 //! so that a temporary load on the machine affects all of them; the line of an axis is fitted through the
 //! medians over the rounds.
 
-mod case;
+mod deployment_case;
 mod event_queue;
 mod event_times;
 mod measurement;
@@ -14,10 +14,10 @@
 mod tables;
 
 use crate::error::Error;
-use crate::plan::Source;
+use crate::plan::PlanSource;
 use crate::report::Report;
 use measurement::{AxisSamples, TimeLimit, measure_axis};
-pub use plan::{Axes, Base, Plan};
+pub use plan::{Axes, BaseCase, Plan};
 use procfs::{Current, LoadAverage};
 use tables::Tables;
 
@@ -26,7 +26,7 @@
 pub struct Args {
     /// Source of the plan
     #[command(flatten)]
-    pub source: Source,
+    pub source: PlanSource,
     /// Measure few and short rounds, to check that the command runs; the figures are rough
     #[arg(long)]
     pub quick: bool,
--- a/crates/fleet-bench/src/slopes/event_queue.rs
+++ b/crates/fleet-bench/src/slopes/event_queue.rs
@@ -34,7 +34,7 @@
 
 /// An event and its time in nanoseconds, which unlike [`Time`] has a total order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Scheduled {
+struct ScheduledEvent {
     at_nanoseconds: u64,
     event: PendingEvent,
 }
@@ -42,13 +42,13 @@
 /// The pending events.
 #[derive(Debug, Default)]
 pub struct EventQueue {
-    pending: BinaryHeap<Reverse<Scheduled>>,
+    pending: BinaryHeap<Reverse<ScheduledEvent>>,
 }
 
 impl EventQueue {
     /// Schedules an event.
     pub fn schedule(&mut self, at: Time, event: PendingEvent) {
-        self.pending.push(Reverse(Scheduled { at_nanoseconds: nanoseconds(at), event }));
+        self.pending.push(Reverse(ScheduledEvent { at_nanoseconds: nanoseconds(at), event }));
     }
 
     /// Takes the next event that is due at this time or before; `None` if no event is.
--- a/crates/fleet-bench/src/slopes/event_times.rs
+++ b/crates/fleet-bench/src/slopes/event_times.rs
@@ -4,7 +4,7 @@
 use crate::thread_clock::thread_time;
 
 /// Number of readings of the clock from which the cost of a reading is estimated.
-const CLOCK_SAMPLES: usize = 2001;
+const CLOCK_READING_COUNT: usize = 2001;
 
 /// The events whose costs are measured separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     /// Requests that were rejected or failed.
     pub unserved: usize,
     /// Open requests, summed over the arrivals.
-    open_at_arrivals: usize,
+    open_requests_at_arrivals: usize,
 }
 
 impl EventTimes {
@@ -55,7 +55,7 @@
 
     /// Adds the number of open requests when a request has arrived.
     pub fn add_open_requests(&mut self, open: usize) {
-        self.open_at_arrivals += open;
+        self.open_requests_at_arrivals += open;
     }
 
     /// Returns the mean processor time of an event of this kind, in microseconds; NaN without such an
@@ -75,7 +75,7 @@
     /// Returns the mean number of open requests over the arrivals.
     #[must_use]
     pub fn mean_open_requests(&self) -> f64 {
-        self.open_at_arrivals as f64 / self.requests()
+        self.open_requests_at_arrivals as f64 / self.requests()
     }
 
     fn requests(&self) -> f64 {
@@ -86,6 +86,6 @@
 /// Measures the processor time of one reading of the clock, in seconds: the median of many.
 #[must_use]
 pub fn measure_clock_cost() -> f64 {
-    let mut costs: Vec<f64> = (0..CLOCK_SAMPLES).map(|_| -thread_time() + thread_time()).collect();
+    let mut costs: Vec<f64> = (0..CLOCK_READING_COUNT).map(|_| -thread_time() + thread_time()).collect();
     stats::median(&mut costs)
 }
--- a/crates/fleet-bench/src/slopes/measurement.rs
+++ b/crates/fleet-bench/src/slopes/measurement.rs
@@ -23,7 +23,7 @@
 ];
 
 /// The number of processor times among the measures.
-const TIME_MEASURES: usize = 10;
+const TIME_MEASURE_COUNT: usize = 10;
 
 /// The samples of one case.
 #[derive(Debug, Default)]
@@ -112,11 +112,11 @@
 
     fn measure_round(&mut self, plan: &Plan) {
         let simulation = &mut self.simulation;
-        let times = simulation.serve(plan.requests);
+        let times = simulation.simulate_requests(plan.requests);
         self.samples.open_requests = times.mean_open_requests();
         self.samples.backends_used = simulation.backends_used();
         self.samples.unserved += times.unserved;
-        let samples: [f64; TIME_MEASURES] = [
+        let samples: [f64; TIME_MEASURE_COUNT] = [
             times.mean_microseconds(EventKind::Request),
             times.mean_microseconds(EventKind::Response),
             times.mean_microseconds(EventKind::TimerWithRetry),
@@ -140,7 +140,7 @@
     fn finish(mut self, plan: &Plan) -> CaseSamples {
         let idle = Simulation::new(self.case.case, plan.seed).state_bytes();
         let loaded = self.simulation.state_bytes();
-        for (measure, bytes) in self.samples.measures[TIME_MEASURES..].iter_mut().zip([idle, loaded]) {
+        for (measure, bytes) in self.samples.measures[TIME_MEASURE_COUNT..].iter_mut().zip([idle, loaded]) {
             measure.push(bytes);
         }
         self.samples
--- a/crates/fleet-bench/src/slopes/plan.rs
+++ b/crates/fleet-bench/src/slopes/plan.rs
@@ -1,19 +1,19 @@
 //! The plan of a run: the content of its experiment file, its defaults, its bounds, and the axes that
 //! follow from it.
 
-use super::case::Case;
+use super::deployment_case::DeploymentCase;
 use crate::error::Error;
 use crate::plan::check_range;
 use balancer::Tier;
 use serde::{Deserialize, Serialize};
 
 /// Maximum of each size of a case: a case of that size is measured within minutes.
-const MAX_SIZE: usize = 10_000;
+const MAX_CASE_SIZE: usize = 10_000;
 
 /// The base case, of which each axis varies one size.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Base {
+pub struct BaseCase {
     /// Backends listed.
     pub backends: usize,
     /// Minimum size of a balancer's subset: backends over balancers, rounded up. The number of
@@ -31,17 +31,17 @@
     pub tier: usize,
 }
 
-impl Default for Base {
+impl Default for BaseCase {
     fn default() -> Self {
         Self { backends: 170, subset: 6, classes: 3, tenants: 0, open_requests: 6, tier: 0 }
     }
 }
 
-impl Base {
-    fn case(&self) -> Case {
-        Case {
+impl BaseCase {
+    fn case(&self) -> DeploymentCase {
+        DeploymentCase {
             backends: self.backends,
-            instances: instances(self.backends, self.subset),
+            instances: balancer_count(self.backends, self.subset),
             classes: self.classes,
             tenants: self.tenants,
             open_requests: self.open_requests,
@@ -51,7 +51,7 @@
 }
 
 /// Returns the number of balancers with which each has a subset of this size.
-fn instances(backends: usize, subset: usize) -> usize {
+fn balancer_count(backends: usize, subset: usize) -> usize {
     backends.div_ceil(subset.max(1)).max(1)
 }
 
@@ -110,7 +110,7 @@
     /// Real time after which no round begins, in seconds.
     pub time_limit: u64,
     /// The base case.
-    pub base: Base,
+    pub base: BaseCase,
     /// The values of each axis.
     pub axes: Axes,
 }
@@ -125,7 +125,7 @@
             lists: 5,
             warm_up: 3.0,
             time_limit: 1200,
-            base: Base::default(),
+            base: BaseCase::default(),
             axes: Axes::default(),
         }
     }
@@ -146,7 +146,7 @@
     /// file.
     pub fn validate(&self) -> Result<(), Error> {
         check_range("rounds", "1 to 1000", &(1..=1000), [self.rounds])?;
-        check_range("requests", "16 to 10000", &(16..=MAX_SIZE), [self.requests])?;
+        check_range("requests", "16 to 10000", &(16..=MAX_CASE_SIZE), [self.requests])?;
         check_range("changes", "2 to 1000", &(2..=1000), [self.changes])?;
         check_range("lists", "1 to 1000", &(1..=1000), [self.lists])?;
         check_range("time_limit", "1 to 86400 seconds", &(1..=86400), [self.time_limit as usize])?;
@@ -162,36 +162,37 @@
         let subset = self.base.subset;
         let axes = &self.axes;
         vec![
-            Axis::new("backends listed", &axes.backends, |backends| Case {
+            Axis::new("backends listed", &axes.backends, |backends| DeploymentCase {
                 backends,
-                instances: instances(backends, subset),
+                instances: balancer_count(backends, subset),
                 ..base
             }),
-            Axis::new("subset size", &axes.subset, |subset| Case {
-                instances: instances(base.backends, subset),
+            Axis::new("subset size", &axes.subset, |subset| DeploymentCase {
+                instances: balancer_count(base.backends, subset),
                 ..base
             }),
-            Axis::new("instances", &axes.instances, |instances| Case { instances, ..base }),
-            Axis::new("classes", &axes.classes, |classes| Case { classes, ..base }),
-            Axis::new("tenants", &axes.tenants, |tenants| Case { tenants, ..base }),
-            Axis::new("open requests", &axes.open_requests, |open_requests| Case { open_requests, ..base }),
-            Axis::new("open requests, full subset", &axes.open_requests_full_subset, |open_requests| Case {
+            Axis::new("instances", &axes.instances, |instances| DeploymentCase { instances, ..base }),
+            Axis::new("classes", &axes.classes, |classes| DeploymentCase { classes, ..base }),
+            Axis::new("tenants", &axes.tenants, |tenants| DeploymentCase { tenants, ..base }),
+            Axis::new("open requests", &axes.open_requests, |open_requests| DeploymentCase {
                 open_requests,
-                instances: 1,
                 ..base
             }),
+            Axis::new("open requests, full subset", &axes.open_requests_full_subset, |open_requests| {
+                DeploymentCase { open_requests, instances: 1, ..base }
+            }),
         ]
     }
 }
 
-fn validate_case(case: &Case) -> Result<(), Error> {
+fn validate_case(case: &DeploymentCase) -> Result<(), Error> {
     let at_least_one = "1 to 10000";
-    check_range("backends", at_least_one, &(1..=MAX_SIZE), [case.backends])?;
-    check_range("instances", at_least_one, &(1..=MAX_SIZE), [case.instances])?;
-    check_range("classes", at_least_one, &(1..=MAX_SIZE), [case.classes])?;
-    check_range("tenants", "0 to 10000", &(0..=MAX_SIZE), [case.tenants])?;
-    check_range("open_requests", at_least_one, &(1..=MAX_SIZE), [case.open_requests])?;
-    check_range("tier", "0 to 10000", &(0..=MAX_SIZE), [case.tier.0])
+    check_range("backends", at_least_one, &(1..=MAX_CASE_SIZE), [case.backends])?;
+    check_range("instances", at_least_one, &(1..=MAX_CASE_SIZE), [case.instances])?;
+    check_range("classes", at_least_one, &(1..=MAX_CASE_SIZE), [case.classes])?;
+    check_range("tenants", "0 to 10000", &(0..=MAX_CASE_SIZE), [case.tenants])?;
+    check_range("open_requests", at_least_one, &(1..=MAX_CASE_SIZE), [case.open_requests])?;
+    check_range("tier", "0 to 10000", &(0..=MAX_CASE_SIZE), [case.tier.0])
 }
 
 /// An axis: one size varies, the other sizes are those of the base case.
@@ -209,11 +210,11 @@
     /// The value of the size that varies.
     pub value: usize,
     /// The case.
-    pub case: Case,
+    pub case: DeploymentCase,
 }
 
 impl Axis {
-    fn new(name: &'static str, values: &[usize], case: impl Fn(usize) -> Case) -> Self {
+    fn new(name: &'static str, values: &[usize], case: impl Fn(usize) -> DeploymentCase) -> Self {
         let cases = values.iter().map(|&value| AxisCase { value, case: case(value) }).collect();
         Self { name, cases }
     }
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -2,7 +2,10 @@
 //! responses, timers fire when due, and cancelled attempts are reported to the balancer. The processor
 //! time of each event is measured separately.
 
-use super::case::{Case, REQUEST_TIMEOUT, RESPONSE_TIME, SLOW_REQUEST_INTERVAL, SLOW_RESPONSE_TIME};
+use super::deployment_case::{
+    DeploymentCase, REQUEST_TIMEOUT_SECONDS, REQUESTS_PER_SLOW_REQUEST, RESPONSE_TIME_SECONDS,
+    SLOW_RESPONSE_TIME_SECONDS,
+};
 use super::event_queue::{EventQueue, PendingEvent};
 use super::event_times::{EventKind, EventTimes, measure_clock_cost};
 use super::open_requests::{Attempt, OpenRequests};
@@ -27,7 +30,7 @@
 
 /// A balancer in operation.
 pub struct Simulation {
-    case: Case,
+    case: DeploymentCase,
     balancer: Balancer,
     endpoints: Vec<Endpoint>,
     /// Actions that have not been carried out.
@@ -35,11 +38,11 @@
     rng: SmallRng,
     now: Time,
     next_id: u64,
-    open: OpenRequests,
+    open_requests: OpenRequests,
     queue: EventQueue,
     times: EventTimes,
     /// Whether each backend got an attempt in the current stretch.
-    used: Vec<bool>,
+    backend_used: Vec<bool>,
     /// Whether the current settings have one instance more than the case.
     extra_instance: bool,
     clock_cost: f64,
@@ -48,7 +51,7 @@
 impl Simulation {
     /// Creates a simulation whose balancer has received its endpoint list.
     #[must_use]
-    pub fn new(case: Case, seed: u64) -> Self {
+    pub fn new(case: DeploymentCase, seed: u64) -> Self {
         let mut simulation = Self {
             case,
             balancer: Balancer::new(0.0, seed, case.settings()),
@@ -57,10 +60,10 @@
             rng: SmallRng::seed_from_u64(seed),
             now: 0.0,
             next_id: 0,
-            open: OpenRequests::default(),
+            open_requests: OpenRequests::default(),
             queue: EventQueue::default(),
             times: EventTimes::default(),
-            used: vec![false; case.backends],
+            backend_used: vec![false; case.backends],
             extra_instance: false,
             clock_cost: measure_clock_cost(),
         };
@@ -79,19 +82,19 @@
     /// Returns the number of backends that got an attempt in the last stretch.
     #[must_use]
     pub fn backends_used(&self) -> usize {
-        self.used.iter().filter(|used| **used).count()
+        self.backend_used.iter().filter(|used| **used).count()
     }
 
     /// Simulates requests for this many seconds of virtual time, until the balancer's rates are
     /// estimated.
     pub fn warm_up(&mut self, duration: Time) {
-        self.serve((duration * self.case.request_rate()).ceil() as usize);
+        self.simulate_requests((duration * self.case.request_rate()).ceil() as usize);
     }
 
     /// Simulates a stretch of this many requests, and returns the cost of the stretch.
-    pub fn serve(&mut self, requests: usize) -> EventTimes {
+    pub fn simulate_requests(&mut self, requests: usize) -> EventTimes {
         self.times = EventTimes::default();
-        self.used.fill(false);
+        self.backend_used.fill(false);
         self.clock_cost = measure_clock_cost();
         self.advance(requests);
         std::mem::take(&mut self.times)
@@ -151,11 +154,11 @@
                 self.handle_pending(due.event);
             }
             self.now = arrival;
-            self.arrive();
+            self.handle_arrival();
         }
     }
 
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let tenants = self.case.tenants;
@@ -163,10 +166,10 @@
             id,
             class: ClassIndex(self.rng.random_range(0..self.case.classes)),
             tenant: (tenants > 0).then(|| TenantIndex(self.rng.random_range(0..tenants))),
-            timeout: REQUEST_TIMEOUT,
+            timeout: REQUEST_TIMEOUT_SECONDS,
             ..Request::default()
         };
-        self.open.open(id);
+        self.open_requests.open(id);
         let seconds = self.handle(Event::Request(request));
         self.times.add(EventKind::Request, seconds);
         self.times.add_open_requests(self.balancer.open_requests());
@@ -175,15 +178,15 @@
 
     fn handle_pending(&mut self, event: PendingEvent) {
         match event {
-            PendingEvent::Timer { id, token } => self.fire_timer(id, token),
-            PendingEvent::Response { id, attempt } => self.respond(id, attempt),
+            PendingEvent::Timer { id, token } => self.handle_timer(id, token),
+            PendingEvent::Response { id, attempt } => self.handle_response(id, attempt),
         }
     }
 
-    fn fire_timer(&mut self, id: RequestId, token: TimerToken) {
+    fn handle_timer(&mut self, id: RequestId, token: TimerToken) {
         let seconds = self.handle(Event::Timer(token));
         let retries = self.actions.iter().any(|action| matches!(action, Action::Send { .. }));
-        let kind = if !self.open.is_open(id) {
+        let kind = if !self.open_requests.is_open(id) {
             EventKind::LateTimer
         } else if retries {
             EventKind::TimerWithRetry
@@ -195,14 +198,14 @@
     }
 
     /// Responds to an attempt, unless the request has ended with its other attempt.
-    fn respond(&mut self, id: RequestId, number: AttemptNumber) {
-        let Some(attempt) = self.open.attempt(id, number) else {
+    fn handle_response(&mut self, id: RequestId, number: AttemptNumber) {
+        let Some(attempt) = self.open_requests.attempt(id, number) else {
             return;
         };
         let seconds = self.end_attempt(id, number, attempt, Outcome::Success);
         self.times.add(EventKind::Response, seconds);
         self.perform_actions(Some(id));
-        self.open.close(id);
+        self.open_requests.close(id);
     }
 
     fn end_attempt(
@@ -245,7 +248,7 @@
                     self.queue.schedule(at, PendingEvent::Timer { id, token });
                 }
                 Action::Cancel { id, attempt: number } => {
-                    let attempt = self.open.attempt(id, number);
+                    let attempt = self.open_requests.attempt(id, number);
                     cancelled.extend(attempt.map(|attempt| CancelledAttempt { id, number, attempt }));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
@@ -258,7 +261,7 @@
         }
         self.actions = actions;
         for id in ended {
-            self.open.close(id);
+            self.open_requests.close(id);
         }
         for CancelledAttempt { id, number, attempt } in cancelled {
             let seconds = self.end_attempt(id, number, attempt, Outcome::Cancelled);
@@ -271,11 +274,11 @@
 
     /// Sends an attempt. The first attempt of a slow request is slow, a retry is not.
     fn send(&mut self, id: RequestId, backend: BackendId) {
-        let attempt = self.open.add_attempt(id, Attempt { backend, sent: self.now });
-        let slow = attempt == AttemptNumber(0) && id.0.is_multiple_of(SLOW_REQUEST_INTERVAL);
-        let response_time = if slow { SLOW_RESPONSE_TIME } else { RESPONSE_TIME };
+        let attempt = self.open_requests.add_attempt(id, Attempt { backend, sent: self.now });
+        let slow = attempt == AttemptNumber(0) && id.0.is_multiple_of(REQUESTS_PER_SLOW_REQUEST);
+        let response_time = if slow { SLOW_RESPONSE_TIME_SECONDS } else { RESPONSE_TIME_SECONDS };
         self.queue.schedule(self.now + response_time, PendingEvent::Response { id, attempt });
-        if let Some(used) = self.used.get_mut(backend.0 as usize) {
+        if let Some(used) = self.backend_used.get_mut(backend.0 as usize) {
             *used = true;
         }
     }
--- a/crates/fleet-bench/tests/added.rs
+++ b/crates/fleet-bench/tests/added.rs
@@ -6,9 +6,9 @@
 
 use common::{JsonAndText, assert_nothing_left, report_of, table};
 use failure::failure_of;
-use fleet_bench::added::{Observation, Verdict};
 use fleet_bench::backend::Backends;
-use fleet_bench::draw::draw_arrivals;
+use fleet_bench::latency_overhead::{LatencyObservation, Verdict};
+use fleet_bench::sampling::poisson_arrivals;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use serde_json::{Map, Value};
@@ -68,30 +68,31 @@
 
 #[test]
 fn a_busy_machine_gives_no_verdict() {
-    let quiet = Observation { generator_delay_ms: 0.05, queued_fraction: 0.0, direct_ms: 0.3, added_ms: 0.1 };
-    let slow_proxy = Observation { added_ms: 0.73, ..quiet };
-    let late_generator = Observation { generator_delay_ms: 0.19, queued_fraction: 0.5, ..quiet };
-    let slow_direct_calls = Observation { direct_ms: 0.8, ..quiet };
+    let quiet =
+        LatencyObservation { generator_delay_ms: 0.05, queued_fraction: 0.0, direct_ms: 0.3, added_ms: 0.1 };
+    let slow_proxy = LatencyObservation { added_ms: 0.73, ..quiet };
+    let late_generator = LatencyObservation { generator_delay_ms: 0.19, queued_fraction: 0.5, ..quiet };
+    let slow_direct_calls = LatencyObservation { direct_ms: 0.8, ..quiet };
     // Direct calls wait for callers whose proxied calls are in flight: a fault of the proxy.
-    let queued_calls = Observation { queued_fraction: 0.02, direct_ms: 0.8, ..quiet };
+    let queued_calls = LatencyObservation { queued_fraction: 0.02, direct_ms: 0.8, ..quiet };
 
-    assert_eq!(Observation { added_ms: 0.7, ..quiet }.verdict(), Verdict::WithinBudget);
+    assert_eq!(LatencyObservation { added_ms: 0.7, ..quiet }.verdict(), Verdict::WithinBudget);
     assert_eq!(slow_proxy.verdict(), Verdict::OverBudget);
-    assert_eq!(late_generator.verdict(), Verdict::TooBusy);
-    assert_eq!(slow_direct_calls.verdict(), Verdict::TooBusy);
-    assert_eq!(queued_calls.verdict(), Verdict::PiledUp);
-    let texts =
-        [Verdict::WithinBudget, Verdict::OverBudget, Verdict::PiledUp, Verdict::TooBusy].map(Verdict::text);
+    assert_eq!(late_generator.verdict(), Verdict::MachineTooBusy);
+    assert_eq!(slow_direct_calls.verdict(), Verdict::MachineTooBusy);
+    assert_eq!(queued_calls.verdict(), Verdict::CallsQueued);
+    let texts = [Verdict::WithinBudget, Verdict::OverBudget, Verdict::CallsQueued, Verdict::MachineTooBusy]
+        .map(Verdict::text);
     assert_eq!(texts, VERDICTS);
 }
 
 #[test]
 fn arrivals_follow_their_rate() {
-    let times = draw_arrivals(&mut SmallRng::seed_from_u64(3), 100.0, 100.0);
+    let times = poisson_arrivals(&mut SmallRng::seed_from_u64(3), 100.0, 100.0);
 
     assert!((9_600..10_400).contains(&times.len()), "{}", times.len());
     assert!(times.is_sorted() && times[times.len() - 1].as_secs_f64() < 100.0);
-    assert!(draw_arrivals(&mut SmallRng::seed_from_u64(3), 0.0, 100.0).is_empty());
+    assert!(poisson_arrivals(&mut SmallRng::seed_from_u64(3), 0.0, 100.0).is_empty());
 }
 
 #[test]
--- a/crates/fleet-bench/tests/discovery.rs
+++ b/crates/fleet-bench/tests/discovery.rs
@@ -166,7 +166,7 @@
     let (discovery, mut client) = start();
     discovery.publish(Change::Weight { index: 0, weight: 1.0 });
 
-    discovery.forget_history();
+    discovery.discard_history();
 
     assert_eq!(client.poll("/api/targets?since=1&timeout_ms=1")["reset"], true);
 }
--- a/crates/fleet-bench/tests/earlier_files.rs
+++ b/crates/fleet-bench/tests/earlier_files.rs
@@ -5,7 +5,7 @@
 
 use failure::failure_of;
 use fleet_bench::report::Report;
-use fleet_bench::{added, control, fleet, slopes};
+use fleet_bench::{control, fleet, latency_overhead, slopes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value, json};
@@ -111,7 +111,7 @@
 
         assert!(!report.tables.is_empty() && !report.notes.is_empty(), "{path:?}");
         match report.command.as_str() {
-            "added" => assert_plan_is_read::<added::Plan>(&report.arguments, &[]),
+            "added" => assert_plan_is_read::<latency_overhead::Plan>(&report.arguments, &[]),
             "control" => assert_plan_is_read::<control::Plan>(&report.arguments, &CONTROL_PARAMETERS),
             "fleet" => assert_plan_is_read::<fleet::Plan>(&report.arguments, &FLEET_PARAMETERS),
             "slopes" => assert_plan_is_read::<slopes::Plan>(&report.arguments, &SLOPES_PARAMETERS),
--- a/crates/fleet-bench/tests/fleet.rs
+++ b/crates/fleet-bench/tests/fleet.rs
@@ -7,7 +7,7 @@
 use failure::failure_of;
 use fleet_bench::fleet::checker::{Checker, NewCall, Rule, Violation};
 use fleet_bench::fleet::{Args, Phase, run};
-use fleet_bench::plan::Source;
+use fleet_bench::plan::PlanSource;
 use fleet_bench::report::{Report, Value};
 use std::io::Write;
 
@@ -20,7 +20,7 @@
     write!(file, "{text}{lines}").unwrap();
     let experiment = Some(file.path().to_path_buf());
     run(&Args {
-        source: Source { experiment, seed: None },
+        source: PlanSource { experiment, seed: None },
         phases: phases.to_vec(),
         restarts: Some(restarts),
         ..Args::default()
