--- a/crates/fleet-bench/src/control.rs
+++ b/crates/fleet-bench/src/control.rs
@@ -1,7 +1,8 @@
-//! Real proxies against a stub discovery server: the cost of an up-to-date list, the time until a change
-//! is in force, and the polls that discovery receives after an outage.
+//! Runs real proxies against a stub discovery server, and measures three things: the cost of an up-to-date
+//! endpoint list, the time until a change is in force, and the polls that discovery receives after an
+//! outage.
 //!
-//! Bytes are those of polls and responses, heads and bodies, without the overhead of TCP.
+//! Byte counts cover heads and bodies of polls and responses, without the overhead of TCP.
 
 mod cost;
 mod group;
@@ -42,7 +43,7 @@
     Ok(report)
 }
 
-/// Measures costs and recoveries of all groups.
+/// Measures, for each group of proxies, the cost of an up-to-date list and the recovery after outages.
 fn measure_lists(
     plan: &Plan,
     program: &Path,
@@ -53,7 +54,10 @@
     let mut recoveries = recovery::table();
     for size in plan.groups() {
         let GroupSize { listed, proxies, registry_mode } = size;
-        tracing::info!("{listed} listed, {proxies} proxies, registry mode: {}", registry_mode.name());
+        tracing::info!(
+            "measuring {listed} listed, {proxies} proxies, registry mode: {}",
+            registry_mode.name()
+        );
         let mut group = ProxyGroup::start(size, plan.seed, program, shutdown)?;
         cost::measure_rates(&mut group, plan, &mut costs, &mut report.notes)?;
         for &outage in &plan.outages {
--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -1,4 +1,4 @@
-//! Measures the cost of an up-to-date list for a proxy, in windows of constant change rates.
+//! Measures the cost of an up-to-date endpoint list for a proxy, in windows of constant change rates.
 
 use super::group::{GROUP_COLUMNS, ProxyGroup, UsageSnapshot};
 use super::list_changes::ListChangeRates;
@@ -10,7 +10,8 @@
 use crate::resource_usage::ProcessUsage;
 use std::time::Duration;
 
-/// Fraction of a core from which on the discovery server itself may limit the measured rates.
+/// Processor time of the discovery server, as a fraction of a core, above which the server itself may limit
+/// the measured rates.
 const SERVER_NEAR_LIMIT_CORES: f64 = 0.8;
 
 const COST_COLUMNS: [&str; 16] = [
@@ -32,7 +33,7 @@
     "machine stalled, %",
 ];
 
-/// Returns an empty table for [`measure_rates`].
+/// Returns the table without rows to which [`measure_rates`] adds rows.
 #[must_use]
 pub fn table() -> Table {
     let mut table = Table::new(
@@ -44,7 +45,8 @@
     table
 }
 
-/// Measures the costs at all rates of the plan, and adds a row for each.
+/// Measures the costs without changes, at the rate of the fleet and at the rates of the plan, and adds a row
+/// for each.
 ///
 /// # Errors
 ///
@@ -69,7 +71,7 @@
     Ok(())
 }
 
-/// Measures the costs while the list changes at this rate per second.
+/// Measures the costs while the list changes `rate` times per second for `seconds`.
 fn measure_window(
     group: &mut ProxyGroup<'_>,
     rate: f64,
@@ -98,14 +100,14 @@
     Ok(costs)
 }
 
-/// The time until a change is in force, in milliseconds; NaN if no proxy has acknowledged one.
+/// Time until a change is in force, in milliseconds; NaN if no proxy has acknowledged a change.
 #[derive(Clone, Copy)]
 struct InForceLatencyMs {
-    /// The median over proxies and changes.
+    /// Median over all proxies and changes.
     median: f64,
-    /// The 99th percentile over proxies and changes.
+    /// The 99th percentile over all proxies and changes.
     p99: f64,
-    /// The slowest change at the last proxy.
+    /// Time until the slowest change was in force at the last proxy.
     last: f64,
 }
 
@@ -120,20 +122,22 @@
     }
 }
 
-/// Costs of each proxy in one window.
+/// Costs of a proxy in one window; means over the proxies unless the field says otherwise.
 #[derive(Clone, Copy)]
 struct Costs {
     changes_per_second: f64,
     polls_per_second: f64,
-    /// Bytes of polls and responses per second.
+    /// Size of polls and responses, in bytes per second.
     bytes_per_second: f64,
-    /// Processor time as a fraction of a core, on average.
+    /// Mean processor time, as a fraction of a core.
     mean_cores: f64,
     /// Processor time of the proxy with the highest, as a fraction of a core.
     max_cores: f64,
-    /// Resident memory of the proxy with the most.
+    /// Resident memory of the proxy with the most, in bytes.
     max_resident_bytes: f64,
+    /// Peak resident memory of the proxy with the highest peak, in bytes.
     max_peak_resident_bytes: f64,
+    /// File descriptors of the proxy with the most.
     max_open_files: f64,
     in_force_latency_ms: InForceLatencyMs,
     /// Processor time of the discovery server, as a fraction of a core.
@@ -173,8 +177,8 @@
         }
     }
 
-    /// Returns the costs at a rate below that of `other`, by linear interpolation between the costs
-    /// without changes, which are `self`, and the costs of `other`.
+    /// Returns the costs at a change rate below that of `other`, by linear interpolation between `self`, the
+    /// costs without changes, and `other`.
     fn interpolate(&self, other: &Self, rate: f64) -> Self {
         let fraction = (rate / other.changes_per_second).min(1.0);
         let between = |idle: f64, other: f64| idle + fraction * (other - idle);
--- a/crates/fleet-bench/src/control/group.rs
+++ b/crates/fleet-bench/src/control/group.rs
@@ -14,15 +14,15 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Time within which all proxies have polled for the first time. In the registry mode `subscribe` the
-/// proxies spread the first poll over 5 s.
+/// Timeout for the first poll of all proxies. In the registry mode `subscribe` the proxies spread their
+/// first polls over 5 s.
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(20);
 const FIRST_POLL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Idle time between the first polls and the first window.
+/// Idle time between the first polls of the proxies and the first measured window.
 const IDLE_SETTLE_TIME: Duration = Duration::from_secs(1);
 const ACKNOWLEDGEMENT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Multiplier of the list size in the number of a group. Groups have fewer proxies than this, so that
-/// each group has its own seed.
+/// Multiplier of the list size in the number from which the seed of a group is derived. A group has fewer
+/// proxies than this, so that each group has its own seed.
 const GROUP_SEED_STRIDE: usize = 1_000;
 
 /// The names of the columns of [`ProxyGroup::group_cells`].
@@ -34,31 +34,31 @@
     pub size: GroupSize,
     /// The signal that interrupts all waits.
     pub shutdown: &'a ShutdownSignal,
-    // Fields are dropped in this order: the proxies end before the discovery server.
+    // Fields are dropped in this order: the proxies must end before the discovery server.
     /// The proxies of the group.
     pub proxies: Vec<ProxyProcess>,
     /// The discovery server that the proxies poll.
     pub discovery: Discovery,
-    /// Draws the changes of the list.
+    /// The generator of the list changes.
     pub changes: ChangeGenerator,
 }
 
-/// Usage of the proxies, of their discovery server and of the machine at one time.
+/// Resource usage of the proxies, of their discovery server and of the machine at one time.
 pub struct UsageSnapshot {
     /// Time at which the usage was read.
     pub at: Instant,
-    /// The usage of each proxy.
+    /// Resource usage of each proxy.
     pub usages: Vec<ProcessUsage>,
-    /// The polls of each proxy.
+    /// Poll counts of each proxy.
     pub counts: Vec<PollCounts>,
-    /// The usage of this process, which runs the discovery server.
+    /// Resource usage of this process, which runs the discovery server.
     pub server_usage: ProcessUsage,
     /// The load of the machine.
     pub machine: MachineLoad,
 }
 
 impl<'a> ProxyGroup<'a> {
-    /// Starts the server and the proxies, and waits until all have polled and are idle.
+    /// Starts the discovery server and the proxies, and waits until all proxies have polled and are idle.
     ///
     /// # Errors
     ///
@@ -119,7 +119,7 @@
         Ok(())
     }
 
-    /// Reads the usage of the proxies, of their discovery server and of the machine.
+    /// Reads the resource usage of the proxies, of their discovery server and of the machine.
     ///
     /// # Errors
     ///
@@ -131,7 +131,7 @@
         Ok(UsageSnapshot { at: Instant::now(), usages, counts, server_usage, machine: MachineLoad::now()? })
     }
 
-    /// Publishes a change at each of these times from now on.
+    /// Publishes a random change at each of these times, which are relative to now.
     ///
     /// # Errors
     ///
@@ -141,7 +141,7 @@
         discovery.publish_at(times, shutdown, || changes.next_change(discovery))
     }
 
-    /// Waits until every proxy has acknowledged every version, or until the timeout.
+    /// Waits until every proxy has acknowledged every version of the list, or until the timeout.
     ///
     /// # Errors
     ///
@@ -154,8 +154,8 @@
         Ok(())
     }
 
-    /// Compares the number of listed backends at each proxy with that of discovery. Returns a note if the
-    /// numbers differ.
+    /// Compares the number of backends that each proxy lists with the number at discovery. Returns a note if
+    /// the numbers differ.
     ///
     /// # Errors
     ///
@@ -172,7 +172,7 @@
         }))
     }
 
-    /// Returns the first cells of a row about this group, under [`GROUP_COLUMNS`].
+    /// Returns the first cells of a row about this group, in the order of [`GROUP_COLUMNS`].
     #[must_use]
     pub fn group_cells(&self) -> [Value; GROUP_COLUMNS.len()] {
         [self.size.listed.into(), self.proxies.len().into(), self.size.registry_mode.name().into()]
--- a/crates/fleet-bench/src/control/plan.rs
+++ b/crates/fleet-bench/src/control/plan.rs
@@ -9,14 +9,14 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Time after a window in which proxies may still acknowledge the changes of the window.
+/// Maximum time after a window in which proxies may acknowledge the changes of the window.
 pub const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Polls are observed for this long after an outage of discovery.
+/// Duration of the observation of polls after an outage of discovery.
 pub const RECOVERY_WINDOW: Duration = Duration::from_secs(6);
-/// Delay of a slow response, which is longer than a proxy waits for discovery.
+/// Delay of a slow response of discovery. A proxy stops waiting for discovery earlier.
 const SLOW_RESPONSE_DELAY: Duration = Duration::from_secs(10);
-/// Number of windows that are measured in addition to the rates of the plan: without changes, and at the
-/// rate of the fleet.
+/// Number of windows that are measured in addition to those of the plan's rates: one without changes, and
+/// one at the rate of the fleet.
 const BASELINE_WINDOWS: usize = 2;
 
 /// Arguments of `fleet-bench control`.
@@ -31,7 +31,7 @@
     /// Changes of the list per second, measured in addition to no changes and the rate of the fleet
     #[arg(long, value_delimiter = ',', value_name = "RATE,...")]
     pub rates: Option<Vec<f64>>,
-    /// Seconds for which each rate is measured
+    /// Duration of the measurement of each rate, in seconds
     #[arg(long, value_name = "SECONDS")]
     pub window: Option<f64>,
     /// Outages of discovery, one after another; without a value there is no outage
@@ -42,7 +42,7 @@
     pub settings: rollout::RolloutArgs,
 }
 
-/// An outage of discovery: how discovery fails, and what discovery sends afterwards.
+/// An outage of discovery: the kind of the failure, and the list that discovery sends afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outage {
@@ -52,9 +52,9 @@
     #[serde(alias = "refusing-whole")]
     #[value(alias = "refusing-whole")]
     RefusingFullList,
-    /// Discovery is silent, and afterwards sends the changes
+    /// Discovery does not respond, and afterwards sends the changes
     Silent,
-    /// Discovery is silent, and afterwards sends the full list to all proxies
+    /// Discovery does not respond, and afterwards sends the full list to all proxies
     #[serde(alias = "silent-whole")]
     #[value(alias = "silent-whole")]
     SilentFullList,
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Returns whether the server sends the full list to all proxies after the outage.
+    /// Returns whether the server discards its history, and sends the full list to all proxies after the
+    /// outage.
     #[must_use]
     pub fn discards_history(self) -> bool {
         matches!(self, Self::RefusingFullList | Self::SilentFullList | Self::SlowFullList)
@@ -96,7 +97,7 @@
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Sizes of the list, 2 to 20,000 entries.
+    /// Sizes of the endpoint list, 2 to 20,000 entries.
     pub listed: Vec<usize>,
     /// Numbers of proxies, 1 to 300, each combined with each size of the list.
     pub proxies: Vec<usize>,
@@ -134,7 +135,7 @@
     }
 }
 
-/// Sizes of a group of proxies that have the same list.
+/// Size and registry mode of a group of proxies that have the same endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupSize {
     /// Number of entries in the list.
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Reads the plan that the arguments ask for.
+    /// Reads the plan from the experiment file or the defaults, and applies the arguments.
     ///
     /// # Errors
     ///
@@ -200,7 +201,7 @@
             + outages * (self.outage_seconds + RECOVERY_WINDOW.as_secs_f64())
     }
 
-    /// Returns the groups of proxies that are run, in the order of the run.
+    /// Returns the groups of proxies that are measured, in the order of the run.
     #[must_use]
     pub fn groups(&self) -> Vec<GroupSize> {
         let mut groups = Vec::new();
@@ -216,7 +217,7 @@
         groups
     }
 
-    /// Returns the group whose settings change; `None` if the lists are run instead.
+    /// Returns the group of proxies whose settings change; `None` if the costs of lists are measured instead.
     #[must_use]
     pub fn rollout_group(&self) -> Option<GroupSize> {
         let listed = *self.listed.first().filter(|_| self.settings.is_enabled())?;
--- a/crates/fleet-bench/src/control/recovery.rs
+++ b/crates/fleet-bench/src/control/recovery.rs
@@ -8,11 +8,11 @@
 use crate::resource_usage::MachineLoad;
 use std::time::{Duration, Instant};
 
-/// Changes that are published during an outage.
+/// Number of changes that are published during an outage.
 const CHANGES_PER_OUTAGE: usize = 10;
-/// The polls are counted within these times after the outage, in seconds.
+/// Lengths of the windows after an outage in which polls are counted, in seconds.
 const POLL_COUNT_WINDOWS_SECONDS: [f64; 3] = [0.1, 1.0, RECOVERY_WINDOW.as_secs() as f64];
-/// The peak of polls is counted over this time.
+/// Length of the window over which the peak number of polls is counted.
 const PEAK_POLL_WINDOW: Duration = Duration::from_millis(100);
 
 const RECOVERY_COLUMNS: [&str; 10] = [
@@ -28,7 +28,7 @@
     "machine stalled, %",
 ];
 
-/// Returns an empty table for [`measure_recovery`].
+/// Returns the table without rows for the rows of [`measure_recovery`].
 #[must_use]
 pub fn table() -> Table {
     let mut table = Table::new(
@@ -39,7 +39,7 @@
     table
 }
 
-/// Simulates an outage of this many seconds and returns a row about the time after the outage.
+/// Simulates an outage of `outage_seconds`, and returns a row about the time after the outage.
 ///
 /// # Errors
 ///
@@ -95,8 +95,8 @@
 struct Recovery {
     start: Instant,
     traffic: Vec<TrafficEvent>,
-    /// Time from the end of the outage until all proxies had the newest version, in seconds; `None`
-    /// if longer than the recovery window.
+    /// Time from the end of the outage until all proxies had the newest version, in seconds; `None` if a
+    /// proxy did not have the newest version at the end of the recovery window.
     complete_after_seconds: Option<f64>,
 }
 
@@ -120,8 +120,9 @@
     }
 }
 
-/// Returns the highest number of these times, which are in order, within a span.
+/// Returns the maximum number of times within any window of length `span`. The times are in ascending
+/// order.
 fn max_count_within(times: &[Instant], span: Duration) -> usize {
-    let from = |first: usize| times.partition_point(|time| *time < times[first] + span) - first;
-    (0..times.len()).map(from).max().unwrap_or(0)
+    let count_from = |first: usize| times.partition_point(|time| *time < times[first] + span) - first;
+    (0..times.len()).map(count_from).max().unwrap_or(0)
 }
--- a/crates/fleet-bench/src/latency_overhead.rs
+++ b/crates/fleet-bench/src/latency_overhead.rs
@@ -1,9 +1,10 @@
 //! Measures the latency that the real proxy adds to a call, compared with direct calls in the same run.
 //!
-//! The load is an open loop: a Poisson process is drawn in advance, and the latency of each call counts
-//! from its scheduled start, so that a slow response does not postpone the clock of later calls. Direct
-//! and proxied calls are mixed by the same draws and go to the same backends, which respond at once, on
-//! persistent connections. The added latency at a percentile is the difference of the two percentiles.
+//! The load is open-loop: the start times of all calls are sampled from a Poisson process in advance. The
+//! latency of a call is measured from its scheduled start, so that a slow response does not hide the delay
+//! of later calls. Direct and proxied calls are interleaved at random, and go over persistent connections
+//! to the same backends, which respond at once. The added latency at a percentile is the percentile of
+//! the proxied calls minus that of the direct calls.
 
 mod analysis;
 mod connection;
@@ -43,7 +44,7 @@
     for &listed in &plan.listed {
         let mut test_bed = ProxyTestBed::start(plan.seed, &shutdown, &program, listed)?;
         for load in plan.loads() {
-            tracing::info!("{listed} listed, {} calls/s, {} changes/s", load.rate, load.changes);
+            tracing::info!("measuring {listed} listed, {} calls/s, {} changes/s", load.rate, load.changes);
             let result = test_bed.measure(load)?;
             tables.add(listed, load, &Analysis::of(result, load)?);
         }
--- a/crates/fleet-bench/src/latency_overhead/analysis.rs
+++ b/crates/fleet-bench/src/latency_overhead/analysis.rs
@@ -8,10 +8,10 @@
 use crate::latency::LatencyHistogram;
 use std::time::Duration;
 
-/// Maximum of the measured latencies; a longer latency counts as the maximum.
+/// Maximum latency that a histogram distinguishes; a longer latency is recorded as this maximum.
 const MAX_RECORDED_LATENCY: Duration = Duration::from_secs(60);
-/// Number of equal parts of the measured time; the added latency of each part shows how steady the run
-/// was.
+/// Number of equal segments of the measured time. The range of the added latency over the segments shows
+/// how much the latency varied during the run.
 const SEGMENT_COUNT: usize = 5;
 /// The quantile to which the budget applies.
 const BUDGET_QUANTILE: f64 = 0.99;
@@ -26,20 +26,19 @@
     pub failed: usize,
 }
 
-/// The lowest and highest latency added in a part of the measured time, in milliseconds at the 99th
-/// percentile.
+/// Range of the added latency over the segments of the measured time, at the 99th percentile.
 pub struct SegmentRange {
-    /// Lowest added latency, in milliseconds.
+    /// Added latency of the segment with the lowest, in milliseconds.
     pub min_ms: f64,
-    /// Highest added latency, in milliseconds.
+    /// Added latency of the segment with the highest, in milliseconds.
     pub max_ms: f64,
 }
 
-/// Cost of a proxied call at the proxy, in microseconds.
+/// Cost of a proxied call at the proxy.
 pub struct ProxyCost {
-    /// Processor time of the proxy.
+    /// Processor time of the proxy per call, in microseconds.
     pub processor_us: f64,
-    /// Time in which the proxy was runnable but waited for a processor.
+    /// Time per call in which the proxy was runnable but waited for a processor, in microseconds.
     pub run_queue_wait_us: f64,
 }
 
@@ -49,20 +48,20 @@
     pub direct: RouteLatencies,
     /// Statistics of the proxied calls.
     pub proxied: RouteLatencies,
-    /// Range of the added latency over the measured time.
+    /// Range of the added latency over the segments of the measured time.
     pub segment_range: SegmentRange,
-    /// Delay of the generator in beginning its calls, in milliseconds at the 99th percentile.
+    /// Delay from the scheduled to the actual start of a call, in milliseconds at the 99th percentile.
     pub generator_delay_ms: f64,
-    /// The fraction of the calls that waited for a caller.
+    /// Fraction of the calls that waited for a free caller.
     pub queued_fraction: f64,
-    /// Cost of a proxied call at the proxy.
+    /// Mean cost of a proxied call at the proxy.
     pub proxy_cost: ProxyCost,
-    /// The fraction of the time in which a task of the machine waited for a processor.
+    /// Fraction of the time in which a task of the machine waited for a processor.
     pub machine_stall_fraction: f64,
 }
 
 impl Analysis {
-    /// Analyses the calls after the warm-up.
+    /// Analyses the calls that were scheduled after the warm-up.
     ///
     /// # Errors
     ///
@@ -84,7 +83,8 @@
         })
     }
 
-    /// Returns the added latency at a quantile, in milliseconds: the difference of the two routes.
+    /// Returns the added latency at a quantile, in milliseconds: the quantile of the proxied calls minus that
+    /// of the direct calls.
     #[must_use]
     pub fn added_ms(&self, quantile: f64) -> f64 {
         self.proxied.latencies.quantile_ms(quantile) - self.direct.latencies.quantile_ms(quantile)
@@ -145,7 +145,7 @@
     samples.iter().filter(move |sample| sample.call.route == route)
 }
 
-/// Returns the index of the part of the measured time in which a call was scheduled.
+/// Returns the index of the segment of the measured time in which a call was scheduled.
 fn segment_index(sample: &CallSample, seconds: f64) -> usize {
     let fraction = (sample.call.at.as_secs_f64() - WARM_UP_SECONDS) / seconds;
     ((fraction * SEGMENT_COUNT as f64) as usize).min(SEGMENT_COUNT - 1)
--- a/crates/fleet-bench/src/latency_overhead/connection.rs
+++ b/crates/fleet-bench/src/latency_overhead/connection.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A call without a response within this time has failed.
+/// Timeout for connecting and for each read of a response; after the timeout the call has failed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const READ_BUFFER_BYTES: usize = 2_048;
 /// Maximum number of header fields in a response.
@@ -31,13 +31,13 @@
     /// Makes a call and returns whether the status of its response was 200.
     pub fn call(&mut self, request_id: u64) -> bool {
         self.try_call(request_id).unwrap_or_else(|error| {
-            tracing::debug!("{}: {error}", self.server);
+            tracing::debug!("call to {} failed: {error}", self.server);
             false
         })
     }
 
-    /// Calls on the open connection. If the server has closed that between two calls, the call is made
-    /// on a new one, as clients do.
+    /// Makes a call on the open connection. If the server has closed that connection since the last call,
+    /// the call is retried on a new connection, as HTTP clients do.
     fn try_call(&mut self, request_id: u64) -> io::Result<bool> {
         if let Some(stream) = self.stream.take() {
             match self.exchange(stream, request_id) {
@@ -49,7 +49,8 @@
         self.exchange(stream, request_id)
     }
 
-    /// Sends a request and reads its response. The connection stays open if the server allows that.
+    /// Sends a request and reads its response. The connection is kept for the next call unless the server
+    /// closes it.
     fn exchange(&mut self, mut stream: TcpStream, request_id: u64) -> io::Result<bool> {
         let request = format!(
             "GET /api?q=1 HTTP/1.1\r\nHost: app.svc\r\nX-Txn: {request_id:016x}\r\nX-Lane: look\r\n\
@@ -83,7 +84,7 @@
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut)
 }
 
-/// A complete response.
+/// The status of a complete response.
 struct Response {
     status: Option<u16>,
     /// Whether the server keeps the connection open.
@@ -91,7 +92,7 @@
 }
 
 impl Response {
-    /// Parses a response; returns `None` if the response is not complete.
+    /// Parses a response. Returns `None` if the response is not complete.
     fn parse(buffer: &[u8]) -> io::Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_RESPONSE_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
@@ -103,8 +104,7 @@
             std::str::from_utf8(header.value).ok()
         };
         let content_length = value("content-length").and_then(|text| text.parse::<usize>().ok());
-        let body_bytes =
-            content_length.ok_or_else(|| io::Error::other("a response without Content-Length"))?;
+        let body_bytes = content_length.ok_or_else(|| io::Error::other("response has no Content-Length"))?;
         if buffer.len() < head_bytes + body_bytes {
             return Ok(None);
         }
--- a/crates/fleet-bench/src/latency_overhead/load.rs
+++ b/crates/fleet-bench/src/latency_overhead/load.rs
@@ -1,4 +1,4 @@
-//! An open-loop load of calls that are made directly or through the proxy.
+//! An open-loop load: calls with scheduled start times, made directly or through the proxy.
 
 use super::connection::Connection;
 use crate::error::Error;
@@ -10,14 +10,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Duration of the load before the measured load, in seconds, in which connections are opened.
+/// Duration of the load before the measurement, in seconds. During this time connections are opened.
 pub const WARM_UP_SECONDS: f64 = 1.5;
-/// Maximum number of calls in flight. A further call waits for a caller, and the wait counts as latency
-/// of the call.
+/// Number of callers, and thus the maximum number of calls in flight. A further call waits for a free
+/// caller, and the wait is part of the latency of the call.
 pub const CALLER_COUNT: usize = 128;
-/// Time within which all callers have connected.
+/// Time before the first call in which the callers connect.
 const CALLER_CONNECT_TIME: Duration = Duration::from_millis(200);
-/// Duration of the busy loop at the end of a wait, as a sleep ends late by some tens of microseconds.
+/// Duration of the spin loop at the end of a wait: a sleep ends some tens of microseconds late.
 const SPIN_WAIT_TIME: Duration = Duration::from_micros(150);
 
 /// Route of a call to the backend.
@@ -43,16 +43,17 @@
     }
 }
 
-/// A call that is scheduled.
+/// A call with its scheduled start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledCall {
-    /// Time of the call, since the start of the load.
+    /// Scheduled start of the call, since the start of the load.
     pub at: Duration,
     /// Route of the call.
     pub route: Route,
 }
 
-/// Draws calls of a Poisson process, with `rate` calls per second on each route.
+/// Samples the start times of calls from a Poisson process, with `rate` calls per second on each route on
+/// average.
 pub fn poisson_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
     let times = poisson_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
     let mut calls = Vec::with_capacity(times.len());
@@ -63,10 +64,10 @@
     calls
 }
 
-/// A call that a caller takes from the schedule.
+/// A call of the schedule with its number.
 #[derive(Clone, Copy, Debug)]
 struct NumberedCall {
-    /// Number of the call, from 0.
+    /// Number of the call in the schedule, from 0.
     number: usize,
     /// The call.
     call: ScheduledCall,
@@ -77,14 +78,13 @@
 pub struct CallSample {
     /// The call.
     pub call: ScheduledCall,
-    /// Delay of the generator in beginning the call, if a caller was free in time; `None` if the call
-    /// waited for a caller.
+    /// Delay from the scheduled to the actual start of the call; `None` if the call waited for a free caller.
     pub generator_delay: Option<Duration>,
-    /// The time from the scheduled start to the response; `None` if the call failed.
+    /// Time from the scheduled start to the response; `None` if the call failed.
     pub latency: Option<Duration>,
 }
 
-/// The calls of one load, which the callers make in turn.
+/// The calls of one load. Each free caller takes the next call.
 pub struct CallSchedule {
     start: Instant,
     calls: Vec<ScheduledCall>,
@@ -92,7 +92,7 @@
 }
 
 impl CallSchedule {
-    /// Creates a schedule of these calls, which starts once the callers have had time to connect.
+    /// Creates a schedule that starts after [`CALLER_CONNECT_TIME`].
     #[must_use]
     pub fn start_soon(calls: Vec<ScheduledCall>) -> Self {
         Self { start: Instant::now() + CALLER_CONNECT_TIME, calls, next: AtomicUsize::new(0) }
@@ -121,7 +121,7 @@
         Ok(Self { direct: Connection::open(backend)?, proxied: Connection::open(proxy)? })
     }
 
-    /// Makes calls of the schedule until none is left.
+    /// Makes calls of the schedule until no call is left.
     ///
     /// # Errors
     ///
@@ -149,8 +149,8 @@
     }
 }
 
-/// Sleeps for most of the time until `due`, which is `since_start` after the start of the load, and
-/// spins for the rest.
+/// Sleeps for most of the time until `due`, and spins for the rest. `since_start` is the time from the
+/// start of the load to `due`.
 fn wait_precisely(due: Instant, since_start: Duration, shutdown: &ShutdownSignal) -> Result<(), Error> {
     shutdown.sleep_until(due - SPIN_WAIT_TIME.min(since_start))?;
     while Instant::now() < due {
--- a/crates/fleet-bench/src/latency_overhead/plan.rs
+++ b/crates/fleet-bench/src/latency_overhead/plan.rs
@@ -5,7 +5,7 @@
 use crate::plan::{ProxyRunArgs, check_range, check_run_time, override_with};
 use serde::{Deserialize, Serialize};
 
-/// Seconds that a measurement takes in addition to its load.
+/// Duration of a measurement in addition to its load, in seconds.
 const MEASUREMENT_OVERHEAD_SECONDS: f64 = 1.0;
 
 /// Arguments of `fleet-bench added`.
@@ -17,10 +17,10 @@
     /// Calls per second through the proxy; as many calls are made directly
     #[arg(long, value_delimiter = ',', value_name = "RATE,...")]
     pub rates: Option<Vec<f64>>,
-    /// Changes of the list per second
+    /// Changes of the endpoint list per second
     #[arg(long, value_delimiter = ',', value_name = "RATE,...")]
     pub changes: Option<Vec<f64>>,
-    /// Seconds for which each rate is measured
+    /// Duration of the measurement of each rate, in seconds
     #[arg(long, value_name = "SECONDS")]
     pub seconds: Option<f64>,
 }
@@ -31,11 +31,11 @@
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Sizes of the list, 1 to 20,000 entries.
+    /// Sizes of the endpoint list, 1 to 20,000 entries.
     pub listed: Vec<usize>,
     /// Calls per second through the proxy, 1 to 10,000; as many calls are made directly.
     pub rates: Vec<f64>,
-    /// Changes of the list per second, 0 to 1,000.
+    /// Changes of the endpoint list per second, 0 to 1,000.
     pub changes: Vec<f64>,
     /// Duration of the measurement of each rate, 0.5 to 600 s.
     pub seconds: f64,
@@ -43,7 +43,8 @@
 
 impl Default for Plan {
     fn default() -> Self {
-        // 620,000 calls per second by 5,500 proxies, and ten times that.
+        // In the operators' fleet 5,500 proxies send 620,000 calls per second, which are 113 per proxy. The
+        // second rate is ten times that.
         Self {
             seed: 1,
             listed: vec![17, 870, 5_500],
@@ -59,7 +60,7 @@
 pub struct LoadPlan {
     /// Calls per second through the proxy; as many calls are made directly.
     pub rate: f64,
-    /// Changes of the list per second.
+    /// Changes of the endpoint list per second.
     pub changes: f64,
     /// Duration of the measurement after the warm-up, in seconds.
     pub seconds: f64,
@@ -70,7 +71,7 @@
         Self { listed: vec![870], seconds: 5.0, ..Self::default() }
     }
 
-    /// Reads the plan that the arguments ask for.
+    /// Reads the plan from the experiment file or the defaults, and applies the arguments.
     ///
     /// # Errors
     ///
@@ -96,7 +97,7 @@
         check_run_time(measurements as f64 * (self.seconds + WARM_UP_SECONDS + MEASUREMENT_OVERHEAD_SECONDS))
     }
 
-    /// Returns the loads that are measured with each list, in the order of the run.
+    /// Returns the loads that are measured with each list size, in the order of the run.
     #[must_use]
     pub fn loads(&self) -> Vec<LoadPlan> {
         let mut loads = Vec::new();
--- a/crates/fleet-bench/src/latency_overhead/tables.rs
+++ b/crates/fleet-bench/src/latency_overhead/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the report.
+//! The report tables of the latency measurement.
 
 use super::analysis::{Analysis, RouteLatencies};
 use super::plan::LoadPlan;
@@ -6,7 +6,7 @@
 use crate::latency::LatencyHistogram;
 use crate::report::{Table, Value};
 
-/// The columns that name a measurement.
+/// The columns that identify a measurement.
 const MEASUREMENT_COLUMNS: [&str; 3] = ["listed", "calls/s", "changes/s"];
 const ADDED_COLUMNS: [&str; 13] = [
     "50%, ms",
@@ -24,15 +24,15 @@
     "verdict",
 ];
 const CALL_COLUMNS: [&str; 7] = ["calls", "failed", "50%, ms", "90%, ms", "99%, ms", "99.9%, ms", "max, ms"];
-/// Upper limits of the printed histogram's buckets, in milliseconds.
+/// Upper limits of the buckets of the latency histogram, in milliseconds.
 const BUCKET_LIMITS_MS: [f64; 14] =
     [0.05, 0.1, 0.2, 0.3, 0.5, 0.72, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0, 50.0, 5_000.0];
 
-/// The tables of the report.
+/// The report tables of the latency measurement.
 pub struct Tables {
     /// Added latency, cost and verdict of each measurement.
     added: Table,
-    /// The calls of each route.
+    /// Number and latency of the calls of each route.
     calls: Table,
     /// Histogram of the latencies of each route.
     buckets: Table,
@@ -58,12 +58,12 @@
 
     /// Adds the rows of one measurement.
     pub fn add(&mut self, listed: usize, load: LoadPlan, analysis: &Analysis) {
-        let name = [listed.into(), load.rate.into(), load.changes.into()];
-        self.added.row(name.iter().cloned().chain(added_cells(analysis)));
+        let measurement = [listed.into(), load.rate.into(), load.changes.into()];
+        self.added.row(measurement.iter().cloned().chain(added_cells(analysis)));
         for calls in [&analysis.direct, &analysis.proxied] {
-            let name = || name.iter().cloned().chain([calls.route.name().into()]);
-            self.calls.row(name().chain(call_cells(calls)));
-            self.buckets.row(name().chain(bucket_cells(&calls.latencies)));
+            let measurement_and_route = || measurement.iter().cloned().chain([calls.route.name().into()]);
+            self.calls.row(measurement_and_route().chain(call_cells(calls)));
+            self.buckets.row(measurement_and_route().chain(bucket_cells(&calls.latencies)));
         }
     }
 
@@ -105,7 +105,7 @@
     ]
 }
 
-/// Returns the percentage of the calls in each class of the histogram.
+/// Returns the percentage of the calls in each bucket of the histogram.
 fn bucket_cells(latencies: &LatencyHistogram) -> Vec<Value> {
     let mut cells = Vec::new();
     let mut low_us = 0;
--- a/crates/fleet-bench/src/latency_overhead/test_bed.rs
+++ b/crates/fleet-bench/src/latency_overhead/test_bed.rs
@@ -1,4 +1,4 @@
-//! A real proxy with its endpoint list, in front of stub backends.
+//! Starts a real proxy in front of stub backends, and runs loads through the proxy.
 
 use super::load::{CALLER_COUNT, CallSample, CallSchedule, Caller, WARM_UP_SECONDS, poisson_calls};
 use super::plan::LoadPlan;
@@ -16,30 +16,30 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Maximum number of stub backends. The entries of the list share the addresses of the backends in turn,
-/// as a proxy sends to few entries of a list, whatever the size of the list.
+/// Maximum number of stub backends. A longer list repeats the addresses of the stub backends: a proxy sends
+/// requests to few entries of its list, whatever the size of the list.
 const MAX_STUB_BACKENDS: usize = 8;
 
-/// A real proxy with its endpoint list, in front of stub backends that respond at once.
+/// A real proxy with an endpoint list, in front of stub backends that respond at once.
 pub struct ProxyTestBed<'a> {
     shutdown: &'a ShutdownSignal,
     listed: usize,
     rng: SmallRng,
-    // Fields are dropped in this order: the proxy ends before the servers.
+    // Fields are dropped in this order: the proxy must end before the servers.
     proxy: ProxyProcess,
     discovery: Discovery,
     backends: Backends,
 }
 
-/// Samples and usage of one load.
+/// Call samples and resource usage of one load.
 pub struct LoadResult {
-    /// Samples of all calls, the calls of the warm-up included.
+    /// Samples of all calls, including the calls of the warm-up.
     pub samples: Vec<CallSample>,
-    /// The usage of the proxy before the load.
+    /// Resource usage of the proxy before the load.
     pub usage_before: ProcessUsage,
-    /// The usage of the proxy after the load.
+    /// Resource usage of the proxy after the load.
     pub usage_after: ProcessUsage,
-    /// The fraction of the time in which a task of the machine waited for a processor.
+    /// Fraction of the time in which a task of the machine waited for a processor.
     pub machine_stall_fraction: f64,
 }
 
@@ -77,7 +77,7 @@
         Ok(Self { shutdown, listed, rng, proxy, discovery, backends })
     }
 
-    /// Checks that the load has reached the backends.
+    /// Checks that requests have reached the stub backends.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
         if self.backends.responses() == 0 { Err(Error::NoBackendRequests) } else { Ok(()) }
     }
 
-    /// Makes the calls of one load and measures the proxy meanwhile.
+    /// Makes the calls of one load, and measures the resource usage of the proxy during the load.
     ///
     /// # Errors
     ///
@@ -119,13 +119,13 @@
             let published = self.publish_at(&changes);
             let mut samples = Vec::new();
             for caller in callers {
-                samples.extend(caller.join().map_err(|_| Error::Panicked("a caller"))??);
+                samples.extend(caller.join().map_err(|_| Error::Panicked("a caller thread"))??);
             }
             published.map(|()| samples)
         })
     }
 
-    /// Publishes a change of a weight at each of these times from now on.
+    /// Publishes a random weight change at each of these times, which are relative to now.
     fn publish_at(&mut self, times: &[Duration]) -> Result<(), Error> {
         self.discovery.publish_at(times, self.shutdown, || {
             let weight = self.rng.random_range(0.5..2.0);
--- a/crates/fleet-bench/src/latency_overhead/verdict.rs
+++ b/crates/fleet-bench/src/latency_overhead/verdict.rs
@@ -2,33 +2,34 @@
 
 use crate::budget;
 
-/// The maximum delay of the generator at the 99th percentile, as a fraction of the budget. With a
-/// longer one, or if direct calls already exceed the budget, the machine was too busy to measure.
+/// Maximum delay of the load generator at the 99th percentile, as a fraction of the budget. With a longer
+/// delay, or if direct calls alone exceed the budget, the machine was too busy to measure.
 pub const MAX_GENERATOR_DELAY_FRACTION: f64 = 0.25;
-/// More calls than this fraction wait for a caller only if calls pile up.
+/// Maximum fraction of the calls that wait for a free caller. A higher fraction means that more calls were
+/// in flight than there are callers.
 const MAX_QUEUED_FRACTION: f64 = 0.01;
 
-/// Figures of one measurement that decide the verdict; latencies and delays are 99th percentiles.
+/// Results of one measurement on which the verdict depends. Latencies and delays are 99th percentiles.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyObservation {
-    /// Delay of the generator in beginning its calls, in milliseconds.
+    /// Delay from the scheduled to the actual start of a call, in milliseconds.
     pub generator_delay_ms: f64,
-    /// The fraction of the calls that waited for a caller.
+    /// Fraction of the calls that waited for a free caller.
     pub queued_fraction: f64,
-    /// The latency of direct calls, in milliseconds.
+    /// Latency of direct calls, in milliseconds.
     pub direct_ms: f64,
-    /// The latency that the proxy added, in milliseconds.
+    /// Latency that the proxy added, in milliseconds.
     pub added_ms: f64,
 }
 
-/// The result of a comparison with the budget.
+/// The result of comparing the added latency with its budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The added latency is within the budget.
     WithinBudget,
     /// The added latency exceeds the budget.
     OverBudget,
-    /// More calls were in flight than there are callers.
+    /// Calls waited, as more calls were in flight than there are callers.
     CallsQueued,
     /// The machine was too busy to measure.
     MachineTooBusy,
@@ -48,8 +49,9 @@
 }
 
 impl LatencyObservation {
-    /// Compares the added latency with the budget. Calls that pile up are a fault of the proxy, also
-    /// where the piled-up calls delay direct calls; a late generator is a fault of the machine.
+    /// Compares the added latency with the budget. Calls that wait for a free caller are attributed to the
+    /// proxy, even if the waiting calls delay direct calls. A late load generator is attributed to the
+    /// machine.
     #[must_use]
     pub fn verdict(&self) -> Verdict {
         if self.generator_delay_ms > MAX_GENERATOR_DELAY_FRACTION * budget::ADDED_LATENCY_MS {
