--- a/crates/fleet-bench/src/address.rs
+++ b/crates/fleet-bench/src/address.rs
@@ -3,13 +3,13 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// First port of a run. The ports of a run lie below the ports that the system assigns by itself, so that
-/// an address that is closed for a while can still be bound again.
+/// First port of a run. The ports of a run are below the system's ephemeral ports, so that an address that
+/// was closed for a while can be bound again.
 const FIRST_PORT: u16 = 20_000;
-/// Ports of each role; after these the numbers wrap around.
+/// Number of ports of each role; the ports wrap around after this number.
 const PORTS_PER_ROLE: usize = 12_000;
 
-/// Role of the socket that listens on an address. Each role has its own range of loopback addresses; the
+/// Role of the socket that listens on an address. Each role has its own range of loopback addresses. The
 /// value of a role is the second byte of its addresses.
 #[derive(Clone, Copy, Debug)]
 pub enum AddressRole {
@@ -23,11 +23,11 @@
     Backend = 99,
 }
 
-/// The next number to be assigned, counted over all roles.
+/// The next address number to be assigned; all roles share the counter.
 static NEXT_ADDRESS_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
-/// Allocates `count` addresses. No other run uses these addresses at the same time, as an address
-/// contains the id of this process.
+/// Allocates `count` addresses. An address contains the id of this process, so that no other run uses the
+/// address at the same time.
 pub fn allocate(role: AddressRole, count: usize) -> impl Iterator<Item = SocketAddr> {
     let first = NEXT_ADDRESS_NUMBER.fetch_add(count, Ordering::Relaxed);
     (first..first + count).map(move |number| address_of(role, number))
--- a/crates/fleet-bench/src/background_runtime.rs
+++ b/crates/fleet-bench/src/background_runtime.rs
@@ -1,18 +1,18 @@
-//! Servers that run on their own thread.
+//! An asynchronous runtime on a background thread, on which the stub servers run.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::thread::JoinHandle;
 use tokio::sync::oneshot;
 
-/// A thread with its own runtime. Dropping the value ends the tasks on the runtime and joins the thread.
+/// A thread with its own runtime. Dropping the value cancels the tasks of the runtime and joins the thread.
 pub struct BackgroundRuntime {
     stop_sender: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl BackgroundRuntime {
-    /// Starts a thread and calls `spawn_tasks` in the context of the runtime of the thread.
+    /// Starts a thread with a runtime, and calls `spawn_tasks` in the context of the runtime.
     ///
     /// # Errors
     ///
@@ -23,7 +23,7 @@
         let run = move || {
             runtime.block_on(async {
                 spawn_tasks();
-                let _ = stopped.await; // an error means that the sender was dropped, which is the signal
+                let _ = stopped.await; // an error means that the sender was dropped, which ends the runtime
             });
         };
         let thread = std::thread::Builder::new().name(name.to_string()).spawn(run)?;
@@ -35,12 +35,12 @@
     fn drop(&mut self) {
         drop(self.stop_sender.take());
         if let Some(thread) = self.thread.take() {
-            let _ = thread.join(); // a panic in a server task has been printed already
+            let _ = thread.join(); // the panic of the thread has already been printed
         }
     }
 }
 
-/// Binds a listener that a runtime can take over.
+/// Binds a non-blocking listener, which a runtime can use.
 ///
 /// # Errors
 ///
--- a/crates/fleet-bench/src/discovery.rs
+++ b/crates/fleet-bench/src/discovery.rs
@@ -1,9 +1,10 @@
-//! A stub discovery server in this process. The server responds to list requests and long polls by the
-//! operators' protocol, on a separate address for each proxy, so that the polls of each proxy are counted
+//! A stub discovery server in this process. The server responds to list requests and long polls of the
+//! operators' discovery protocol. Each proxy has its own server address, so that its polls are counted
 //! separately.
 //!
-//! A change is *in force* at a proxy once its next poll names the version of the change (`since=`), as
-//! only then the proxy has applied the response. The measured time includes the way of that poll.
+//! A change is *in force* at a proxy once the next poll of the proxy names the version of the change
+//! (`since=`): the proxy sends that poll after it has applied the response. The measured time includes the
+//! transfer of that poll.
 
 mod list;
 mod poll_log;
@@ -33,7 +34,7 @@
 }
 
 impl Discovery {
-    /// Starts a server that lists these instances, for this many proxies.
+    /// Starts a server with this instance list and one address for each of `proxies` proxies.
     ///
     /// # Errors
     ///
@@ -71,7 +72,7 @@
         self.shared.status.send_modify(|status| status.version = version);
     }
 
-    /// Publishes a change at each of these times from now on.
+    /// Publishes a change at each of these times, which are relative to now.
     ///
     /// # Errors
     ///
@@ -90,12 +91,12 @@
         Ok(())
     }
 
-    /// Forgets all changes: proxies that lack a version get the full list.
+    /// Discards the history of changes. A proxy that does not have the present version gets the full list.
     pub fn discard_history(&self) {
         self.shared.state().list.discard_history();
     }
 
-    /// Sets whether the server responds.
+    /// Sets whether and how fast the server responds.
     pub fn set_availability(&self, availability: Availability) {
         self.shared.status.send_modify(|status| status.availability = availability);
     }
@@ -112,13 +113,13 @@
         self.shared.state().list.listed()
     }
 
-    /// Returns the polls and bytes of each proxy since the start.
+    /// Returns the poll and byte counts of each proxy since the start.
     #[must_use]
     pub fn counts(&self) -> Vec<PollCounts> {
         self.shared.state().log.counts().to_vec()
     }
 
-    /// Acknowledgements that are missing, summed over all versions and proxies.
+    /// Returns the number of missing acknowledgements, summed over all versions and proxies.
     #[must_use]
     pub fn pending_acknowledgements(&self) -> usize {
         self.shared.state().log.pending_acknowledgements()
@@ -130,7 +131,7 @@
         self.shared.state().log.last_acknowledged_at()
     }
 
-    /// Takes the propagation latencies measured since the last call.
+    /// Returns and removes the propagation latencies that were measured since the last call.
     ///
     /// # Errors
     ///
@@ -139,7 +140,7 @@
         self.shared.state().log.take_propagation()
     }
 
-    /// Begins to record all transfers.
+    /// Starts recording all transfers.
     pub fn start_recording(&self) {
         self.shared.state().log.start_recording();
     }
--- a/crates/fleet-bench/src/discovery/list.rs
+++ b/crates/fleet-bench/src/discovery/list.rs
@@ -5,21 +5,21 @@
 use std::sync::Arc;
 use std::time::SystemTime;
 
-/// A change of the list. Instances are given by their index.
+/// A change of the list. An instance is identified by its index in the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
     /// The weight of an instance changes.
     Weight {
         /// The index of the instance.
         index: usize,
-        /// New weight of the instance, relative to that of the others.
+        /// New weight of the instance, relative to the weights of the others.
         weight: f64,
     },
     /// An instance begins to drain.
     Drain(usize),
-    /// A draining instance has restarted and serves again.
+    /// A draining instance has restarted and is in service again.
     Restart(usize),
-    /// A draining instance is gone, and a new instance replaces the draining one at the same address.
+    /// A draining instance is deleted, and a new instance at the same address replaces it.
     Replace(usize),
 }
 
@@ -39,9 +39,9 @@
     instances: Vec<Instance>,
     /// The version in which each instance last changed.
     changed_in: Vec<u64>,
-    /// Changes up to this version are forgotten.
+    /// The oldest version with later changes that are still retained.
     oldest_retained_version: u64,
-    /// Responses with the present version, by the version that the poll names; `None` for the full list.
+    /// Responses with the present version, keyed by the version that the poll names; `None` for the full list.
     responses: HashMap<Option<u64>, Arc<[u8]>>,
 }
 
@@ -62,7 +62,7 @@
         self.version
     }
 
-    /// Applies a change, by which the list gets a new version.
+    /// Applies a change, and increases the version of the list.
     pub fn apply(&mut self, change: Change) {
         self.version += 1;
         let index = change.index();
@@ -91,7 +91,7 @@
         self.changed_in.push(self.version);
     }
 
-    /// Forgets all changes: polls that name an older version get the full list.
+    /// Discards the history of changes. A poll that names an older version gets the full list.
     pub fn discard_history(&mut self) {
         self.oldest_retained_version = self.version;
         self.responses.clear();
@@ -114,8 +114,8 @@
     ///
     /// Returns an error if the list cannot be serialized.
     pub fn response(&mut self, since: Option<u64>) -> Result<Arc<[u8]>, serde_json::Error> {
-        let known = self.oldest_retained_version..=self.version;
-        let since = since.filter(|since| known.contains(since));
+        let retained = self.oldest_retained_version..=self.version;
+        let since = since.filter(|since| retained.contains(since));
         if let Some(response) = self.responses.get(&since) {
             return Ok(response.clone());
         }
@@ -124,14 +124,14 @@
         Ok(response)
     }
 
-    /// Returns the changes after a version, or the full list for `None`.
+    /// Returns the entries that changed after a version; `None` returns the full list.
     fn entries_since(&self, since: Option<u64>) -> InstanceList<'_> {
         let entries = self.instances.iter().zip(&self.changed_in);
-        let wanted = entries.filter(|(entry, changed_in)| match since {
+        let selected = entries.filter(|(entry, changed_in)| match since {
             Some(since) => **changed_in > since,
             None => entry.lifecycle != Lifecycle::Deleted,
         });
-        let instances = wanted.map(|(entry, _)| entry).collect();
+        let instances = selected.map(|(entry, _)| entry).collect();
         InstanceList { generation: self.version, reset: since.is_none(), instances }
     }
 }
--- a/crates/fleet-bench/src/discovery/poll_log.rs
+++ b/crates/fleet-bench/src/discovery/poll_log.rs
@@ -1,21 +1,21 @@
-//! Polls and responses of each proxy, and the version of the list that each proxy has.
+//! Records the polls and responses of each proxy, and the list version that each proxy has acknowledged.
 
 use crate::error::Error;
 use crate::instance::FIRST_LIST_VERSION;
 use crate::latency::LatencyHistogram;
 use std::time::{Duration, Instant};
 
-/// Maximum of the measured propagation; a longer time counts as the maximum.
+/// Maximum propagation latency that a histogram distinguishes; a longer latency is recorded as this maximum.
 const MAX_PROPAGATION: Duration = Duration::from_secs(600);
 
-/// Polls and bytes of one proxy since the start.
+/// Poll and byte counts of one proxy since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollCounts {
     /// Number of polls.
     pub polls: u64,
-    /// Size of the polls, in bytes.
+    /// Total size of the polls, in bytes.
     pub poll_bytes: u64,
-    /// Size of the responses, in bytes.
+    /// Total size of the responses, in bytes.
     pub response_bytes: u64,
 }
 
@@ -39,12 +39,12 @@
     pub bytes: usize,
 }
 
-/// Time from a change at discovery until the change is in force.
+/// Histograms of the time from a change at discovery until the change is in force.
 #[derive(Debug)]
 pub struct PropagationLatency {
-    /// Latencies at each proxy.
+    /// Latency of each change at each proxy.
     pub per_proxy: LatencyHistogram,
-    /// Latency at the last of all proxies, for each change.
+    /// Latency of each change at the last of all proxies.
     pub last_proxy: LatencyHistogram,
 }
 
@@ -55,14 +55,14 @@
     }
 }
 
-/// A version after the first.
+/// A published version of the list after the first version.
 struct PublishedVersion {
     at: Instant,
     /// Number of proxies that have not acknowledged the version.
     pending_proxies: usize,
 }
 
-/// Counts the polls, and measures how soon the proxies acknowledge each version.
+/// Counts the polls, and measures the time until the proxies acknowledge each version.
 pub struct PollLog {
     published: Vec<PublishedVersion>,
     /// The version that each proxy last acknowledged.
@@ -75,7 +75,7 @@
 }
 
 impl PollLog {
-    /// Creates an empty log for this many proxies, which all have the first version.
+    /// Creates an empty log for `proxies` proxies, which all have the first version.
     ///
     /// # Errors
     ///
@@ -91,13 +91,13 @@
         })
     }
 
-    /// Counts a new version of the list, which all proxies lack.
+    /// Records a new version of the list, which no proxy has acknowledged yet.
     pub fn publish(&mut self) {
         let pending_proxies = self.acknowledged.len();
         self.published.push(PublishedVersion { at: Instant::now(), pending_proxies });
     }
 
-    /// Counts a poll, by which a proxy acknowledges the version named in the poll.
+    /// Records a poll of a proxy. The poll acknowledges the version that it names.
     pub fn record_poll(&mut self, proxy: usize, since: Option<u64>, bytes: usize) {
         let now = Instant::now();
         let counts = &mut self.counts[proxy];
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Counts bytes of a response.
+    /// Records bytes of a response to a proxy.
     pub fn record_response(&mut self, proxy: usize, bytes: usize) {
         self.counts[proxy].response_bytes += bytes as u64;
         self.record(TrafficEvent { at: Instant::now(), transfer: Transfer::Response, bytes });
@@ -141,12 +141,12 @@
         }
     }
 
-    /// Returns the polls and bytes of each proxy.
+    /// Returns the poll and byte counts of each proxy.
     pub fn counts(&self) -> &[PollCounts] {
         &self.counts
     }
 
-    /// Acknowledgements that are missing, summed over all versions and proxies.
+    /// Returns the number of missing acknowledgements, summed over all versions and proxies.
     pub fn pending_acknowledgements(&self) -> usize {
         self.published.iter().map(|published| published.pending_proxies).sum()
     }
@@ -156,7 +156,7 @@
         self.last_acknowledged_at
     }
 
-    /// Takes the latencies measured since the last call.
+    /// Returns and removes the latencies that were measured since the last call.
     ///
     /// # Errors
     ///
@@ -165,7 +165,7 @@
         Ok(std::mem::replace(&mut self.propagation, PropagationLatency::new()?))
     }
 
-    /// Begins to record all transfers.
+    /// Starts recording all transfers.
     pub fn start_recording(&mut self) {
         self.traffic = Some(Vec::new());
     }
--- a/crates/fleet-bench/src/discovery/server.rs
+++ b/crates/fleet-bench/src/discovery/server.rs
@@ -11,9 +11,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Maximum wait of a long poll, by the protocol.
+/// Maximum wait of a long poll in the discovery protocol.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
-/// Backoff after a failed accept, or when an address cannot be bound again yet.
+/// Delay before the retry of a failed accept, or of a failed bind of an address that was closed before.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(2);
 const INSTANCE_LIST_PATH: &str = "/api/targets";
 const NOT_FOUND_RESPONSE: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
@@ -25,13 +25,13 @@
     Up,
     /// Each response is delayed by this time.
     Slow(Duration),
-    /// The server accepts polls, and responds only after the outage.
+    /// The server accepts polls, and responds to them only after the outage.
     Silent,
     /// The server closes its connections and refuses new ones.
     Refusing,
 }
 
-/// State of the server on which a waiting poll depends.
+/// The part of the server's state on which a waiting poll depends.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerStatus {
     /// Availability of the server.
@@ -50,7 +50,7 @@
     }
 }
 
-/// The list, and the log of the polls.
+/// The instance list and the log of the polls.
 pub struct ServerState {
     /// The instance list in its present version.
     pub list: VersionedList,
@@ -74,11 +74,12 @@
 
     /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, ServerState> {
-        // Each method leaves valid counts, so that the counts are usable after a panic elsewhere.
+        // No method leaves invalid counts, so that the state is usable after a panic of another thread.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as the poll asks for, and returns the response.
+    /// Waits until the list differs from the version that the poll names, or until the poll's wait ends, and
+    /// returns the response. A silent server does not respond, and a slow server delays the response.
     async fn wait_for_response(&self, poll: Poll) -> Result<Arc<[u8]>, serde_json::Error> {
         // Waiting on the status cannot fail, as the sender is in `self`.
         let mut status = self.status.subscribe();
@@ -105,7 +106,7 @@
 }
 
 impl Poll {
-    /// Parses path and query; `None` for another path.
+    /// Parses path and query. Returns `None` if the path is not that of the instance list.
     fn parse(path: &str) -> Option<Self> {
         let query = match path.strip_prefix(INSTANCE_LIST_PATH)? {
             "" => return Some(Self { since: None, wait: Duration::ZERO }),
@@ -120,7 +121,7 @@
     }
 }
 
-/// Serves one proxy at its own address. While the server refuses connections, the address is not bound.
+/// Serves one proxy at its own address. The address is not bound while the server refuses connections.
 pub async fn serve_proxy(shared: Arc<SharedState>, proxy: usize, address: SocketAddr, first: StdListener) {
     let mut listener = TcpListener::from_std(first);
     loop {
@@ -131,7 +132,7 @@
                 let _ = status.wait_for(|status| !status.is_refusing()).await;
             }
             Err(error) => {
-                tracing::warn!("discovery: {address}: {error}");
+                tracing::warn!("discovery: cannot listen on {address}: {error}; retrying");
                 tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
         }
@@ -139,7 +140,7 @@
     }
 }
 
-/// Accepts connections until the server refuses connections.
+/// Accepts connections of a proxy until the server refuses connections.
 async fn accept_connections(shared: &Arc<SharedState>, proxy: usize, listener: TcpListener) {
     let mut status = shared.status.subscribe();
     loop {
@@ -152,7 +153,7 @@
                 tokio::spawn(serve_until_refusing(shared.clone(), proxy, stream));
             }
             Err(error) => {
-                tracing::warn!("discovery: {error}");
+                tracing::warn!("discovery: cannot accept a connection of proxy {proxy}: {error}; retrying");
                 tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
         }
@@ -160,11 +161,11 @@
 }
 
 async fn serve_until_refusing(shared: Arc<SharedState>, proxy: usize, mut stream: TcpStream) {
-    let _ = stream.set_nodelay(true); // a failure makes the connection slower only
+    let _ = stream.set_nodelay(true); // on failure the connection is only slower
     let mut status = shared.status.subscribe();
     tokio::select! {
         ended = serve_connection(&shared, proxy, &mut stream) => if let Err(error) = ended {
-            tracing::debug!("discovery: {error}");
+            tracing::debug!("discovery: connection of proxy {proxy} failed: {error}");
         },
         _ = status.wait_for(ServerStatus::is_refusing) => {}
     }
@@ -182,7 +183,7 @@
         };
         let response = tokio::select! {
             response = shared.wait_for_response(poll) => response.map_err(io::Error::other)?,
-            // A waiting proxy sends nothing, so a read means that the proxy has given up and closed.
+            // A waiting proxy sends nothing, so the end of a read means that the proxy has closed the connection.
             _ = stream.read_buf(&mut buffer) => return Ok(()),
         };
         write_and_count(shared, proxy, stream, &response).await?;
@@ -190,6 +191,7 @@
     Ok(())
 }
 
+/// Writes a response to a proxy, and records its bytes in the log.
 async fn write_and_count(
     shared: &SharedState,
     proxy: usize,
--- a/crates/fleet-bench/src/latency.rs
+++ b/crates/fleet-bench/src/latency.rs
@@ -4,10 +4,10 @@
 use hdrhistogram::Histogram;
 use std::time::Duration;
 
-/// Significant decimal digits of a recorded value.
+/// Number of significant decimal digits of a recorded value.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of latencies in microseconds. A latency above the maximum of the histogram counts as the
+/// A histogram of latencies in microseconds. A latency above the maximum of the histogram is recorded as the
 /// maximum.
 #[derive(Debug)]
 pub struct LatencyHistogram(Histogram<u64>);
@@ -39,13 +39,13 @@
         self.0.is_empty()
     }
 
-    /// Returns the latency at a quantile between 0 and 1, in milliseconds; NaN if none was recorded.
+    /// Returns the latency at a quantile between 0 and 1, in milliseconds; NaN if the histogram is empty.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if self.is_empty() { f64::NAN } else { self.0.value_at_quantile(quantile) as f64 / 1e3 }
     }
 
-    /// Returns the largest latency, in milliseconds; 0 if none was recorded.
+    /// Returns the largest latency, in milliseconds; 0 if the histogram is empty.
     #[must_use]
     pub fn max_ms(&self) -> f64 {
         self.0.max() as f64 / 1e3
--- a/crates/fleet-bench/src/request_head.rs
+++ b/crates/fleet-bench/src/request_head.rs
@@ -1,4 +1,4 @@
-//! Heads of HTTP/1.1 requests, in the detail that the stub servers need.
+//! Parses those parts of HTTP/1.1 request heads that the stub servers use.
 
 use std::io;
 use tokio::io::AsyncReadExt;
@@ -14,21 +14,21 @@
 pub struct RequestHead {
     /// Path and query of the request.
     pub path: String,
-    /// Whether the request has the request id of a client.
+    /// Whether the request has a request id.
     pub has_request_id: bool,
-    /// Size of the head, in bytes.
+    /// Size of the request head, in bytes.
     pub head_bytes: usize,
     /// Size of the body that follows, in bytes.
     pub body_bytes: usize,
 }
 
 impl RequestHead {
-    /// Removes the next head from `buffer`, and reads from the stream until the head is complete. Returns
-    /// `None` at the end of the connection.
+    /// Reads from the stream until `buffer` contains a complete head, and removes the head from the buffer.
+    /// Returns `None` at the end of the connection.
     ///
     /// # Errors
     ///
-    /// Returns an error if the connection fails, or for an invalid or too large head.
+    /// Returns an error if the connection fails, or if the head is invalid or too large.
     pub async fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Self>> {
         loop {
             if let Some(head) = Self::parse(buffer)? {
@@ -36,7 +36,7 @@
                 return Ok(Some(head));
             }
             if buffer.len() > MAX_REQUEST_HEAD_BYTES {
-                return Err(io::Error::other("a head that does not end"));
+                return Err(io::Error::other("request head is too large"));
             }
             if stream.read_buf(buffer).await? == 0 {
                 return Ok(None);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Parses the head at the beginning of the buffer; returns `None` if the head is not complete.
+    /// Parses the head at the beginning of the buffer. Returns `None` if the head is not complete.
     fn parse(buffer: &[u8]) -> io::Result<Option<Self>> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_REQUEST_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
--- a/crates/fleet-bench/src/resource_usage.rs
+++ b/crates/fleet-bench/src/resource_usage.rs
@@ -1,29 +1,30 @@
-//! Usage of a process and load of the machine, read from procfs.
+//! Resource usage of a process and load of the machine, read from procfs.
 
 use crate::error::Error;
 use procfs::process::Process;
 use procfs::{CpuPressure, Current, LoadAverage, ProcError};
 use std::time::{Duration, Instant};
 
-/// The usage of a process at one time.
+/// The resource usage of a process at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessUsage {
     /// Time of the reading.
     pub at: Instant,
     /// Processor time since the start of the process.
     pub processor_time: Duration,
-    /// Time since the start in which a thread was runnable but waited for a processor.
+    /// Time since the start of the process in which its threads were runnable but waited for a processor,
+    /// summed over the threads.
     pub run_queue_wait: Duration,
     /// Resident memory, in bytes.
     pub resident_bytes: u64,
-    /// The peak of the resident memory, in bytes.
+    /// Peak of the resident memory, in bytes.
     pub peak_resident_bytes: u64,
     /// Number of open file descriptors.
     pub open_files: usize,
 }
 
 impl ProcessUsage {
-    /// Reads the usage of a process.
+    /// Reads the resource usage of a process.
     ///
     /// # Errors
     ///
@@ -31,7 +32,8 @@
     pub fn read(process: &Process) -> Result<Self, Error> {
         let status = process.status()?;
         let bytes = |kilobytes: Option<u64>| kilobytes.unwrap_or(0) * 1024;
-        // `schedstat` counts nanoseconds. A tick of `stat` is as long as the budget of one second.
+        // `schedstat` counts nanoseconds. `stat` is too coarse: one of its ticks is as long as the processor
+        // time that a proxy may use in one second.
         let mut processor_nanos = 0;
         let mut wait_nanos = 0;
         for task in process.tasks()? {
@@ -49,7 +51,7 @@
         })
     }
 
-    /// Reads the usage of this process.
+    /// Reads the resource usage of this process.
     ///
     /// # Errors
     ///
@@ -58,8 +60,7 @@
         Self::read(&Process::myself()?)
     }
 
-    /// Returns the average processor time between an earlier reading and this one, as a fraction of a
-    /// core.
+    /// Returns the mean processor time since an earlier reading, as a fraction of a core.
     #[must_use]
     pub fn cores_since(&self, earlier: &Self) -> f64 {
         let spent = self.processor_time.saturating_sub(earlier.processor_time);
@@ -67,12 +68,12 @@
     }
 }
 
-/// The load of the machine by all processes.
+/// The load that all processes place on the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct MachineLoad {
     at: Instant,
     stalled: Duration,
-    /// Running and runnable tasks, averaged over the last minute.
+    /// Number of running and runnable tasks, averaged over the last minute.
     pub load_average: f64,
 }
 
@@ -98,8 +99,8 @@
         stalled.as_secs_f64() / self.at.duration_since(earlier.at).as_secs_f64()
     }
 
-    /// Returns the note of a report that compares the load at its start, which is `self`, with the
-    /// present load.
+    /// Returns a note for a report with the load at the start of the run, which is `self`, and the present
+    /// load.
     ///
     /// # Errors
     ///
--- a/crates/fleet-bench/src/rollout.rs
+++ b/crates/fleet-bench/src/rollout.rs
@@ -1,5 +1,6 @@
-//! Settings rollouts: the settings file of each proxy is replaced, SIGHUP is sent, and the `stats` of the
-//! proxy are polled until the new version is in force. Further scenarios repeat the rollout with faults.
+//! Measures rollouts of settings. A rollout replaces the configuration file of each proxy, sends SIGHUP, and
+//! polls the `stats` of the proxy until the new version is in force. Further scenarios repeat the rollout
+//! with faults.
 
 mod managed_proxy;
 mod plan;
@@ -20,7 +21,7 @@
 use scenario::{InvalidFile, KillTime, Measurement, UNOBSERVED_CHANGES_PER_SECOND};
 use std::time::Duration;
 
-/// Upper bound of the latency of any rollout.
+/// Maximum latency that a histogram distinguishes; no rollout takes longer.
 const MAX_RECORDED_LATENCY: Duration = Duration::from_secs(600);
 
 const ROLLOUT_COLUMNS: [&str; 11] = [
@@ -67,11 +68,11 @@
     Ok(())
 }
 
-/// A scenario, which is a row of the report.
+/// A scenario, whose results are a row of the report.
 struct Scenario {
     name: &'static str,
     changes: usize,
-    /// Files that each proxy must reject.
+    /// Number of files that each proxy must reject.
     rejected_per_proxy: u64,
 }
 
@@ -81,6 +82,7 @@
     }
 }
 
+/// Runs the scenarios and collects their rows.
 struct ScenarioRunner<'a> {
     proxies: ProxySet<'a>,
     table: Table,
@@ -131,13 +133,13 @@
         Ok(())
     }
 
-    /// Runs one scenario, checks the rejected files and adds a row to the table.
+    /// Runs one scenario, checks the number of rejected files, and adds a row to the table.
     fn run(
         &mut self,
         scenario: &Scenario,
         run: impl FnOnce(&mut ProxySet<'a>) -> Result<Measurement, Error>,
     ) -> Result<(), Error> {
-        tracing::info!("settings: {}", scenario.name);
+        tracing::info!("running the settings rollout `{}`", scenario.name);
         let machine = MachineLoad::now()?;
         self.proxies.reset_stats()?;
         let measurement = run(&mut self.proxies)?;
--- a/crates/fleet-bench/src/rollout/managed_proxy.rs
+++ b/crates/fleet-bench/src/rollout/managed_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy whose settings file is replaced while the proxy runs.
+//! A proxy whose configuration file is replaced while the proxy runs.
 
 use crate::error::Error;
 use crate::proxy::ProxyProcess;
@@ -15,16 +15,16 @@
 pub struct SettingsStats {
     /// The version in force, if the file has one.
     pub version: Option<u64>,
-    /// Files that came into force since the start of the process.
+    /// Number of files that came into force since the start of the process.
     #[serde(rename = "changed")]
     pub applied: u64,
-    /// Files that were rejected since the start of the process.
+    /// Number of files that were rejected since the start of the process.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
 
 impl SettingsStats {
-    /// Returns the counts since earlier stats, with the present version.
+    /// Returns the present version, and the counts less those of earlier stats.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self {
@@ -35,13 +35,13 @@
     }
 }
 
-/// A proxy with the content of its configuration file.
+/// A proxy and the content of its configuration file.
 pub struct ManagedProxy<'a> {
     /// Index of the proxy among the proxies of the rollout.
     pub index: usize,
     /// The process of the proxy.
     pub process: &'a mut ProxyProcess,
-    /// The stats at the start of a scenario, or of the process if the process started later.
+    /// The stats at the start of the scenario, or at the start of the process if the process started later.
     pub initial_stats: SettingsStats,
     config: Value,
 }
@@ -60,8 +60,8 @@
         Ok(Self { index, process, initial_stats: SettingsStats::default(), config })
     }
 
-    /// Returns the configuration file with this settings version. Each version also changes a limit on
-    /// which no measurement depends.
+    /// Returns the content of the configuration file with this settings version. Each version also changes a
+    /// limit that affects no measurement.
     pub fn config_with_version(&mut self, version: u64) -> String {
         let settings = &mut self.config["settings"];
         settings["version"] = json!(version);
@@ -91,17 +91,17 @@
         self.write_config(&text)
     }
 
-    /// Replaces the configuration file and sends the signal to reload.
+    /// Replaces the configuration file by one with this settings version, and sends SIGHUP to the proxy.
     ///
     /// # Errors
     ///
-    /// Returns an error if the file cannot be written or the process is gone.
+    /// Returns an error if the file cannot be written or the process has ended.
     pub fn reload_with_version(&mut self, version: u64) -> Result<(), Error> {
         self.write_version(version)?;
         self.process.reload()
     }
 
-    /// Kills the process.
+    /// Kills the process. The counts of a restarted process begin at 0.
     ///
     /// # Errors
     ///
@@ -115,14 +115,14 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the proxy does not respond or its `stats` have another form.
+    /// Returns an error if the proxy does not respond or its `stats` cannot be parsed.
     pub fn stats(&self) -> Result<SettingsStats, Error> {
         let settings = self.process.stats()?["settings"].take();
         serde_json::from_value(settings).map_err(|error| Error::Json { what: "stats: settings", error })
     }
 
-    /// Waits until the stats fulfil a condition, and returns when that was seen; `None` if not before
-    /// the deadline. A proxy that does not respond may be starting.
+    /// Waits until the stats fulfil a condition, and returns the time at which they did; `None` if they did
+    /// not before the deadline. A proxy that does not respond may be starting, and is polled again.
     ///
     /// # Errors
     ///
--- a/crates/fleet-bench/src/rollout/plan.rs
+++ b/crates/fleet-bench/src/rollout/plan.rs
@@ -4,10 +4,10 @@
 use crate::plan::{check_bounds, override_with};
 use serde::{Deserialize, Serialize};
 
-/// Arguments of rollouts.
+/// Arguments of settings rollouts.
 #[derive(clap::Args, Debug)]
 pub struct RolloutArgs {
-    /// Number of settings changes; above 0 the rollouts are run in place of the lists
+    /// Number of settings changes; above 0 the rollouts are measured in place of the lists
     #[arg(long, value_name = "N")]
     pub settings_changes: Option<usize>,
     /// Number of proxies whose settings change
@@ -18,7 +18,7 @@
     pub settings_rate: Option<f64>,
 }
 
-/// The plan of the rollouts.
+/// The plan of the settings rollouts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Plan {
@@ -33,7 +33,7 @@
 
 impl Default for Plan {
     fn default() -> Self {
-        // Far above the fleet's 13,000 a day, which are 0.15 per second.
+        // The rate is far above that of the fleet: 13,000 configuration changes a day are 0.15 per second.
         Self { changes: 0, proxies: 50, changes_per_second: 2.0 }
     }
 }
@@ -62,7 +62,7 @@
         check_bounds("settings-changes", &(0.0..=1_000.0), changes)?;
         check_bounds("settings-proxies", &(1.0..=200.0), self.proxies as f64)?;
         check_bounds("settings-rate", &(0.1..=100.0), self.changes_per_second)?;
-        // The scenarios take about three times as long, which must stay below an hour.
+        // All scenarios together take about three times as long, and must take less than an hour.
         check_bounds(
             "settings-changes / settings-rate, s",
             &(0.0..=1_000.0),
--- a/crates/fleet-bench/src/rollout/proxy_set.rs
+++ b/crates/fleet-bench/src/rollout/proxy_set.rs
@@ -1,4 +1,4 @@
-//! The proxies of a rollout, which all get each version of the settings.
+//! The proxies of a rollout. Each version of the settings is sent to all of them.
 
 use super::managed_proxy::{ManagedProxy, SettingsStats};
 use crate::error::Error;
@@ -8,7 +8,7 @@
 use std::thread::{Builder, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
-/// A change must be in force at all proxies within this time, by the operators' expectation.
+/// Maximum time until a change is in force at all proxies, as the operators require.
 pub const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(14);
 
 /// The proxies, and the newest version of their settings.
@@ -49,17 +49,17 @@
         self.shutdown
     }
 
-    /// Assigns the next version, or several, and returns the newest.
+    /// Increases the newest version by `by`, and returns the newest version.
     pub fn advance_version(&mut self, by: usize) -> u64 {
         self.version += by as u64;
         self.version
     }
 
-    /// Acts on all proxies at the same time.
+    /// Runs an action on all proxies in parallel, and returns the results in the order of the proxies.
     ///
     /// # Errors
     ///
-    /// Returns the first error of an action.
+    /// Returns the error of the first proxy whose action failed.
     pub fn run_on_all<T: Send>(
         &mut self,
         action: impl Fn(&mut ManagedProxy<'a>) -> Result<T, Error> + Sync,
@@ -71,14 +71,15 @@
                 threads.push(Builder::new().spawn_scoped(scope, move || action(proxy))?);
             }
             let join = |thread: ScopedJoinHandle<'_, Result<T, Error>>| {
-                thread.join().unwrap_or(Err(Error::Panicked("a thread")))
+                thread.join().unwrap_or(Err(Error::Panicked("a rollout thread")))
             };
             threads.into_iter().map(join).collect()
         })
     }
 
-    /// Acts on all proxies and waits until the stats of each fulfil a condition. Returns how long each
-    /// took since the start, before the first action. `expected` names the condition in errors.
+    /// Runs an action on all proxies in parallel, and waits until the stats of each proxy fulfil a condition.
+    /// Returns the time of each proxy from the start of the first action until then. `expected` describes the
+    /// condition in errors.
     ///
     /// # Errors
     ///
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Acts on all proxies and waits until each has the newest version.
+    /// Runs an action on all proxies in parallel, and waits until each proxy has the newest version.
     ///
     /// # Errors
     ///
@@ -139,7 +140,7 @@
         self.roll_out(|proxy| proxy.reload_with_version(version))
     }
 
-    /// Reads the usage of all proxies.
+    /// Reads the resource usage of all proxies.
     ///
     /// # Errors
     ///
@@ -148,7 +149,7 @@
         self.proxies.iter().map(|proxy| proxy.process.usage()).collect()
     }
 
-    /// Begins a scenario: later stats count from now.
+    /// Begins a scenario: stores the present stats of each proxy as its initial stats.
     ///
     /// # Errors
     ///
@@ -161,7 +162,8 @@
         Ok(())
     }
 
-    /// Files that all proxies together have applied and rejected since the start of the scenario.
+    /// Returns the numbers of files that all proxies together have applied and rejected since the start of
+    /// the scenario.
     ///
     /// # Errors
     ///
--- a/crates/fleet-bench/src/rollout/scenario.rs
+++ b/crates/fleet-bench/src/rollout/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenarios of a rollout: changes without faults, and with each fault that may occur.
+//! The scenarios of a settings rollout: changes without faults, and changes with each kind of fault.
 
 use super::managed_proxy::ManagedProxy;
 use super::proxy_set::ProxySet;
@@ -6,10 +6,10 @@
 use crate::resource_usage::ProcessUsage;
 use std::time::{Duration, Instant};
 
-/// Changes per second where processor time is measured. At the fleet's own rate the cost of a change
-/// would be lost in the variation of an idle proxy's processor time.
+/// Changes per second in the scenario that measures processor time. At the rate of the fleet, the cost of a
+/// change would be smaller than the variation of an idle proxy's processor time.
 pub const UNOBSERVED_CHANGES_PER_SECOND: f64 = 20.0;
-/// The proxies complete the work of the previous scenario within this time.
+/// Time in which the proxies complete the work of the previous scenario.
 const IDLE_SETTLE_TIME: Duration = Duration::from_secs(1);
 /// One in this many proxies is killed.
 const PROXIES_PER_KILL: usize = 10;
@@ -18,7 +18,7 @@
 pub struct Measurement {
     /// The time until the version was in force, for each change and proxy.
     pub latencies: Vec<Duration>,
-    /// Processor time per applied change in milliseconds, if measured; noise may make the value negative.
+    /// Processor time per applied change in milliseconds, if measured. Noise may make the value negative.
     pub processor_ms: Option<f64>,
 }
 
@@ -28,14 +28,14 @@
     }
 }
 
-/// Time at which a tenth of the proxies is killed.
+/// Time at which a tenth of the proxies are killed.
 #[derive(Clone, Copy)]
 pub enum KillTime {
-    /// Immediately after the signal. The restarted proxy finds the new file.
+    /// Immediately after SIGHUP. The restarted proxy reads the new file at its start.
     AfterSignal,
-    /// Before the file is replaced, which happens while the proxy is down.
+    /// Before the file is replaced. The file is replaced while the proxy is down.
     BeforeFile,
-    /// Before the file is replaced, which happens with a signal after the proxy is ready again.
+    /// Before the file is replaced. The file is replaced, and SIGHUP sent, once the restarted proxy is ready.
     RestartedBeforeFile,
 }
 
@@ -44,11 +44,11 @@
 pub enum InvalidFile {
     /// The first half of the next version.
     Truncated,
-    /// The version before the one in force.
+    /// The version before the version in force.
     OlderVersion,
 }
 
-/// Rolls out several changes at a constant rate, and observes each until the change is in force.
+/// Rolls out several changes at a constant rate, and waits until each change is in force.
 ///
 /// # Errors
 ///
@@ -68,9 +68,9 @@
     Ok(latencies.into())
 }
 
-/// Rolls out several changes at a high rate without reading `stats`, as a response to `stats` costs more
-/// processor time than a change. The processor time is compared with that of an idle time of the same
-/// length.
+/// Rolls out several changes at a high rate, and measures their processor time beyond that of an idle time of
+/// the same length. The scenario reads no `stats` meanwhile, as a response to `stats` costs more processor
+/// time than a change.
 ///
 /// # Errors
 ///
@@ -91,14 +91,14 @@
     proxies.shutdown().sleep_until(start + duration)?;
     let after = proxies.usages()?;
     proxies.roll_out(|_| Ok(()))?;
-    // Signals that arrive before the first is handled lead to one reload.
+    // Several signals that arrive before the first is handled lead to one reload.
     let applied = proxies.file_counts()?.applied;
     let seconds = processor_seconds_beyond_idle(&before, &idle, &after);
     Ok(Measurement { latencies: Vec::new(), processor_ms: Some(1e3 * (seconds / applied as f64)) })
 }
 
-/// Returns the processor time between `idle` and `after` in seconds, less that of the idle time between
-/// `before` and `idle`, summed over all proxies.
+/// Returns the processor time between `idle` and `after` beyond that of the idle time between `before` and
+/// `idle`, in seconds, summed over all proxies.
 fn processor_seconds_beyond_idle(
     before: &[ProcessUsage],
     idle: &[ProcessUsage],
@@ -126,7 +126,8 @@
     Ok(proxies.roll_out(reload_each_version)?.into())
 }
 
-/// Rolls out one change after an invalid file, which must be rejected and leave the old version in force.
+/// Rolls out one change after an invalid file. The proxies must reject the invalid file, and keep the old
+/// version in force.
 ///
 /// # Errors
 ///
@@ -155,7 +156,7 @@
     text.chars().take(text.chars().count() / 2).collect()
 }
 
-/// Rolls out one change, while a tenth of the proxies is killed and restarted.
+/// Rolls out one change while a tenth of the proxies are killed and restarted.
 ///
 /// # Errors
 ///
--- a/crates/fleet-bench/src/shutdown.rs
+++ b/crates/fleet-bench/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown of a run by Ctrl-C or SIGTERM.
+//! Graceful shutdown of a run on Ctrl-C or SIGTERM.
 
 use crate::error::Error;
 use std::sync::Arc;
@@ -6,16 +6,16 @@
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// A sleep checks for a signal at this interval.
+/// Interval at which a sleep checks for a signal.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A flag that Ctrl-C and SIGTERM set. A run that finds the flag set returns an error, and the processes
-/// of the run end as their owners are dropped.
+/// A flag that Ctrl-C and SIGTERM set. A run that reads the set flag returns an error. The child processes of
+/// the run are killed when their owners are dropped.
 #[derive(Clone, Debug)]
 pub struct ShutdownSignal(Arc<AtomicBool>);
 
 impl ShutdownSignal {
-    /// Installs handlers for both signals, which from now on only set the returned value.
+    /// Installs handlers for both signals. From then on the signals only set the returned flag.
     ///
     /// # Errors
     ///
@@ -25,7 +25,7 @@
         let handler = shutdown.clone();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_io().build()?;
         let (mut interrupt, mut terminate) = {
-            let _inside = runtime.enter();
+            let _runtime_context = runtime.enter();
             (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?)
         };
         std::thread::spawn(move || {
@@ -49,7 +49,7 @@
         if self.0.load(Ordering::Relaxed) { Err(Error::Interrupted) } else { Ok(()) }
     }
 
-    /// Sleeps for this duration, unless a signal arrives.
+    /// Sleeps for this duration, or until a signal arrives.
     ///
     /// # Errors
     ///
@@ -58,7 +58,7 @@
         self.sleep_until(Instant::now() + duration)
     }
 
-    /// Sleeps until this time, unless a signal arrives.
+    /// Sleeps until this time, or until a signal arrives.
     ///
     /// # Errors
     ///
@@ -66,11 +66,11 @@
     pub fn sleep_until(&self, wake_at: Instant) -> Result<(), Error> {
         loop {
             self.check()?;
-            let left = wake_at.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = wake_at.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(SIGNAL_POLL_INTERVAL));
+            std::thread::sleep(remaining.min(SIGNAL_POLL_INTERVAL));
         }
     }
 }
--- a/crates/fleet-bench/src/slopes.rs
+++ b/crates/fleet-bench/src/slopes.rs
@@ -1,8 +1,8 @@
-//! Measures the cost of each event of the balancer, separately, against the sizes of a deployment.
+//! Measures how the cost of each kind of balancer event grows with the sizes of a deployment.
 //!
-//! Each axis varies one size of the base case. All cases of an axis are measured in turn, round by round,
-//! so that a temporary load on the machine affects all of them; the line of an axis is fitted through the
-//! medians over the rounds.
+//! Each axis varies one size of the base case. A round measures all cases of an axis in turn, so that a
+//! temporary load on the machine affects all cases. The line of an axis is fitted through the medians over
+//! the rounds.
 
 mod deployment_case;
 mod event_queue;
@@ -27,7 +27,7 @@
     /// Source of the plan
     #[command(flatten)]
     pub source: PlanSource,
-    /// Measure few and short rounds, to check that the command runs; the figures are rough
+    /// Measure few and short rounds, to check that the command works; the results are rough
     #[arg(long)]
     pub quick: bool,
     /// Number of rounds over the cases of each axis
@@ -39,7 +39,7 @@
 }
 
 impl Args {
-    /// Reads the plan of the experiment file, and replaces its values by those of the arguments.
+    /// Reads the plan from the experiment file or the defaults, and applies the arguments.
     fn plan(&self) -> Result<Plan, Error> {
         let mut plan: Plan = self.source.read()?;
         if self.quick {
@@ -73,11 +73,11 @@
     report
         .notes
         .push(format!("Load of the machine: {load_at_start} at the start, {} at the end.", load_average()));
-    report.notes.extend(reading_notes());
+    report.notes.extend(explanatory_notes());
     Ok(report)
 }
 
-/// Returns the note of an axis that the time limit cut short.
+/// Returns a note if the time limit ended the measurement of an axis early.
 fn time_limit_note(axis: &AxisSamples) -> Option<String> {
     if axis.complete {
         return None;
@@ -86,8 +86,8 @@
     Some(format!("{name}: time limit reached after {rounds} rounds of {} cases", axis.cases.len()))
 }
 
-/// Returns the notes that a reader of the figures needs.
-fn reading_notes() -> [String; 2] {
+/// Returns the notes that explain the values of the report.
+fn explanatory_notes() -> [String; 2] {
     [
         "Times are processor time of the thread by the clock of the system, read before and after each \
          event, less the cost of reading the clock. The sample of a round is the mean over its events; a \
--- a/crates/fleet-bench/src/slopes/deployment_case.rs
+++ b/crates/fleet-bench/src/slopes/deployment_case.rs
@@ -1,52 +1,54 @@
-//! The size of one deployment, and the configuration of its balancer.
+//! The sizes of one deployment, and the settings of its balancer.
 
 use balancer::{BackendId, CellId, Endpoint, RequestClass, Settings, Tenant, Tier, Time, ZoneId};
 
-/// Latency objective of all classes, in seconds. The balancer estimates over a multiple of the objective,
-/// and takes no response time above a quarter of the objective as usual.
+/// Latency objective of all classes. The balancer averages its estimates over a multiple of the objective,
+/// and does not accept a usual response time above a quarter of the objective.
 const LATENCY_OBJECTIVE_SECONDS: Time = 0.4;
-/// Time-out of a request, in seconds.
+/// Timeout of a request.
 pub const REQUEST_TIMEOUT_SECONDS: Time = 2.0 * LATENCY_OBJECTIVE_SECONDS;
-/// Response time of most requests, in seconds.
+/// Response time of most requests.
 pub const RESPONSE_TIME_SECONDS: Time = 0.05;
-/// Response time of the slow requests, in seconds. As slow requests are few, the first retry timer fires
-/// half-way to the response.
+/// Response time of slow requests. Slow requests are rare, so that the first retry timer fires after half
+/// of this time.
 pub const SLOW_RESPONSE_TIME_SECONDS: Time = 0.1;
-/// One request of this many is slow.
+/// One in this many requests is slow.
 pub const REQUESTS_PER_SLOW_REQUEST: u64 = 16;
-/// Zones of the backends.
+/// Number of zones of the backends.
 const ZONE_COUNT: u32 = 3;
-/// Backends in a cell.
+/// Number of backends in a cell.
 const BACKENDS_PER_CELL: u32 = 20;
-/// Quota of a tenant over the rate of all requests: quotas are counted, and none is exhausted.
+/// Quota of a tenant divided by the request rate of the whole deployment. The balancer counts the quotas,
+/// and no quota is exhausted.
 const QUOTA_TO_RATE_RATIO: f64 = 10.0;
 
-/// The size of one deployment, from the view of one balancer.
+/// The sizes of one deployment, and the tier of the simulated balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DeploymentCase {
-    /// Backends listed.
+    /// Number of listed backends.
     pub backends: usize,
-    /// Balancers of the deployment.
+    /// Number of balancers in the deployment.
     pub instances: usize,
-    /// Request classes.
+    /// Number of request classes.
     pub classes: usize,
-    /// Tenants, each within its quota; 0 for none.
+    /// Number of tenants, each within its quota.
     pub tenants: usize,
     /// Mean number of open requests.
     pub open_requests: usize,
-    /// The tier of this balancer.
+    /// Tier of the simulated balancer.
     pub tier: Tier,
 }
 
 impl DeploymentCase {
-    /// Returns the request rate per second that keeps the mean number of requests open, by Little's law.
+    /// Returns the request rate per second at which the mean number of open requests is
+    /// [`Self::open_requests`], by Little's law.
     #[must_use]
     pub fn request_rate(&self) -> f64 {
         let slow = 1.0 / REQUESTS_PER_SLOW_REQUEST as f64;
         self.open_requests as f64 / (SLOW_RESPONSE_TIME_SECONDS * slow + RESPONSE_TIME_SECONDS * (1.0 - slow))
     }
 
-    /// Returns the settings of the balancer. All settings of this command are made here.
+    /// Returns the settings of the balancer.
     #[must_use]
     pub fn settings(&self) -> Settings {
         let class = |i: usize| RequestClass {
--- a/crates/fleet-bench/src/slopes/event_times.rs
+++ b/crates/fleet-bench/src/slopes/event_times.rs
@@ -1,9 +1,9 @@
-//! Processor time of the balancer's events by their kind.
+//! Processor time of the balancer's events by kind.
 
 use crate::stats;
 use crate::thread_clock::thread_time;
 
-/// Number of readings of the clock from which the cost of a reading is estimated.
+/// Number of clock readings from which the cost of a reading is estimated.
 const CLOCK_READING_COUNT: usize = 2001;
 
 /// The events whose costs are measured separately.
@@ -11,7 +11,7 @@
 pub enum EventKind {
     /// A request arrives and is assigned to a backend.
     Request,
-    /// A backend responds.
+    /// A backend responds to an attempt.
     Response,
     /// A retry timer of an open request fires, and an attempt is sent.
     TimerWithRetry,
@@ -19,46 +19,46 @@
     TimerWithoutRetry,
     /// A timer of a request that has ended fires.
     LateTimer,
-    /// An attempt is cancelled as the other got a response.
+    /// An attempt is cancelled, as another attempt of the request got a response.
     Cancellation,
 }
 
 impl EventKind {
-    /// The number of kinds.
+    /// Number of event kinds.
     const COUNT: usize = 6;
 }
 
-/// Number and processor time of the events of one kind.
+/// Number and total processor time of the events of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct EventCost {
     seconds: f64,
     count: usize,
 }
 
-/// The cost of a stretch of simulated requests.
+/// The cost of a batch of simulated requests.
 #[derive(Clone, Debug, Default)]
 pub struct EventTimes {
     costs: [EventCost; EventKind::COUNT],
-    /// Requests that were rejected or failed.
+    /// Number of requests that were rejected or failed.
     pub unserved: usize,
-    /// Open requests, summed over the arrivals.
+    /// Number of open requests at an arrival, summed over all arrivals.
     open_requests_at_arrivals: usize,
 }
 
 impl EventTimes {
-    /// Adds an event.
+    /// Adds the processor time of an event.
     pub fn add(&mut self, kind: EventKind, seconds: f64) {
         let cost = &mut self.costs[kind as usize];
         cost.seconds += seconds;
         cost.count += 1;
     }
 
-    /// Adds the number of open requests when a request has arrived.
+    /// Adds the number of open requests at the arrival of a request.
     pub fn add_open_requests(&mut self, open: usize) {
         self.open_requests_at_arrivals += open;
     }
 
-    /// Returns the mean processor time of an event of this kind, in microseconds; NaN without such an
+    /// Returns the mean processor time of the events of a kind, in microseconds; NaN if there was no such
     /// event.
     #[must_use]
     pub fn mean_microseconds(&self, kind: EventKind) -> f64 {
@@ -66,7 +66,7 @@
         1e6 * cost.seconds / cost.count as f64
     }
 
-    /// Returns the processor time of all events per request, in microseconds.
+    /// Returns the processor time of all events divided by the number of requests, in microseconds.
     #[must_use]
     pub fn microseconds_per_request(&self) -> f64 {
         1e6 * self.costs.iter().map(|cost| cost.seconds).sum::<f64>() / self.requests()
@@ -83,7 +83,7 @@
     }
 }
 
-/// Measures the processor time of one reading of the clock, in seconds: the median of many.
+/// Measures the processor time of a clock reading: the median of many readings, in seconds.
 #[must_use]
 pub fn measure_clock_cost() -> f64 {
     let mut costs: Vec<f64> = (0..CLOCK_READING_COUNT).map(|_| -thread_time() + thread_time()).collect();
--- a/crates/fleet-bench/src/slopes/measurement.rs
+++ b/crates/fleet-bench/src/slopes/measurement.rs
@@ -1,4 +1,4 @@
-//! Measures the cases of an axis, round by round.
+//! Measures the cases of an axis in rounds.
 
 use super::event_times::EventKind;
 use super::plan::{Axis, AxisCase, Plan};
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// Measures of each case, with their units: processor times first.
+/// Names and units of the measures of each case. The processor times come first.
 pub const MEASURES: [&str; 12] = [
     "request, us",
     "response, us",
@@ -22,21 +22,22 @@
     "loaded state, bytes",
 ];
 
-/// The number of processor times among the measures.
+/// Number of processor times in [`MEASURES`].
 const TIME_MEASURE_COUNT: usize = 10;
 
 /// The samples of one case.
 #[derive(Debug, Default)]
 pub struct CaseSamples {
-    /// The case's value on the axis.
+    /// Value of the case on the axis.
     pub value: usize,
-    /// Samples of each of the [`MEASURES`], one for each round; NaN in a round without such an event.
+    /// Samples of each of the [`MEASURES`], one for each round. A sample is NaN if the round had no such
+    /// event.
     pub measures: [Vec<f64>; MEASURES.len()],
     /// Mean number of open requests in the last round.
     pub open_requests: f64,
-    /// Backends that got an attempt in the last round.
+    /// Number of backends that received an attempt in the last round.
     pub backends_used: usize,
-    /// Requests that were rejected or failed in all rounds.
+    /// Number of requests that were rejected or failed, summed over all rounds.
     pub unserved: usize,
 }
 
@@ -47,13 +48,13 @@
     pub name: &'static str,
     /// The samples of the cases that were measured.
     pub cases: Vec<CaseSamples>,
-    /// The rounds that were measured.
+    /// Number of rounds that were measured.
     pub rounds: usize,
     /// Whether all cases and rounds of the plan were measured within the time limit.
     pub complete: bool,
 }
 
-/// The real time limit of a run.
+/// The limit of the real time of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct TimeLimit {
     started: Instant,
@@ -61,7 +62,7 @@
 }
 
 impl TimeLimit {
-    /// Creates a limit in seconds that begins now.
+    /// Creates a limit that is reached this many seconds from now.
     #[must_use]
     pub fn starting_now(seconds: u64) -> Self {
         Self { started: Instant::now(), limit: Duration::from_secs(seconds) }
@@ -72,8 +73,8 @@
     }
 }
 
-/// Measures an axis: all cases in turn, round by round, so that a load on the machine affects all
-/// cases alike.
+/// Measures an axis in rounds. Each round measures all cases in turn, so that a temporary load on the
+/// machine affects all cases alike.
 #[must_use]
 pub fn measure_axis(axis: &Axis, plan: &Plan, limit: TimeLimit) -> AxisSamples {
     let mut cases: Vec<CaseMeasurement> = Vec::new();
@@ -95,7 +96,7 @@
     AxisSamples { name: axis.name, cases, rounds, complete }
 }
 
-/// The measurement of one case.
+/// The running measurement of one case.
 struct CaseMeasurement {
     case: AxisCase,
     simulation: Simulation,
@@ -123,11 +124,11 @@
             times.mean_microseconds(EventKind::TimerWithoutRetry),
             times.mean_microseconds(EventKind::LateTimer),
             times.microseconds_per_request(),
-            // In pairs, so that the draining backend is back in service at the end.
+            // The number of changes is even, so that the draining backend is in service again at the end.
             mean(plan.changes.next_multiple_of(2), || simulation.measure_endpoint_change()),
             mean(plan.lists, || simulation.measure_full_list()),
             mean(plan.lists, || simulation.measure_first_list(plan.seed)),
-            // In pairs, so that the extra instance is gone at the end.
+            // The number of changes is even, so that the extra instance is removed again at the end.
             mean(plan.lists.next_multiple_of(2), || simulation.measure_settings_change()),
         ];
         for (measure, sample) in self.samples.measures.iter_mut().zip(samples) {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Ends the measurement with the size of the state: of a balancer that only has its endpoint list,
-    /// and of the measured balancer.
+    /// Adds the size of the state of a new balancer, which only has its endpoint list, and of the measured
+    /// balancer. Returns the samples of the case.
     fn finish(mut self, plan: &Plan) -> CaseSamples {
         let idle = Simulation::new(self.case.case, plan.seed).state_bytes();
         let loaded = self.simulation.state_bytes();
@@ -147,7 +148,7 @@
     }
 }
 
-/// Returns the mean of repeated measurements.
+/// Returns the mean of `times` measurements.
 fn mean(times: usize, mut measure: impl FnMut() -> f64) -> f64 {
     (0..times).map(|_| measure()).sum::<f64>() / times as f64
 }
--- a/crates/fleet-bench/src/slopes/open_requests.rs
+++ b/crates/fleet-bench/src/slopes/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests of a simulation that have no final response, with their attempts.
+//! The open requests of a simulation, which have no final response yet, and their attempts.
 
 use balancer::{AttemptNumber, BackendId, RequestId, Time};
 use std::collections::HashMap;
@@ -8,18 +8,18 @@
 pub struct Attempt {
     /// The backend to which the attempt was sent.
     pub backend: BackendId,
-    /// The virtual time of the send, in seconds.
+    /// Virtual time at which the attempt was sent, in seconds.
     pub sent: Time,
 }
 
-/// The attempts of each request without a final response, by the number of the attempt.
+/// The attempts of each open request, indexed by attempt number.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
     attempts: HashMap<RequestId, Vec<Attempt>>,
 }
 
 impl OpenRequests {
-    /// Opens a request without attempts.
+    /// Adds an open request without attempts.
     pub fn open(&mut self, id: RequestId) {
         self.attempts.insert(id, Vec::new());
     }
@@ -29,12 +29,12 @@
         self.attempts.contains_key(&id)
     }
 
-    /// Returns an attempt of an open request.
+    /// Returns an attempt of a request; `None` if the request is not open or has no such attempt.
     pub fn attempt(&self, id: RequestId, number: AttemptNumber) -> Option<Attempt> {
         self.attempts.get(&id)?.get(number.0).copied()
     }
 
-    /// Adds an attempt of a request and returns the number of the attempt.
+    /// Adds an attempt of a request, and returns the number of the attempt.
     pub fn add_attempt(&mut self, id: RequestId, attempt: Attempt) -> AttemptNumber {
         let attempts = self.attempts.entry(id).or_default();
         let number = AttemptNumber(attempts.len());
@@ -42,7 +42,7 @@
         number
     }
 
-    /// Closes a request, as the request has its final response.
+    /// Removes a request, which now has its final response.
     pub fn close(&mut self, id: RequestId) {
         self.attempts.remove(&id);
     }
--- a/crates/fleet-bench/src/slopes/plan.rs
+++ b/crates/fleet-bench/src/slopes/plan.rs
@@ -1,5 +1,4 @@
-//! The plan of a run: the content of its experiment file, its defaults, its bounds, and the axes that
-//! follow from it.
+//! The plan of `fleet-bench slopes`: its parameters, their defaults and bounds, and the cases of each axis.
 
 use super::deployment_case::DeploymentCase;
 use crate::error::Error;
@@ -7,27 +6,27 @@
 use balancer::Tier;
 use serde::{Deserialize, Serialize};
 
-/// Maximum of each size of a case: a case of that size is measured within minutes.
+/// Maximum of each size of a case. A case of this size is measured within minutes.
 const MAX_CASE_SIZE: usize = 10_000;
 
-/// The base case, of which each axis varies one size.
+/// The base case. Each axis varies one of its sizes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BaseCase {
-    /// Backends listed.
+    /// Number of listed backends.
     pub backends: usize,
-    /// Minimum size of a balancer's subset: backends over balancers, rounded up. The number of
-    /// balancers follows from this size. As each open request needs a member, the subset is at least
-    /// [`Self::open_requests`].
+    /// Minimum size of a balancer's subset: the number of backends divided by that of balancers, rounded
+    /// up. The number of balancers is computed from this size. The subset has at least
+    /// [`Self::open_requests`] members, as each open request needs a member.
     pub subset: usize,
-    /// Request classes.
+    /// Number of request classes.
     pub classes: usize,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: usize,
-    /// Mean number of open requests. The default is that of 113 requests per second of 53 ms each.
+    /// Mean number of open requests. The default corresponds to 113 requests per second of 53 ms each.
     #[serde(alias = "open")]
     pub open_requests: usize,
-    /// Tiers between the clients and the balancer.
+    /// Number of tiers between the clients and the balancer.
     pub tier: usize,
 }
 
@@ -50,7 +49,7 @@
     }
 }
 
-/// Returns the number of balancers with which each has a subset of this size.
+/// Returns the number of balancers at which each balancer has a subset of `subset` backends.
 fn balancer_count(backends: usize, subset: usize) -> usize {
     backends.div_ceil(subset.max(1)).max(1)
 }
@@ -59,20 +58,20 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Axes {
-    /// Backends listed, with a constant subset.
+    /// Numbers of listed backends, with a constant subset size.
     pub backends: Vec<usize>,
-    /// Size of the subset, by the number of balancers.
+    /// Sizes of the subset, which result from the number of balancers.
     pub subset: Vec<usize>,
-    /// Balancers; the subset is as small as the open requests allow.
+    /// Numbers of balancers. The subset is as small as the open requests allow.
     pub instances: Vec<usize>,
-    /// Request classes.
+    /// Numbers of request classes.
     pub classes: Vec<usize>,
-    /// Tenants.
+    /// Numbers of tenants.
     pub tenants: Vec<usize>,
-    /// Mean numbers of open requests; the subset grows with the open requests, as in operation.
+    /// Mean numbers of open requests. The subset grows with the open requests, as in operation.
     #[serde(alias = "open")]
     pub open_requests: Vec<usize>,
-    /// Mean numbers of open requests at a single balancer, whose subset always has all backends.
+    /// Mean numbers of open requests at a single balancer, whose subset contains all backends.
     #[serde(alias = "open_alone")]
     pub open_requests_full_subset: Vec<usize>,
 }
@@ -97,17 +96,17 @@
 pub struct Plan {
     /// Seed of all random draws.
     pub seed: u64,
-    /// Rounds over the cases of each axis.
+    /// Number of rounds over the cases of each axis.
     pub rounds: usize,
-    /// Requests in a round.
+    /// Number of requests per case and round.
     pub requests: usize,
-    /// Endpoint changes in a round.
+    /// Number of endpoint changes per case and round.
     pub changes: usize,
-    /// Complete endpoint lists in a round.
+    /// Number of full endpoint lists, first endpoint lists and settings changes per case and round.
     pub lists: usize,
-    /// Simulated before the first round, in seconds of virtual time.
+    /// Duration of the simulation before the first round, in seconds of virtual time.
     pub warm_up: f64,
-    /// Real time after which no round begins, in seconds.
+    /// Real time after which no further case and no further round begins, in seconds.
     pub time_limit: u64,
     /// The base case.
     pub base: BaseCase,
@@ -132,18 +131,18 @@
 }
 
 impl Plan {
-    /// Returns the same plan with few and short rounds, whose figures are rough.
+    /// Returns the same plan with few and short rounds, whose results are rough.
     #[must_use]
     pub fn quick(self) -> Self {
         Self { rounds: 3, requests: 200, changes: 4, lists: 2, ..self }
     }
 
-    /// Rejects a plan that cannot be measured.
+    /// Checks that all values are in range.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Argument`] with the first value out of its bounds, under its name in the experiment
-    /// file.
+    /// Returns [`Error::Argument`] with the first value that is out of range, under its name in the
+    /// experiment file.
     pub fn validate(&self) -> Result<(), Error> {
         check_range("rounds", "1 to 1000", &(1..=1000), [self.rounds])?;
         check_range("requests", "16 to 10000", &(16..=MAX_CASE_SIZE), [self.requests])?;
@@ -186,16 +185,16 @@
 }
 
 fn validate_case(case: &DeploymentCase) -> Result<(), Error> {
-    let at_least_one = "1 to 10000";
-    check_range("backends", at_least_one, &(1..=MAX_CASE_SIZE), [case.backends])?;
-    check_range("instances", at_least_one, &(1..=MAX_CASE_SIZE), [case.instances])?;
-    check_range("classes", at_least_one, &(1..=MAX_CASE_SIZE), [case.classes])?;
+    let one_to_max_case_size = "1 to 10000";
+    check_range("backends", one_to_max_case_size, &(1..=MAX_CASE_SIZE), [case.backends])?;
+    check_range("instances", one_to_max_case_size, &(1..=MAX_CASE_SIZE), [case.instances])?;
+    check_range("classes", one_to_max_case_size, &(1..=MAX_CASE_SIZE), [case.classes])?;
     check_range("tenants", "0 to 10000", &(0..=MAX_CASE_SIZE), [case.tenants])?;
-    check_range("open_requests", at_least_one, &(1..=MAX_CASE_SIZE), [case.open_requests])?;
+    check_range("open_requests", one_to_max_case_size, &(1..=MAX_CASE_SIZE), [case.open_requests])?;
     check_range("tier", "0 to 10000", &(0..=MAX_CASE_SIZE), [case.tier.0])
 }
 
-/// An axis: one size varies, the other sizes are those of the base case.
+/// An axis: one size varies, and the other sizes are those of the base case.
 #[derive(Clone, Debug)]
 pub struct Axis {
     /// Name of the axis in reports.
@@ -207,9 +206,9 @@
 /// A case of an axis.
 #[derive(Clone, Copy, Debug)]
 pub struct AxisCase {
-    /// The value of the size that varies.
+    /// Value of the size that varies.
     pub value: usize,
-    /// The case.
+    /// All sizes of the case.
     pub case: DeploymentCase,
 }
 
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -1,6 +1,6 @@
-//! Simulates one balancer in operation on virtual time: requests arrive at an even rate and get
-//! responses, timers fire when due, and cancelled attempts are reported to the balancer. The processor
-//! time of each event is measured separately.
+//! Simulates one balancer on virtual time. Requests arrive at a constant rate, backends respond, timers fire
+//! when due, and cancelled attempts are reported to the balancer. The processor time of each event is
+//! measured separately.
 
 use super::deployment_case::{
     DeploymentCase, REQUEST_TIMEOUT_SECONDS, REQUESTS_PER_SLOW_REQUEST, RESPONSE_TIME_SECONDS,
@@ -17,7 +17,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Requests simulated after each endpoint change, so that the next one meets a balancer at work.
+/// Number of requests that are simulated after each endpoint change, so that the next change arrives at a
+/// balancer with open requests.
 const REQUESTS_AFTER_CHANGE: usize = 2;
 
 /// An attempt that the balancer cancelled.
@@ -28,12 +29,12 @@
     attempt: Attempt,
 }
 
-/// A balancer in operation.
+/// One balancer with simulated requests, backends and timers.
 pub struct Simulation {
     case: DeploymentCase,
     balancer: Balancer,
     endpoints: Vec<Endpoint>,
-    /// Actions that have not been carried out.
+    /// Actions of the balancer that have not been executed.
     actions: Vec<Action>,
     rng: SmallRng,
     now: Time,
@@ -41,10 +42,11 @@
     open_requests: OpenRequests,
     queue: EventQueue,
     times: EventTimes,
-    /// Whether each backend got an attempt in the current stretch.
+    /// Whether each backend received an attempt in the current batch of requests.
     backend_used: Vec<bool>,
-    /// Whether the current settings have one instance more than the case.
+    /// Whether the present settings have one instance more than the case.
     extra_instance: bool,
+    /// Processor time of a clock reading, in seconds.
     clock_cost: f64,
 }
 
@@ -71,7 +73,7 @@
         simulation
     }
 
-    /// Returns the size of the balancer in bytes: the struct, and the memory freed by its drop.
+    /// Returns the size of the balancer in bytes: the struct and the heap memory that its drop frees.
     #[must_use]
     pub fn state_bytes(self) -> f64 {
         let balancer = self.balancer;
@@ -79,19 +81,18 @@
         size_of::<Balancer>() as f64 - freed as f64
     }
 
-    /// Returns the number of backends that got an attempt in the last stretch.
+    /// Returns the number of backends that received an attempt in the last batch of requests.
     #[must_use]
     pub fn backends_used(&self) -> usize {
         self.backend_used.iter().filter(|used| **used).count()
     }
 
-    /// Simulates requests for this many seconds of virtual time, until the balancer's rates are
-    /// estimated.
+    /// Simulates requests for this many seconds of virtual time, in which the balancer estimates its rates.
     pub fn warm_up(&mut self, duration: Time) {
         self.simulate_requests((duration * self.case.request_rate()).ceil() as usize);
     }
 
-    /// Simulates a stretch of this many requests, and returns the cost of the stretch.
+    /// Simulates a batch of this many requests, and returns the cost of the batch.
     pub fn simulate_requests(&mut self, requests: usize) -> EventTimes {
         self.times = EventTimes::default();
         self.backend_used.fill(false);
@@ -100,8 +101,8 @@
         std::mem::take(&mut self.times)
     }
 
-    /// Measures the processor time of an update of one endpoint, in microseconds: alternately a backend
-    /// begins to drain, and the same backend is back in service.
+    /// Measures the processor time of an update of one endpoint, in microseconds. Updates alternate: a
+    /// backend begins to drain, and then the same backend is in service again.
     pub fn measure_endpoint_change(&mut self) -> f64 {
         let draining = self.endpoints.iter().position(|endpoint| endpoint.status != Status::InService);
         let index = draining.unwrap_or_else(|| self.rng.random_range(0..self.endpoints.len()));
@@ -114,7 +115,7 @@
         1e6 * seconds
     }
 
-    /// Measures the processor time of a complete endpoint list without any change, in microseconds.
+    /// Measures the processor time of a full endpoint list without any change, in microseconds.
     pub fn measure_full_list(&mut self) -> f64 {
         let endpoints = std::mem::take(&mut self.endpoints);
         let seconds = self.handle(Event::Endpoints(EndpointUpdate::Full(&endpoints)));
@@ -123,8 +124,7 @@
         1e6 * seconds
     }
 
-    /// Measures the processor time of the first complete endpoint list of a new balancer, in
-    /// microseconds.
+    /// Measures the processor time of the first full endpoint list of a new balancer, in microseconds.
     pub fn measure_first_list(&mut self, seed: u64) -> f64 {
         let mut balancer = Balancer::new(0.0, seed, self.case.settings());
         let started = thread_time();
@@ -134,8 +134,8 @@
         1e6 * (seconds - self.clock_cost)
     }
 
-    /// Measures the processor time of new settings, in microseconds: alternately with one instance more,
-    /// and with the original number.
+    /// Measures the processor time of new settings, in microseconds. Settings alternate between one instance
+    /// more and the number of the case.
     pub fn measure_settings_change(&mut self) -> f64 {
         self.extra_instance = !self.extra_instance;
         let mut settings = self.case.settings();
@@ -145,7 +145,7 @@
         1e6 * seconds
     }
 
-    /// Simulates further requests of the current stretch, and the events in between.
+    /// Simulates the arrivals of this many requests, and the events that are due in between.
     fn advance(&mut self, requests: usize) {
         for _ in 0..requests {
             let arrival = self.now + 1.0 / self.case.request_rate();
@@ -197,7 +197,7 @@
         self.perform_actions(Some(id));
     }
 
-    /// Responds to an attempt, unless the request has ended with its other attempt.
+    /// Reports the response to an attempt, unless another attempt has already completed the request.
     fn handle_response(&mut self, id: RequestId, number: AttemptNumber) {
         let Some(attempt) = self.open_requests.attempt(id, number) else {
             return;
@@ -227,14 +227,14 @@
         }))
     }
 
-    /// Passes an event to the balancer, and returns the processor time of the event in seconds.
+    /// Passes an event to the balancer, and returns the processor time of the event, in seconds.
     fn handle(&mut self, event: Event<'_>) -> f64 {
         let started = thread_time();
         self.balancer.handle(self.now, event, &mut self.actions);
         thread_time() - started - self.clock_cost
     }
 
-    /// Carries out the actions of the balancer, and the actions that follow from these. `request` is the
+    /// Executes the pending actions of the balancer, and the actions that result from them. `request` is the
     /// request whose event led to the actions.
     fn perform_actions(&mut self, request: Option<RequestId>) {
         let mut actions = std::mem::take(&mut self.actions);
@@ -255,7 +255,7 @@
                     self.times.unserved += 1;
                     ended.push(id);
                 }
-                // There are no health checks, watches or connections.
+                // The simulation has no health checks, watches or connections.
                 _ => {}
             }
         }
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Sends an attempt. The first attempt of a slow request is slow, a retry is not.
+    /// Sends an attempt. Only the first attempt of a slow request gets a slow response.
     fn send(&mut self, id: RequestId, backend: BackendId) {
         let attempt = self.open_requests.add_attempt(id, Attempt { backend, sent: self.now });
         let slow = attempt == AttemptNumber(0) && id.0.is_multiple_of(REQUESTS_PER_SLOW_REQUEST);
--- a/crates/fleet-bench/src/slopes/tables.rs
+++ b/crates/fleet-bench/src/slopes/tables.rs
@@ -1,4 +1,4 @@
-//! The results of a run as tables.
+//! The report tables of `fleet-bench slopes`.
 
 use super::measurement::{AxisSamples, CaseSamples, MEASURES};
 use crate::report::{Table, Value};
@@ -13,7 +13,7 @@
 }
 
 impl Quartiles {
-    /// Returns the quartiles of the finite samples; NaN without such samples.
+    /// Returns the quartiles of the finite samples; NaN if there is no finite sample.
     fn of(samples: &[f64]) -> Self {
         let mut sorted: Vec<f64> = samples.iter().copied().filter(|sample| sample.is_finite()).collect();
         sorted.sort_by(f64::total_cmp);
@@ -23,7 +23,7 @@
     }
 }
 
-/// The tables of a run.
+/// The report tables of a run.
 #[derive(Debug)]
 pub struct Tables {
     lines: Table,
@@ -69,7 +69,7 @@
         self.medians.row(head.clone().into_iter().chain(medians).chain(load));
         let spreads = quartiles.map(|quartiles| Value::from(quartiles.third - quartiles.first));
         self.spreads.row(head.clone().into_iter().chain(spreads));
-        // On a shared machine the minimum is the sample that other load has disturbed least.
+        // On a shared machine, other load affects the lowest sample least.
         let minima = case.measures.each_ref().map(|samples| minimum(samples));
         self.minima.row(head.into_iter().chain(minima.map(Value::from)));
     }
@@ -81,7 +81,7 @@
     }
 }
 
-/// Returns the minimum of the samples that are numbers; NaN without such samples.
+/// Returns the minimum of the samples that are not NaN; NaN if there is no such sample.
 fn minimum(samples: &[f64]) -> f64 {
     samples.iter().copied().fold(f64::NAN, f64::min)
 }
@@ -105,19 +105,19 @@
     )
 }
 
-/// A measure as a linear function of the axis.
+/// The linear fit of a measure over the values of an axis.
 #[derive(Clone, Copy, Debug)]
 struct LineFit {
     /// The line through the medians over the rounds.
     medians: LinearFit,
-    /// The slopes of the lines through the samples of each round.
+    /// Quartiles of the slopes. Each slope is that of the line through the samples of one round.
     round_slopes: Quartiles,
-    /// The intercepts of these lines.
+    /// Quartiles of the intercepts. Each intercept is that of the line through the samples of one round.
     round_intercepts: Quartiles,
 }
 
 impl LineFit {
-    /// Fits a measure, given by its index; returns `None` with too few cases.
+    /// Fits the measure with this index in [`MEASURES`]. Returns `None` if there are too few cases.
     fn new(cases: &[CaseSamples], measure: usize) -> Option<Self> {
         let medians = fit(cases, |case| Some(Quartiles::of(&case.measures[measure]).median))?;
         let rounds = cases.iter().map(|case| case.measures[measure].len()).max().unwrap_or(0);
--- a/crates/fleet-bench/src/stats.rs
+++ b/crates/fleet-bench/src/stats.rs
@@ -1,4 +1,4 @@
-//! Statistics of samples.
+//! Linear fits and medians.
 
 /// A point in the plane.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -12,11 +12,11 @@
 /// A straight line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinearFit {
-    /// The increase of y for an increase of x by one.
+    /// Increase of y for an increase of x by one.
     pub slope: f64,
     /// Standard error of the slope.
     pub slope_error: f64,
-    /// The value of y at x = 0.
+    /// Value of y at x = 0.
     pub intercept: f64,
     /// Standard error of the intercept.
     pub intercept_error: f64,
