--- a/crates/fleet-bench/src/backend.rs
+++ b/crates/fleet-bench/src/backend.rs
@@ -1,4 +1,5 @@
-//! Stub backends in this process, which respond at once to every request with a request id.
+//! Stub backends in this process, which respond at once. The response is 200 if the request has a request
+//! id, and 404 otherwise.
 
 use crate::address::{self, AddressRole};
 use crate::background_runtime::{self, BackgroundRuntime};
@@ -15,10 +16,10 @@
 const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 3\r\n\r\nok\n";
 /// The response to a request without a request id.
 const NOT_FOUND_RESPONSE: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-/// Backoff after a failed accept.
+/// Delay before the retry of a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
-/// Backends that run on their own thread until the value is dropped.
+/// Stub backends that run on their own thread until the value is dropped.
 pub struct Backends {
     addresses: Vec<SocketAddr>,
     responses: Arc<AtomicU64>,
@@ -63,22 +64,22 @@
 async fn accept_connections(listener: StdListener, responses: Arc<AtomicU64>) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
-        Err(error) => return tracing::error!("backend: {error}"),
+        Err(error) => return tracing::error!("stub backend: cannot listen: {error}"),
     };
     loop {
         let mut stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::warn!("backend: {error}");
+                tracing::warn!("stub backend: cannot accept a connection: {error}; retrying");
                 tokio::time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
-        let _ = stream.set_nodelay(true); // a failure makes the connection slower only
+        let _ = stream.set_nodelay(true); // on failure the connection is only slower
         let responses = responses.clone();
         tokio::spawn(async move {
             if let Err(error) = serve_connection(&mut stream, &responses).await {
-                tracing::debug!("backend: {error}");
+                tracing::debug!("stub backend: connection failed: {error}");
             }
         });
     }
@@ -94,7 +95,7 @@
             }
         }
         buffer.drain(..head.body_bytes);
-        // Counted before the write, so that a response which a client has read is counted already.
+        // The response is counted before the write, so that every response that a client has read is counted.
         responses.fetch_add(1, Ordering::Relaxed);
         stream.write_all(if head.has_request_id { OK_RESPONSE } else { NOT_FOUND_RESPONSE }).await?;
     }
--- a/crates/fleet-bench/src/budget.rs
+++ b/crates/fleet-bench/src/budget.rs
@@ -1,10 +1,10 @@
-//! Budgets of the operators for the cost of each proxy.
+//! The operators' budgets for each proxy.
 
-/// Processor time for the control plane, as a fraction of a core.
+/// Maximum processor time for the control plane, as a fraction of a core.
 pub const CONTROL_PLANE_CORES: f64 = 0.01;
-/// Resident memory, in bytes.
+/// Maximum resident memory, in bytes.
 pub const RESIDENT_MEMORY_BYTES: f64 = 128e6;
-/// Control-plane traffic, in bytes per second.
+/// Maximum control-plane traffic, in bytes per second.
 pub const CONTROL_PLANE_BYTES_PER_SECOND: f64 = 3_000.0;
-/// Latency added to a call at the 99th percentile, in milliseconds.
+/// Maximum latency that a proxy adds to a call at the 99th percentile, in milliseconds.
 pub const ADDED_LATENCY_MS: f64 = 0.72;
--- a/crates/fleet-bench/src/discovery/list.rs
+++ b/crates/fleet-bench/src/discovery/list.rs
@@ -39,9 +39,10 @@
     instances: Vec<Instance>,
     /// The version in which each instance last changed.
     changed_in: Vec<u64>,
-    /// The oldest version with later changes that are still retained.
+    /// The oldest version since which all changes are retained.
     oldest_retained_version: u64,
-    /// Responses with the present version, keyed by the version that the poll names; `None` for the full list.
+    /// Responses with the present version, keyed by the version that the poll names; `None` is the key of the
+    /// full list.
     responses: HashMap<Option<u64>, Arc<[u8]>>,
 }
 
--- a/crates/fleet-bench/src/discovery/server.rs
+++ b/crates/fleet-bench/src/discovery/server.rs
@@ -183,7 +183,7 @@
         };
         let response = tokio::select! {
             response = shared.wait_for_response(poll) => response.map_err(io::Error::other)?,
-            // A waiting proxy sends nothing, so the end of a read means that the proxy has closed the connection.
+            // A waiting proxy sends nothing, so a read ends only if the proxy has closed the connection.
             _ = stream.read_buf(&mut buffer) => return Ok(()),
         };
         write_and_count(shared, proxy, stream, &response).await?;
--- a/crates/fleet-bench/src/error.rs
+++ b/crates/fleet-bench/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of all commands.
+//! The error type of all commands.
 
 use crate::fleet::checker::Rule;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::process::ExitStatus;
 use thiserror::Error;
 
-/// The error of a command without a report. Each message is one line.
+/// The error of a command that returns no report. Each message is one line.
 #[derive(Debug, Error)]
 pub enum Error {
     /// A file cannot be read, written or run.
@@ -47,65 +47,65 @@
         /// The value that was given.
         got: f64,
     },
-    /// A rule of the proxy was broken in a simulated fleet.
+    /// A simulated proxy violated a rule.
     #[error("broken rule: call {call} {rule}; seed {seed}, phase {phase}, machine {machine}, {at:.6} s")]
     Rule {
-        /// The violated rule.
+        /// Violated rule.
         rule: Rule,
         /// Number of the call at its proxy.
         call: u64,
-        /// The seed of the run.
+        /// Seed of the run.
         seed: u64,
-        /// The phase that was simulated.
+        /// Simulated phase.
         phase: String,
-        /// The machine of the proxy.
+        /// Machine of the proxy.
         machine: usize,
         /// Time of the violation, in seconds of virtual time.
         at: f64,
     },
     /// The proxy's program does not exist.
-    #[error("{}: no such program (build it, or name it by --program)", path.display())]
+    #[error("{}: no such program; build it, or give its path with --program", path.display())]
     ProgramMissing {
         /// Path at which the program was expected.
         path: PathBuf,
     },
-    /// A started process does not appear in procfs.
-    #[error("process {id}: not in procfs")]
+    /// A started process has no entry in procfs.
+    #[error("the started process {id} has no entry in procfs")]
     ProcessMissing {
         /// The process id.
         id: u32,
     },
-    /// A proxy ended before its readiness.
-    #[error("{address}: ended: {status}: {last_log_line}")]
+    /// A proxy ended before it was ready.
+    #[error("proxy {address} ended before it was ready: {status}; last log line: {last_log_line}")]
     ProxyEnded {
         /// The proxy's listen address.
         address: SocketAddr,
         /// Exit status of the process.
         status: ExitStatus,
-        /// Last line of the proxy's log.
+        /// The last line of the proxy's log.
         last_log_line: String,
     },
     /// A proxy was not ready in time.
-    #[error("{address}: not ready: {last_log_line}")]
+    #[error("proxy {address} was not ready in time; last log line: {last_log_line}")]
     ProxyNotReady {
         /// The proxy's listen address.
         address: SocketAddr,
-        /// Last line of the proxy's log.
+        /// The last line of the proxy's log.
         last_log_line: String,
     },
     /// The response of a proxy to `stats` does not follow the protocol.
-    #[error("{address}: invalid stats: {response}")]
+    #[error("proxy with management address {address} sent an invalid response to `stats`: {response}")]
     InvalidStats {
         /// The proxy's management address.
         address: SocketAddr,
         /// Response of the proxy.
         response: String,
     },
-    /// A proxy has not polled discovery in time.
-    #[error("a proxy has not polled discovery")]
+    /// A proxy did not poll discovery in time.
+    #[error("a proxy did not poll discovery in time")]
     NoDiscoveryPoll,
-    /// No request has reached the stub backends.
-    #[error("no request has reached the backends")]
+    /// No request reached the stub backends.
+    #[error("no request reached the stub backends")]
     NoBackendRequests,
     /// Proxies did not reach the expected state of their settings in time.
     #[error("{late} of {proxies} proxies not at {expected} within {timeout_s} s; {address}: {stats}")]
@@ -114,7 +114,7 @@
         late: usize,
         /// Number of all proxies.
         proxies: usize,
-        /// Description of the expected state.
+        /// Expected state of the settings.
         expected: String,
         /// The timeout, in seconds.
         timeout_s: u64,
@@ -124,7 +124,7 @@
         stats: String,
     },
     /// The proxies rejected an unexpected number of settings files.
-    #[error("settings, {scenario}: {rejected} files were rejected, not {expected}")]
+    #[error("settings rollout `{scenario}`: proxies rejected {rejected} files, expected {expected}")]
     RejectedFiles {
         /// Name of the scenario.
         scenario: String,
@@ -134,7 +134,7 @@
         expected: u64,
     },
     /// A thread of the measurement panicked.
-    #[error("{0} has panicked")]
+    #[error("{0} panicked")]
     Panicked(&'static str),
     /// A value cannot be converted to or from JSON.
     #[error("{what}: {error}")]
@@ -145,22 +145,22 @@
         error: serde_json::Error,
     },
     /// Procfs cannot be read.
-    #[error("procfs: {0}")]
+    #[error("cannot read procfs: {0}")]
     Procfs(#[from] procfs::ProcError),
     /// A histogram cannot be created.
-    #[error("histogram: {0}")]
+    #[error("cannot create a histogram: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// The real time limit of a run was reached.
-    #[error("given up after {limit_s} s")]
+    /// A run reached its limit of real time.
+    #[error("stopped at the time limit of {limit_s} s")]
     TimeLimit {
         /// The limit, in seconds.
         limit_s: f64,
     },
-    /// The system does not report the memory of this process.
-    #[error("memory of this process: {0}")]
+    /// The memory of this process cannot be read from procfs.
+    #[error("cannot read the memory of this process: {0}")]
     Memory(procfs::ProcError),
-    /// Ctrl-C or SIGTERM arrived. All that was started has been stopped.
-    #[error("ended by a signal: no report")]
+    /// Ctrl-C or SIGTERM arrived. All processes that the run started have been stopped.
+    #[error("stopped by a signal without a report")]
     Interrupted,
     /// The system returned an error.
     #[error(transparent)]
--- a/crates/fleet-bench/src/instance.rs
+++ b/crates/fleet-bench/src/instance.rs
@@ -1,15 +1,15 @@
-//! The instance list in the form that discovery and a proxy's configuration share.
+//! The instance list, in the format of discovery responses and of a proxy's configuration file.
 
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// The version with which every list begins.
+/// The first version of every instance list.
 pub const FIRST_LIST_VERSION: u64 = 1;
-/// Zones over which instances are spread.
+/// Names of the zones to which instances are assigned in turn.
 const ZONE_NAMES: [&str; 3] = ["a", "b", "c"];
-/// Cells over which instances are spread.
+/// Number of cells to which instances are assigned in turn.
 const CELL_COUNT: usize = 9;
-/// Multiplier (2^32 divided by the golden ratio) that turns a number into a random-looking id.
+/// Multiplier that converts an instance number to a pseudo-random id: 2^32 divided by the golden ratio.
 const INSTANCE_ID_MULTIPLIER: u32 = 0x9e37_79b1;
 
 /// The lifecycle state of a listed instance.
@@ -20,7 +20,7 @@
     Serving,
     /// The instance completes the requests in progress, and accepts no new ones.
     Draining,
-    /// The instance is gone. Only lists of changes contain deleted instances.
+    /// The instance no longer exists. Only lists of changes contain deleted instances.
     Deleted,
 }
 
@@ -40,16 +40,16 @@
     pub cell: usize,
     /// Lifecycle state of the instance.
     pub lifecycle: Lifecycle,
-    /// Capacity relative to that of the other instances.
+    /// Capacity relative to the other instances.
     pub weight: f64,
-    /// Last start of the instance, in milliseconds of Unix time; 0 stands for long ago.
+    /// Last start of the instance, in milliseconds of Unix time; 0 if the instance started long ago.
     pub started_at_ms: u64,
 }
 
 impl Instance {
     fn serving(number: usize, host_port: SocketAddr) -> Self {
         Self {
-            // The ids differ as much as the ids in the operators' example.
+            // Adjacent instances have very different ids, as in the operators' example.
             instance_id: format!("s-{:08x}", (number as u32).wrapping_mul(INSTANCE_ID_MULTIPLIER)),
             host_port,
             zone: ZONE_NAMES[number % ZONE_NAMES.len()],
@@ -62,24 +62,24 @@
     }
 }
 
-/// Creates serving instances at these addresses, spread over zones and cells.
+/// Creates serving instances at these addresses, assigned to zones and cells in turn.
 pub fn create_instances(addresses: impl Iterator<Item = SocketAddr>) -> Vec<Instance> {
     addresses.enumerate().map(|(number, address)| Instance::serving(number, address)).collect()
 }
 
-/// A list on the wire: the full list, or the changed instances.
+/// An instance list as it is sent: the full list, or the changed instances.
 #[derive(Debug, Serialize)]
 pub struct InstanceList<'a> {
     /// The version of the list.
     pub generation: u64,
-    /// True for a full list, false for changes.
+    /// Whether the list is the full list; `false` for a list of changes.
     pub reset: bool,
     /// The entries.
     pub instances: Vec<&'a Instance>,
 }
 
 impl<'a> InstanceList<'a> {
-    /// Creates the full list in its first version, with which a proxy is started.
+    /// Creates the full list in its first version. Proxies are started with this list.
     #[must_use]
     pub fn initial(instances: &'a [Instance]) -> Self {
         Self { generation: FIRST_LIST_VERSION, reset: true, instances: instances.iter().collect() }
--- a/crates/fleet-bench/src/main.rs
+++ b/crates/fleet-bench/src/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
-/// Scale tests of the proxy; each command is bounded in count and time.
+/// Scale tests of the proxy; each command has a limited size and duration.
 #[derive(Parser)]
 #[command(version)]
 struct Cli {
@@ -22,11 +22,11 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measures processor time and state of the decision module by the size of a deployment
+    /// Measures how the cost of the decision module grows with the size of a deployment
     Slopes(slopes::Args),
-    /// Measures the cost of up-to-date lists and settings with real proxies and a stub discovery server
+    /// Measures the cost of endpoint lists and settings with real proxies and a stub discovery server
     Control(control::Args),
-    /// Simulates a fleet of thousands of balancers with faults on virtual time
+    /// Simulates a fleet of thousands of balancers with faults, on virtual time
     Fleet(fleet::Args),
     /// Measures the latency that the real proxy adds to a call
     #[command(name = "added")]
@@ -52,10 +52,10 @@
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr).init();
     match run(&Cli::parse()).and_then(|report| Ok(writeln!(io::stdout(), "{report}")?)) {
         Ok(()) => ExitCode::SUCCESS,
-        // The reader has closed the pipe.
+        // The reader of standard output has closed the pipe.
         Err(Error::Io(error)) if error.kind() == ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(error) => {
-            let _ = writeln!(io::stderr(), "fleet-bench: {error}"); // there is no other place to report it
+            let _ = writeln!(io::stderr(), "fleet-bench: {error}"); // a failed write to standard error cannot be reported
             ExitCode::FAILURE
         }
     }
--- a/crates/fleet-bench/src/plan.rs
+++ b/crates/fleet-bench/src/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: the experiment file of a command, and the arguments that override its values.
+//! Reads and checks the plan of a command: the experiment file, and the arguments that override its values.
 
 use crate::error::Error;
 use serde::de::DeserializeOwned;
@@ -6,10 +6,10 @@
 use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 
-/// The longest run that a plan may take, in seconds.
+/// Maximum duration of a run, in seconds.
 const MAX_RUN_SECONDS: f64 = 3_600.0;
 
-/// Arguments of every command: the source of the plan.
+/// Source of the plan of a command.
 #[derive(clap::Args, Clone, Debug, Default)]
 pub struct PlanSource {
     /// Experiment file (TOML) with the plan; other arguments override its values
@@ -28,17 +28,17 @@
     /// Returns [`Error::File`] if the file cannot be read, and [`Error::Experiment`] if the file is not a
     /// plan of this command.
     pub fn read<P: DeserializeOwned + Default>(&self) -> Result<P, Error> {
-        self.experiment.as_deref().map_or_else(|| Ok(P::default()), read)
+        self.experiment.as_deref().map_or_else(|| Ok(P::default()), read_experiment)
     }
 }
 
-/// Reads an experiment file. An unknown key is an error, as a misspelt key would silently measure
-/// something else.
-fn read<P: DeserializeOwned>(path: &Path) -> Result<P, Error> {
+/// Reads an experiment file. An unknown key is an error, as the run would otherwise ignore a misspelt key and
+/// measure something else.
+fn read_experiment<P: DeserializeOwned>(path: &Path) -> Result<P, Error> {
     let text =
         std::fs::read_to_string(path).map_err(|error| Error::File { path: path.to_path_buf(), error })?;
     toml::from_str(&text).map_err(|error| {
-        // The library's own message has several lines.
+        // The message of the TOML library has several lines.
         let line = error.span().map_or(0, |span| 1 + text[..span.start].matches('\n').count());
         let message = format!("line {line}: {}", error.message().replace('\n', " "));
         Error::Experiment { path: path.to_path_buf(), message }
@@ -51,20 +51,19 @@
     /// The source of the plan
     #[command(flatten)]
     pub source: PlanSource,
-    /// Run a small plan, which takes less than half a minute
+    /// Run a small plan that takes less than half a minute
     #[arg(long, conflicts_with = "experiment")]
     pub quick: bool,
     /// Sizes of the endpoint list
     #[arg(long, value_delimiter = ',', value_name = "N,...")]
     pub listed: Option<Vec<usize>>,
-    /// Program of the proxy [default: `balancer-proxy` beside this program]
+    /// Program of the proxy [default: `balancer-proxy` in the directory of this program]
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
 }
 
 impl ProxyRunArgs {
-    /// Reads the plan of a command: `quick` if the arguments ask for the quick plan, otherwise the plan
-    /// of the experiment file.
+    /// Returns `quick` if the argument `--quick` is given, and otherwise the plan from [`PlanSource::read`].
     ///
     /// # Errors
     ///
--- a/crates/fleet-bench/src/proxy.rs
+++ b/crates/fleet-bench/src/proxy.rs
@@ -1,5 +1,5 @@
-//! Real proxies as child processes, started with their own configuration, measured through procfs, and
-//! killed on drop.
+//! Real proxies as child processes. Each proxy has its own configuration file, is measured through procfs,
+//! and is killed on drop.
 
 mod config;
 
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// A started proxy must be ready within this time, also on a busy machine.
+/// Time within which a started proxy must be ready, even on a busy machine.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval between two readiness checks.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -29,22 +29,23 @@
 const LOG_FILE_NAME: &str = "log";
 const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n";
 
-/// Returns the path of the proxy's program: `named`, or `balancer-proxy` beside this program.
+/// Returns the path of the proxy's program: `path` if given, and otherwise `balancer-proxy` in the directory
+/// of this program.
 ///
 /// # Errors
 ///
 /// Returns [`Error::ProgramMissing`] if there is no such file.
-pub fn find_program(named: Option<&Path>) -> Result<PathBuf, Error> {
-    let path = match named {
+pub fn find_program(path: Option<&Path>) -> Result<PathBuf, Error> {
+    let path = match path {
         Some(path) => path.to_path_buf(),
         None => std::env::current_exe()?.with_file_name("balancer-proxy"),
     };
     if path.is_file() { Ok(path) } else { Err(Error::ProgramMissing { path }) }
 }
 
-/// Options of the start of a proxy.
+/// The program, addresses and configuration with which a proxy is started.
 pub struct ProxyOptions<'a> {
-    /// The program.
+    /// Path of the proxy's program.
     pub program: &'a Path,
     /// The address to which clients connect.
     pub listen: SocketAddr,
@@ -56,7 +57,7 @@
     pub config: ProxyConfig<'a>,
 }
 
-/// A proxy process. Dropping the value kills the process and removes its directory.
+/// A proxy process. Dropping the value kills the process and removes its temporary directory.
 pub struct ProxyProcess {
     command: Command,
     child: Child,
@@ -67,11 +68,11 @@
 }
 
 impl ProxyProcess {
-    /// Starts a proxy without a wait for its readiness.
+    /// Starts a proxy, and does not wait until the proxy is ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if its files cannot be written or the program cannot be started.
+    /// Returns an error if the proxy's files cannot be written or the program cannot be started.
     pub fn spawn(options: &ProxyOptions<'_>) -> Result<Self, Error> {
         let directory = TempDir::with_prefix("fleet-bench-")?;
         let config_path = directory.path().join(CONFIG_FILE_NAME);
@@ -106,17 +107,17 @@
         self.directory.path().join(CONFIG_FILE_NAME)
     }
 
-    /// Sends SIGHUP, on which the proxy reads its configuration file again.
+    /// Sends SIGHUP to the proxy, which then reloads its configuration file.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] if the process is gone.
+    /// Returns [`Error::Io`] if the process no longer exists.
     pub fn reload(&self) -> Result<(), Error> {
-        // The child has not been waited for, so that its id is not yet in use by another process.
+        // The child has not been waited for, so that no other process has its id.
         Ok(kill_process(Pid::from_child(&self.child), Signal::HUP).map_err(std::io::Error::from)?)
     }
 
-    /// Kills the process by SIGKILL. The files of the process remain.
+    /// Kills the process with SIGKILL. The files of the process remain.
     ///
     /// # Errors
     ///
@@ -127,7 +128,7 @@
         Ok(())
     }
 
-    /// Starts a killed proxy again with the same options, without a wait for its readiness.
+    /// Starts a killed proxy again with the same options, and does not wait until the proxy is ready.
     ///
     /// # Errors
     ///
@@ -166,10 +167,10 @@
 
     fn last_log_line(&self) -> String {
         let log = std::fs::read_to_string(self.directory.path().join(LOG_FILE_NAME)).unwrap_or_default();
-        log.lines().last().unwrap_or("its log is empty").to_string()
+        log.lines().last().unwrap_or("(the log is empty)").to_string()
     }
 
-    /// Reads the usage of the process.
+    /// Reads the resource usage of the process.
     ///
     /// # Errors
     ///
@@ -182,8 +183,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] if the proxy cannot be reached, and [`Error::InvalidStats`] if its
-    /// response is not JSON.
+    /// Returns [`Error::Io`] if the proxy cannot be reached, and [`Error::InvalidStats`] if the response is
+    /// not JSON followed by `END`.
     pub fn stats(&self) -> Result<Value, Error> {
         let response = management_call(self.management, "stats\n")?;
         let stats = response.strip_suffix("\nEND\n").and_then(|line| serde_json::from_str(line).ok());
@@ -198,6 +199,7 @@
     }
 }
 
+/// Starts a process, and returns it with its procfs entry.
 fn spawn_process(command: &mut Command) -> Result<(Child, Process), Error> {
     let path = PathBuf::from(command.get_program());
     let mut child = command.spawn().map_err(|error| Error::File { path, error })?;
@@ -216,14 +218,14 @@
     Ok(stream)
 }
 
-/// Sends an HTTP request that closes the connection, and returns the response.
+/// Sends an HTTP request that asks the server to close the connection, and returns the response.
 fn http_request(address: SocketAddr, request: &str) -> std::io::Result<String> {
     let mut stream = connect(address)?;
     stream.write_all(request.as_bytes())?;
     read_to_end(stream)
 }
 
-/// Makes a management call, which the proxy executes once the client has closed the sending side of the
+/// Makes a management call. The proxy executes the call once the client has closed the sending side of the
 /// connection.
 fn management_call(address: SocketAddr, call: &str) -> std::io::Result<String> {
     let mut stream = connect(address)?;
--- a/crates/fleet-bench/src/proxy/config.rs
+++ b/crates/fleet-bench/src/proxy/config.rs
@@ -8,9 +8,9 @@
 /// Mode in which a proxy obtains its instance list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistryMode {
-    /// The proxy is started with the list and watches for changes.
+    /// The proxy is started with the list, and watches discovery for changes.
     Automatic,
-    /// The proxy polls for the list by itself.
+    /// The proxy polls discovery for the list.
     Subscribe,
 }
 
@@ -25,14 +25,14 @@
     }
 }
 
-/// Parameters of the configuration of one proxy.
+/// Parameters of the configuration file of one proxy.
 pub struct ProxyConfig<'a> {
     /// Index of the proxy among the proxies of the run.
     pub index: usize,
-    /// Number of proxies in the tier, whether or not the others run, by which the list is divided into
-    /// subsets.
+    /// Number of proxies in the tier, including proxies that do not run. The proxy computes its subset of the
+    /// list from this number.
     pub tier_size: usize,
-    /// Seed of the proxy's random numbers.
+    /// Seed of the proxy's random number generator.
     pub seed: u64,
     /// Mode in which the proxy obtains its instance list.
     pub registry_mode: RegistryMode,
@@ -40,6 +40,7 @@
     pub instances: &'a InstanceList<'a>,
 }
 
+/// The content of the configuration file.
 #[derive(Serialize)]
 struct ConfigFile<'a> {
     name: String,
@@ -72,7 +73,7 @@
         serde_json::to_vec(&file).map_err(|error| Error::Json { what: "configuration", error })
     }
 
-    /// Returns the settings of a service in a later tier, where each caller has its own proxy.
+    /// Returns the settings of a proxy that is not in the entry tier. Each caller has its own proxy there.
     fn settings(&self) -> Value {
         let class = |name: &str, effect: &str| {
             json!({"name": name, "effect": effect, "group": "all", "window": 5.0, "on-time": 0.5,
--- a/crates/fleet-bench/src/report.rs
+++ b/crates/fleet-bench/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a command: tables for people, and the same as JSON for programs.
+//! The report of a command, which is printed as text and written as JSON.
 
 use crate::error::Error;
 use comfy_table::{CellAlignment, Table as FormattedTable, presets};
@@ -13,7 +13,7 @@
 pub enum Value {
     /// A number in the unit of its column.
     Number(f64),
-    /// A text, such as the name of a phase.
+    /// Text, for example the name of a phase.
     Text(String),
     /// A value that was not measured.
     Absent,
@@ -56,7 +56,7 @@
             Self::Text(text) => f.write_str(text),
             Self::Number(n) if n.fract() == 0.0 && n.abs() < 1e15 => write!(f, "{n:.0}"),
             Self::Number(n) => {
-                // Four significant digits without an exponent.
+                // Four significant digits, without an exponent.
                 let digits = (3 - n.abs().log10().floor() as i64).clamp(0, 9) as usize;
                 write!(f, "{n:.digits$}")
             }
@@ -64,7 +64,7 @@
     }
 }
 
-/// Rows of values under columns whose names contain their units, as in `"request, us"`.
+/// A table. The name of a column contains its unit, as in `"request, us"`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// Title of the table.
@@ -111,18 +111,18 @@
 /// The results of one run of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Name of the command.
+    /// Name of the subcommand.
     pub command: String,
-    /// Commit of the tree in which the command ran, with `-dirty` if the tree had changes; empty if git
-    /// does not return a commit.
+    /// Commit of the working tree in which the command ran, with `-dirty` if tracked files had changes; empty
+    /// if git does not return a commit.
     pub commit: String,
     /// The seed of all random draws.
     pub seed: u64,
     /// The complete plan that was run.
     pub arguments: serde_json::Value,
-    /// Results of the run.
+    /// Tables with the results of the run.
     pub tables: Vec<Table>,
-    /// Notes for the reader: figures that were not measured, and times when the machine was too busy.
+    /// Notes for the reader, for example on values that were not measured and on other load of the machine.
     pub notes: Vec<String>,
 }
 
--- a/crates/fleet-bench/src/resource_usage.rs
+++ b/crates/fleet-bench/src/resource_usage.rs
@@ -33,7 +33,7 @@
         let status = process.status()?;
         let bytes = |kilobytes: Option<u64>| kilobytes.unwrap_or(0) * 1024;
         // `schedstat` counts nanoseconds. `stat` is too coarse: one of its ticks is as long as the processor
-        // time that a proxy may use in one second.
+        // time that the budget allows a proxy in one second.
         let mut processor_nanos = 0;
         let mut wait_nanos = 0;
         for task in process.tasks()? {
--- a/crates/fleet-bench/src/sampling.rs
+++ b/crates/fleet-bench/src/sampling.rs
@@ -1,9 +1,9 @@
-//! Seeds and random draws that several commands share.
+//! Seeds and random samples that several commands share.
 
 use rand::Rng;
 use std::time::Duration;
 
-/// Multiplier that separates seeds that are close together.
+/// Multiplier that separates the derived seeds of adjacent seeds of a run.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9;
 
 /// Derives the seed of a numbered component of a run from the seed of the run.
@@ -12,8 +12,8 @@
     seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(number)
 }
 
-/// Draws the arrival times of a Poisson process with `rate` arrivals per second on average, during
-/// `seconds`. There are no arrivals at a rate of 0.
+/// Samples the arrival times of a Poisson process with a mean of `rate` arrivals per second over `seconds`.
+/// A rate of 0 gives no arrivals.
 pub fn poisson_arrivals(rng: &mut impl Rng, rate: f64, seconds: f64) -> Vec<Duration> {
     if rate <= 0.0 {
         return Vec::new();
--- a/crates/fleet-bench/src/thread_clock.rs
+++ b/crates/fleet-bench/src/thread_clock.rs
@@ -2,9 +2,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Returns the processor time of this thread so far, in seconds, from the system's clock of the thread.
-/// Other threads on a busy machine do not count, though they may evict this thread's data from the
-/// caches.
+/// Returns the processor time that this thread has used, in seconds. The processor time of other threads is
+/// not included, but other threads may evict this thread's data from the processor caches.
 #[must_use]
 pub fn thread_time() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
--- a/crates/fleet-bench/tests/control.rs
+++ b/crates/fleet-bench/tests/control.rs
@@ -59,7 +59,7 @@
     assert_eq!(run.wait().unwrap().code(), Some(1));
     let mut message = String::new();
     run.stderr.take().unwrap().read_to_string(&mut message).unwrap();
-    assert_eq!(message, "fleet-bench: ended by a signal: no report\n");
+    assert_eq!(message, "fleet-bench: stopped by a signal without a report\n");
     assert_nothing_left(directory.path());
 }
 
@@ -82,5 +82,8 @@
 fn a_missing_program_is_reported() {
     let message = failure_of(&["control", "--program", "/absent"]);
 
-    assert!(message.contains("/absent: no such program (build it, or name it by --program)"), "{message}");
+    assert!(
+        message.contains("/absent: no such program; build it, or give its path with --program"),
+        "{message}"
+    );
 }
--- a/crates/fleet-bench/tests/fleet.rs
+++ b/crates/fleet-bench/tests/fleet.rs
@@ -134,7 +134,7 @@
         (&["--services", "0"], "services: expected 1 to 10000, got 0"),
         (&["--window", "1e9"], "window: expected 1 to 3600, got 1000000000"),
         (&["--restarts", "6000"], "restarts and failures: expected 0 to 5500"),
-        (&["--real-time-limit", "1", "--phase", "ordinary"], "given up after 1 s"),
+        (&["--real-time-limit", "1", "--phase", "ordinary"], "stopped at the time limit of 1 s"),
     ];
     for (arguments, expected) in cases {
         let message = failure_of(&[&["fleet"], arguments].concat());
