--- a/crates/fleet-bench/src/main.rs
+++ b/crates/fleet-bench/src/main.rs
@@ -55,7 +55,8 @@
         // The reader of standard output has closed the pipe.
         Err(Error::Io(error)) if error.kind() == ErrorKind::BrokenPipe => ExitCode::SUCCESS,
         Err(error) => {
-            let _ = writeln!(io::stderr(), "fleet-bench: {error}"); // a failed write to standard error cannot be reported
+            // A failed write to standard error cannot be reported.
+            let _ = writeln!(io::stderr(), "fleet-bench: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/fleet-bench/tests/command_line.rs
+++ b/crates/fleet-bench/tests/command_line.rs
@@ -1,4 +1,5 @@
-//! Messages and exit status for invalid arguments and files, and the modules that all commands share.
+//! Tests of what all commands share. They guard against an invalid experiment file that is accepted or
+//! reported unclearly, a report that changes when it is written and read, and a wrong linear fit.
 
 use fleet_bench::report::{Report, Table, Value};
 use fleet_bench::stats::{self, Point};
@@ -9,7 +10,7 @@
 }
 
 #[test]
-fn an_invalid_experiment_file_is_rejected_with_one_line() {
+fn rejects_an_invalid_experiment_file_with_a_one_line_message() {
     let directory = tempfile::tempdir().unwrap();
     let file = |name: &str, text: &str| {
         let path = directory.path().join(name);
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_report_is_read_back_as_it_was_written() {
+fn a_written_report_is_read_back_unchanged() {
     let mut report = Report::new("slopes", 7, &["a plan"]).unwrap();
     let mut table = Table::new("costs", &["event", "cost, us"]);
     table.row([Value::from("call"), Value::from(1.25)]);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn a_linear_fit_finds_the_line_through_its_points() {
+fn linear_fit_finds_the_line_through_exact_points_and_rejects_too_few_points() {
     let exact: Vec<Point> = (0..5).map(f64::from).map(|x| Point { x, y: 3.0 + 2.0 * x }).collect();
     let two_points = &exact[..2];
     let one_point_repeated = [exact[0]; 4];
--- a/crates/fleet-bench/tests/control.rs
+++ b/crates/fleet-bench/tests/control.rs
@@ -1,17 +1,19 @@
-//! A complete small run of `fleet-bench control`, the end of a run by a signal, and invalid arguments.
+//! Tests of `fleet-bench control` with real proxies. They guard against reports without measured values,
+//! proxies or files that a completed or interrupted run leaves behind, and invalid arguments that start a
+//! run.
 
 mod common;
 #[path = "common/failure.rs"]
 mod failure;
 
-use common::{JsonAndText, assert_nothing_left, fleet_bench, processes_of, report_of, table};
-use failure::failure_of;
+use common::{JsonAndText, assert_nothing_left, count_processes, fleet_bench, run_to_report, table_rows};
+use failure::run_expecting_failure;
 use serde_json::{Map, Value};
 use std::io::Read;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Timeout of the start of the proxies, which is generous for a busy machine.
+/// Timeout for the start of the proxies, long enough for a busy machine.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn number(row: &Map<String, Value>, column: &str) -> f64 {
@@ -19,14 +21,14 @@
 }
 
 #[test]
-fn a_small_run_measures_real_proxies_and_leaves_nothing_behind() {
+fn measures_real_proxies_and_leaves_no_processes_or_files() {
     let directory = tempfile::tempdir().unwrap();
     let arguments = ["control", "--quick", "--listed", "17", "--proxies", "2", "--window", "0.5"];
 
-    let JsonAndText { report, text } = report_of(directory.path(), &arguments);
+    let JsonAndText { report, text } = run_to_report(directory.path(), &arguments);
 
     assert_eq!(report["arguments"]["outage-seconds"], 2.0, "{text}");
-    let costs = table(&report, "Cost of an up-to-date list");
+    let costs = table_rows(&report, "Cost of an up-to-date list");
     let rates: Vec<_> = costs.iter().map(|row| row["rate"].as_str().unwrap()).collect();
     assert_eq!(rates, ["none", "fleet", "10"]);
     for row in &costs {
@@ -36,7 +38,7 @@
     let fastest = &costs[2];
     assert!(number(fastest, "polls/s") > 0.0 && number(fastest, "bytes/s") > 0.0, "{text}");
     assert!(number(fastest, "50%, ms") <= number(fastest, "all, ms"), "{text}");
-    let recoveries = table(&report, "Polls of all proxies");
+    let recoveries = table_rows(&report, "Polls of all proxies");
     assert!(number(&recoveries[0], "polls, 6 s") >= 4.0, "{text}");
     assert!(number(&recoveries[0], "all up to date, s") < 6.0, "{text}");
     assert!(!text.contains("another number"), "{text}");
@@ -44,13 +46,13 @@
 }
 
 #[test]
-fn a_signal_ends_a_run_and_all_that_it_started() {
+fn a_signal_ends_a_run_and_the_processes_that_it_started() {
     let directory = tempfile::tempdir().unwrap();
     let mut command = fleet_bench(directory.path(), &["control", "--quick", "--window", "300"]);
     let mut run = command.stderr(Stdio::piped()).spawn().unwrap();
     let start = Instant::now();
-    while processes_of(directory.path()) < 5 {
-        assert!(start.elapsed() < START_TIMEOUT, "no proxies");
+    while count_processes(directory.path()) < 5 {
+        assert!(start.elapsed() < START_TIMEOUT, "the proxies have not started");
         std::thread::sleep(Duration::from_millis(10));
     }
 
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn invalid_arguments_are_rejected_with_one_line() {
+fn rejects_arguments_out_of_range_with_a_one_line_message() {
     let cases: [(&[&str], &str); 4] = [
         (&["--listed", "1"], "listed: expected 2 to 20,000, got 1"),
         (&["--proxies", "301"], "proxies: expected 1 to 300, got 301"),
@@ -72,15 +74,15 @@
         (&["--window", "600"], "plan: expected at most an hour"),
     ];
     for (arguments, expected) in cases {
-        let message = failure_of(&[&["control"], arguments].concat());
+        let message = run_expecting_failure(&[&["control"], arguments].concat());
 
         assert!(message.contains(expected), "{message}");
     }
 }
 
 #[test]
-fn a_missing_program_is_reported() {
-    let message = failure_of(&["control", "--program", "/absent"]);
+fn reports_a_missing_proxy_program() {
+    let message = run_expecting_failure(&["control", "--program", "/absent"]);
 
     assert!(
         message.contains("/absent: no such program; build it, or give its path with --program"),
--- a/crates/fleet-bench/tests/discovery.rs
+++ b/crates/fleet-bench/tests/discovery.rs
@@ -1,4 +1,6 @@
-//! The stub discovery server against the operators' protocol, on loopback sockets.
+//! Tests of the stub discovery server on loopback sockets. They guard against responses that differ from the
+//! operators' discovery protocol, wrong counts and acknowledgements, and simulated outages that the clients
+//! do not see: the measurements of `fleet-bench control` depend on all of these.
 
 use fleet_bench::discovery::{Availability, Change, Discovery, Transfer};
 use fleet_bench::instance::{Instance, create_instances};
@@ -7,10 +9,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Timeout of each step, which is generous for a busy machine.
+/// Timeout of each step, long enough for a busy machine.
 const STEP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client that polls the list.
+/// A discovery client that polls the instance list on one connection.
 struct PollClient(BufReader<TcpStream>);
 
 impl PollClient {
@@ -48,7 +50,7 @@
     }
 }
 
-/// An entry of a list.
+/// Id and lifecycle state of an entry of a list.
 #[derive(Debug, PartialEq)]
 struct Entry {
     id: String,
@@ -71,8 +73,8 @@
     create_instances((7_000..7_003).map(|port| SocketAddr::from(([127, 0, 0, 1], port))))
 }
 
-/// Starts a server that lists three instances, and connects a client as the only proxy.
-fn start() -> (Discovery, PollClient) {
+/// Starts a server that lists three instances, and connects a client in place of the only proxy.
+fn start_with_client() -> (Discovery, PollClient) {
     let discovery = Discovery::start(three_instances(), 1).unwrap();
     let client = PollClient::connect(discovery.addresses()[0]);
     (discovery, client)
@@ -80,7 +82,7 @@
 
 #[test]
 fn a_poll_without_a_version_gets_the_full_list() {
-    let (_discovery, mut client) = start();
+    let (_discovery, mut client) = start_with_client();
 
     let list = client.poll("/api/targets");
 
@@ -90,8 +92,8 @@
 }
 
 #[test]
-fn without_a_change_a_poll_gets_no_entries_after_its_wait() {
-    let (_discovery, mut client) = start();
+fn a_poll_gets_no_entries_after_its_wait_if_nothing_has_changed() {
+    let (_discovery, mut client) = start_with_client();
 
     let polled = Instant::now();
     let list = client.poll("/api/targets?since=1&timeout_ms=50");
@@ -102,7 +104,7 @@
 
 #[test]
 fn a_change_ends_the_wait_of_a_poll() {
-    let (discovery, mut client) = start();
+    let (discovery, mut client) = start_with_client();
     client.send_poll("/api/targets?since=1&timeout_ms=60000");
     while discovery.counts()[0].polls < 1 {
         std::thread::sleep(Duration::from_millis(1));
@@ -117,7 +119,7 @@
 
 #[test]
 fn a_poll_with_an_old_version_gets_all_later_changes() {
-    let (discovery, mut client) = start();
+    let (discovery, mut client) = start_with_client();
     discovery.publish(Change::Drain(1));
     discovery.publish(Change::Replace(1));
     discovery.publish(Change::Weight { index: 0, weight: 1.5 });
@@ -131,7 +133,7 @@
 
 #[test]
 fn a_poll_with_an_unknown_version_gets_the_full_list_without_deleted_entries() {
-    let (discovery, mut client) = start();
+    let (discovery, mut client) = start_with_client();
     discovery.publish(Change::Drain(1));
     discovery.publish(Change::Replace(1));
 
@@ -144,7 +146,7 @@
 
 #[test]
 fn a_version_is_acknowledged_by_the_poll_that_names_it_and_not_before() {
-    let (discovery, mut client) = start();
+    let (discovery, mut client) = start_with_client();
     discovery.publish(Change::Drain(1));
     client.poll("/api/targets?since=1&timeout_ms=1000");
     assert_eq!(discovery.pending_acknowledgements(), 1);
@@ -162,8 +164,8 @@
 }
 
 #[test]
-fn without_history_a_poll_with_an_old_version_gets_the_full_list() {
-    let (discovery, mut client) = start();
+fn a_poll_with_an_old_version_gets_the_full_list_after_the_history_is_discarded() {
+    let (discovery, mut client) = start_with_client();
     discovery.publish(Change::Weight { index: 0, weight: 1.0 });
 
     discovery.discard_history();
@@ -173,12 +175,12 @@
 
 #[test]
 fn polls_and_their_bytes_are_counted() {
-    let (discovery, mut client) = start();
+    let (discovery, mut client) = start_with_client();
     for _ in 0..7 {
         client.poll("/api/targets?since=1&timeout_ms=1");
     }
 
-    // A response is counted once it has been written, and may have been read before.
+    // The server counts a response after the write, so that the client may read the response before.
     let deadline = Instant::now() + STEP_TIMEOUT;
     while discovery.counts()[0].response_bytes <= 7 * 100 && Instant::now() < deadline {
         std::thread::yield_now();
@@ -191,7 +193,7 @@
 
 #[test]
 fn a_silent_server_responds_to_pending_polls_once_it_is_up() {
-    let (discovery, mut client) = start();
+    let (discovery, mut client) = start_with_client();
 
     discovery.set_availability(Availability::Silent);
     client.send_poll("/api/targets?since=1&timeout_ms=1");
@@ -205,8 +207,8 @@
 }
 
 #[test]
-fn a_refusing_server_closes_its_connections_and_accepts_new_ones_later() {
-    let (discovery, mut client) = start();
+fn a_refusing_server_closes_its_connections_and_accepts_new_ones_after_the_outage() {
+    let (discovery, mut client) = start_with_client();
     let address = discovery.addresses()[0];
     client.poll("/api/targets");
 
@@ -214,12 +216,12 @@
     assert!(matches!(client.0.read(&mut [0]), Ok(0) | Err(_)), "the connection is not closed");
     let start = Instant::now();
     while TcpStream::connect(address).is_ok() {
-        assert!(start.elapsed() < STEP_TIMEOUT, "it still accepts connections");
+        assert!(start.elapsed() < STEP_TIMEOUT, "the server still accepts connections");
     }
 
     discovery.set_availability(Availability::Slow(Duration::from_millis(100)));
     while TcpStream::connect(address).is_err() {
-        assert!(start.elapsed() < STEP_TIMEOUT, "it still refuses connections");
+        assert!(start.elapsed() < STEP_TIMEOUT, "the server still refuses connections");
     }
     let polled = Instant::now();
     assert_eq!(PollClient::connect(address).poll("/api/targets")["reset"], true);
@@ -228,7 +230,7 @@
 
 #[test]
 fn a_slow_server_delays_its_responses_and_records_the_polls() {
-    let (discovery, mut client) = start();
+    let (discovery, mut client) = start_with_client();
     discovery.start_recording();
     discovery.set_availability(Availability::Slow(Duration::from_millis(100)));
 
--- a/crates/fleet-bench/tests/earlier_files.rs
+++ b/crates/fleet-bench/tests/earlier_files.rs
@@ -1,9 +1,10 @@
-//! Experiment files, reports and command lines of earlier versions are still read.
+//! Tests that experiment files, reports and command lines of earlier versions are still read. They guard
+//! against a renamed parameter or value without an alias for its earlier name.
 
 #[path = "common/failure.rs"]
 mod failure;
 
-use failure::failure_of;
+use failure::run_expecting_failure;
 use fleet_bench::report::Report;
 use fleet_bench::{control, fleet, latency_overhead, slopes};
 use serde::Serialize;
@@ -13,7 +14,7 @@
 
 const REPORTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity");
 
-/// A parameter, or the value of a parameter, that has another name than in earlier versions.
+/// The earlier and the present name of a parameter, or of a value of a parameter.
 struct Renamed {
     earlier: &'static str,
     present: &'static str,
@@ -51,7 +52,7 @@
 const SLOPES_PARAMETERS: [Renamed; 2] =
     [renamed("open", "open_requests"), renamed("open_alone", "open_requests_full_subset")];
 
-/// Returns the present name for an earlier name, which may be the same.
+/// Returns the present name of a parameter or value; a name that is not in the list is returned unchanged.
 fn present_name(name: &str, renamed: &[Renamed]) -> String {
     let found = renamed.iter().find(|renamed| renamed.earlier == name);
     found.map_or(name, |renamed| renamed.present).to_string()
@@ -81,8 +82,8 @@
     serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap()
 }
 
-/// Asserts that a plan with earlier names is read, from JSON and from an experiment file, with all of its
-/// values; a parameter that the plan does not have keeps its default.
+/// Asserts that a plan with earlier names is read from JSON and from an experiment file, and that the plan
+/// keeps all of its values. A parameter that the plan does not contain has its default.
 fn assert_plan_is_read<P>(arguments: &Value, renamed: &[Renamed])
 where
     P: DeserializeOwned + Serialize + Default,
@@ -144,7 +145,7 @@
 
 #[test]
 fn plans_of_stored_reports_are_read_by_their_commands() {
-    // One value is out of range, so that the command ends after the plan is read.
+    // One value is out of range, so that the command ends after it has read the plan.
     let cases = [
         ("control.json", "away", "outage-seconds: expected 0.5 to 600 s, got 0.1"),
         ("rollout.json", "away", "outage-seconds: expected 0.5 to 600 s, got 0.1"),
@@ -159,7 +160,7 @@
         report.arguments[parameter] = if parameter == "warm_up" { json!(70.0) } else { json!(0.1) };
         std::fs::write(&experiment, toml::to_string(&report.arguments).unwrap()).unwrap();
 
-        let message = failure_of(&[&report.command, "--experiment", experiment.to_str().unwrap()]);
+        let message = run_expecting_failure(&[&report.command, "--experiment", experiment.to_str().unwrap()]);
 
         assert_eq!(message, format!("fleet-bench: {expected}\n"), "{name}");
     }
@@ -167,7 +168,7 @@
 
 #[test]
 fn earlier_command_line_options_are_read() {
-    // One value is out of range, so that the command ends after the arguments are read.
+    // One value is out of range, so that the command ends after it has read the arguments.
     let cases: [(&[&str], &str); 4] = [
         (&["fleet", "--cross-zone", "101"], "cross_zone_cost: expected 0 to 100, got 101"),
         (&["fleet", "--limit", "0.5"], "real_time_limit: expected 1 to 86400, got 0.5"),
@@ -178,6 +179,6 @@
         ),
     ];
     for (arguments, expected) in cases {
-        assert_eq!(failure_of(arguments), format!("fleet-bench: {expected}\n"));
+        assert_eq!(run_expecting_failure(arguments), format!("fleet-bench: {expected}\n"));
     }
 }
--- a/crates/fleet-bench/tests/fleet.rs
+++ b/crates/fleet-bench/tests/fleet.rs
@@ -1,18 +1,19 @@
-//! Reports of a small simulated fleet, and the checker of the rules.
+//! Tests of `fleet-bench fleet` with small fleets. They guard against results that depend on the number of
+//! threads, faults that do not reach the reported values, and rule violations that the checker misses.
 
 #[path = "common/failure.rs"]
 mod failure;
 
 use balancer::{AttemptNumber, Effect, RequestId};
-use failure::failure_of;
+use failure::run_expecting_failure;
 use fleet_bench::fleet::checker::{Checker, NewCall, Rule, Violation};
 use fleet_bench::fleet::{Args, Phase, run};
 use fleet_bench::plan::PlanSource;
 use fleet_bench::report::{Report, Value};
 use std::io::Write;
 
-/// Simulates a fleet of 300 backends in 8 services, quick to run, with this number of restarts a day
-/// and these further lines of a plan.
+/// Simulates a fleet of 300 backends in 8 services, with this number of restarts a day. `lines` are further
+/// lines of the plan.
 fn simulate_small_fleet(phases: &[Phase], restarts: usize, lines: &str) -> Report {
     let mut file = tempfile::NamedTempFile::new().unwrap();
     let text = "backends = 300\nservices = 8\ndepth = 4\nwindow = 40.0\n\
@@ -28,20 +29,20 @@
     .unwrap()
 }
 
-/// Returns the number in a cell; the names of table, row and column are given by their beginnings.
-fn figure(report: &Report, table: &str, row: &str, column: &str) -> f64 {
+/// Returns the number in a cell. Table, row and column are identified by the beginnings of their names.
+fn cell_number(report: &Report, table: &str, row: &str, column: &str) -> f64 {
     let table = report.tables.iter().find(|t| t.name.starts_with(table)).unwrap();
     let column = table.columns.iter().position(|c| c.starts_with(column)).unwrap();
     let matches_row = |value: &Value| value.to_string().starts_with(row);
     let row = table.rows.iter().find(|r| r[..2].iter().any(matches_row)).unwrap();
     match row[column] {
-        Value::Number(figure) => figure,
+        Value::Number(number) => number,
         ref other => panic!("{other}"),
     }
 }
 
 #[test]
-fn same_seed_gives_the_same_figures_with_any_number_of_threads() {
+fn the_same_seed_gives_the_same_results_with_any_number_of_threads() {
     let phases = [Phase::Ordinary, Phase::Rack, Phase::Zone, Phase::Region, Phase::Half];
     let simulate_on = |threads, lines| {
         let pool = rayon::ThreadPoolBuilder::new().num_threads(threads).build().unwrap();
@@ -59,27 +60,27 @@
 #[test]
 fn without_faults_every_call_succeeds_and_every_backend_is_in_a_subset() {
     let report = simulate_small_fleet(&[Phase::Ordinary], 0, "failures = 0\ncross_zone_cost = 0.0\n");
-    let calls = figure(&report, "Calls", "ordinary", "calls");
+    let calls = cell_number(&report, "Calls", "ordinary", "calls");
     let expected = 620_000.0 * 0.002 * 40.0;
     assert!((calls / expected - 1.0).abs() < 0.05, "{calls} of {expected}");
-    assert_eq!(figure(&report, "Calls", "ordinary", "attempts to unavailable"), 0.0);
-    assert_eq!(figure(&report, "Calls", "ordinary", "rejected"), 0.0);
-    assert!(figure(&report, "Calls", "ordinary", "succeeded") > 99.99);
-    assert_eq!(figure(&report, "Backends in service", "ordinary", "in no subset"), 0.0);
-    assert_eq!(figure(&report, "Time until", "ordinary", "changes"), 0.0);
-    assert_eq!(figure(&report, "Each role", "discovery", "messages/s"), 0.0);
+    assert_eq!(cell_number(&report, "Calls", "ordinary", "attempts to unavailable"), 0.0);
+    assert_eq!(cell_number(&report, "Calls", "ordinary", "rejected"), 0.0);
+    assert!(cell_number(&report, "Calls", "ordinary", "succeeded") > 99.99);
+    assert_eq!(cell_number(&report, "Backends in service", "ordinary", "in no subset"), 0.0);
+    assert_eq!(cell_number(&report, "Time until", "ordinary", "changes"), 0.0);
+    assert_eq!(cell_number(&report, "Each role", "discovery", "messages/s"), 0.0);
 }
 
 #[test]
 fn partitioned_region_gets_endpoint_changes_only_after_the_partition() {
     let report = simulate_small_fleet(&[Phase::Region], 240, "");
-    // Ten restarts in an hour with three changes each, except where no proxy calls the service.
-    let changes = figure(&report, "Time until", "region", "changes");
+    // The hour has ten restarts with three changes each, fewer where no proxy calls the service.
+    let changes = cell_number(&report, "Time until", "region", "changes");
     assert!((6.0..=30.0).contains(&changes), "{changes}");
     let table = report.tables.iter().find(|t| t.name.starts_with("Time until")).unwrap();
     let Some(Value::Number(worst)) = table.rows[0].last() else { panic!("{table:?}") };
     assert!((5.0..=25.0).contains(worst), "{worst}");
-    assert!(figure(&report, "Calls", "region", "attempts to unavailable") > 0.0);
+    assert!(cell_number(&report, "Calls", "region", "attempts to unavailable") > 0.0);
 
     let unpartitioned = simulate_small_fleet(&[Phase::Ordinary], 24, "");
     let table = unpartitioned.tables.iter().find(|t| t.name.starts_with("Time until")).unwrap();
@@ -88,17 +89,17 @@
 }
 
 #[test]
-fn restarted_and_crashed_backends_warm_up() {
+fn restarted_and_crashed_backends_go_through_slow_start() {
     let report = simulate_small_fleet(&[Phase::Zone, Phase::Half], 24, "");
-    let starts = |phase| figure(&report, "Peak load", phase, "slow starts");
-    let largest = figure(&report, "Each role", "proxy of the largest", "backends listed");
+    let starts = |phase| cell_number(&report, "Peak load", phase, "slow starts");
+    let largest = cell_number(&report, "Each role", "proxy of the largest", "backends listed");
     assert!(starts("half") >= (largest / 2.0).floor(), "{}", starts("half"));
-    // One of nine zones.
+    // The failed zone is one of nine.
     assert!((10.0..=35.0).contains(&starts("zone")), "{}", starts("zone"));
-    // Crashed backends get attempts until the callers are notified; drained ones get none.
-    assert!(figure(&report, "Calls", "zone", "attempts to unavailable") > 0.0);
-    assert_eq!(figure(&report, "Calls", "half", "attempts to unavailable"), 0.0);
-    assert_eq!(figure(&report, "Calls", "half", "past grace"), 0.0);
+    // Crashed backends receive attempts until the callers are notified. Drained backends receive none.
+    assert!(cell_number(&report, "Calls", "zone", "attempts to unavailable") > 0.0);
+    assert_eq!(cell_number(&report, "Calls", "half", "attempts to unavailable"), 0.0);
+    assert_eq!(cell_number(&report, "Calls", "half", "past grace"), 0.0);
 }
 
 #[test]
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn rejects_an_invalid_plan_and_aborts_a_long_run_with_one_line() {
+fn rejects_an_invalid_plan_and_stops_a_long_run_with_a_one_line_message() {
     let cases: [(&[&str], &str); 5] = [
         (&["--backends", "10"], "backends: expected at least two for each service"),
         (&["--services", "0"], "services: expected 1 to 10000, got 0"),
@@ -137,7 +138,7 @@
         (&["--real-time-limit", "1", "--phase", "ordinary"], "stopped at the time limit of 1 s"),
     ];
     for (arguments, expected) in cases {
-        let message = failure_of(&[&["fleet"], arguments].concat());
+        let message = run_expecting_failure(&[&["fleet"], arguments].concat());
 
         assert!(message.contains(expected), "{message}");
     }
--- a/crates/fleet-bench/tests/rollout.rs
+++ b/crates/fleet-bench/tests/rollout.rs
@@ -1,24 +1,26 @@
-//! A complete small rollout of settings to real proxies, and rollouts that must fail.
+//! Tests of settings rollouts to real proxies. They guard against a change that is lost if files are invalid,
+//! discovery is silent or proxies are killed, and against a run that succeeds although a proxy did not apply
+//! the change.
 
 mod common;
 #[path = "common/failure.rs"]
 mod failure;
 
-use common::{JsonAndText, assert_nothing_left, proxy_program, report_of, table};
-use failure::failure_of;
+use common::{JsonAndText, assert_nothing_left, proxy_program, run_to_report, table_rows};
+use failure::run_expecting_failure;
 use serde_json::{Map, Value};
 use std::fs::Permissions;
 use std::os::unix::fs::PermissionsExt;
 use std::process::Command;
 
-/// Expected figures of a row of the table for three proxies.
+/// Expected values of a row of the table, for three proxies.
 struct ExpectedRow {
     /// Number of changes.
     changes: u32,
-    /// Lower bound of the files that each proxy applies. Of changes in quick succession a proxy applies
-    /// at least the last; the file at the start of a proxy does not count.
+    /// Lower bound of the number of files that each proxy applies. Of changes in quick succession a proxy
+    /// applies at least the last. The file that a proxy reads at its start does not count.
     min_applied: f64,
-    /// Upper bound of the files that each proxy applies.
+    /// Upper bound of the number of files that each proxy applies.
     max_applied: f64,
     /// Number of files that all proxies together reject.
     rejected: u32,
@@ -28,7 +30,7 @@
 const ONE_CHANGE: ExpectedRow = ExpectedRow { changes: 1, min_applied: 1.0, max_applied: 1.0, rejected: 0 };
 /// One change after a file that each of the three proxies rejects.
 const ONE_CHANGE_AFTER_REJECTION: ExpectedRow = ExpectedRow { rejected: 3, ..ONE_CHANGE };
-/// One change that the killed proxy, which is one of three, finds at its start.
+/// One change that two proxies apply, and that the killed third proxy reads at its start.
 const ONE_CHANGE_AT_SURVIVORS: ExpectedRow =
     ExpectedRow { min_applied: 2.0 / 3.0, max_applied: 2.0 / 3.0, ..ONE_CHANGE };
 
@@ -58,14 +60,14 @@
 }
 
 #[test]
-fn settings_come_into_force_in_spite_of_faults() {
+fn settings_come_into_force_despite_faults() {
     let directory = tempfile::tempdir().unwrap();
     let arguments = ["control", "--settings-changes", "4", "--settings-proxies", "3", "--settings-rate", "4"];
 
-    let JsonAndText { report, text } = report_of(directory.path(), &arguments);
+    let JsonAndText { report, text } = run_to_report(directory.path(), &arguments);
 
     assert_eq!(report["arguments"]["settings"]["rate"], 4.0, "{text}");
-    let rows = table(&report, "Settings rollouts");
+    let rows = table_rows(&report, "Settings rollouts");
     assert_eq!(rows.len(), EXPECTED_ROWS.len(), "{text}");
     for (row, expected) in rows.iter().zip(&EXPECTED_ROWS) {
         assert_row(row, expected, &text);
@@ -100,14 +102,14 @@
 }
 
 #[test]
-fn rollouts_out_of_range_are_rejected() {
+fn rejects_rollout_arguments_out_of_range() {
     let cases = [
         (["--settings-changes", "1001"], "settings-changes: expected 0 to 1000, got 1001"),
         (["--settings-proxies", "201"], "settings-proxies: expected 1 to 200, got 201"),
         (["--settings-rate", "0"], "settings-rate: expected 0.1 to 100, got 0"),
     ];
     for (arguments, expected) in cases {
-        let message = failure_of(&[&["control"], &arguments[..]].concat());
+        let message = run_expecting_failure(&[&["control"], &arguments[..]].concat());
 
         assert_eq!(message, format!("fleet-bench: {expected}\n"));
     }
--- a/crates/fleet-bench/tests/slopes.rs
+++ b/crates/fleet-bench/tests/slopes.rs
@@ -1,4 +1,5 @@
-//! `fleet-bench slopes`: a small run from end to end, and its errors on an invalid plan.
+//! Tests of `fleet-bench slopes` with a small plan. They guard against measures without values, state that
+//! differs between runs with the same seed, and invalid plans that start a run.
 
 use fleet_bench::report::{Report, Table, Value};
 use std::process::{Command, Output};
@@ -7,7 +8,8 @@
     [axes]\nbackends = [17, 40, 90]\nsubset = []\ninstances = []\nclasses = []\n\
     tenants = [0, 10, 20]\nopen_requests = [6, 20]\nopen_requests_full_subset = []\n";
 
-/// Runs the command with an experiment file of this content, and reads the JSON report if there is one.
+/// Runs the command with an experiment file of this content, and reads the JSON report if the command wrote
+/// one.
 fn run_slopes(plan: &str, arguments: &[&str]) -> (Output, Option<Report>) {
     let folder = tempfile::tempdir().unwrap();
     let (experiment, json) = (folder.path().join("plan.toml"), folder.path().join("report.json"));
@@ -18,7 +20,7 @@
     (output, std::fs::read(&json).ok().map(|text| serde_json::from_slice(&text).unwrap()))
 }
 
-/// Returns the values of the first column whose name begins so.
+/// Returns the values of the first column whose name begins with `name`.
 fn column<'a>(table: &'a Table, name: &str) -> Vec<&'a Value> {
     let index = table.columns.iter().position(|c| c.starts_with(name)).unwrap();
     table.rows.iter().map(|row| &row[index]).collect()
@@ -56,12 +58,12 @@
     ] {
         assert!(numbers(cases, name).iter().all(|us| *us > 0.0), "{name}: {cases:?}");
     }
-    // A balancer that retries at each timer has none without a retry.
+    // A balancer that retries at each timer has no timer without a retry.
     let without_retry: Vec<_> =
         column(cases, "timer without").into_iter().filter(|us| **us != Value::Absent).collect();
     assert!(without_retry.len() >= 6, "{cases:?}");
     assert!(without_retry.iter().all(|us| matches!(us, Value::Number(us) if *us > 0.0)), "{cases:?}");
-    // Without faults all requests succeed, and as many are open as the plan says.
+    // The simulation has no faults, so that all requests succeed, and as many are open as the plan requires.
     assert!(numbers(cases, "unserved").iter().all(|n| *n == 0.0), "{cases:?}");
     let expected = [6.0, 6.0, 6.0, 6.0, 6.0, 6.0, 6.0, 20.0];
     for (open, expected) in numbers(cases, "open").iter().zip(expected) {
@@ -70,7 +72,7 @@
     for name in ["value", "idle state", "open", "backends used"] {
         assert_eq!(column(cases, name), column(&again.tables[1], name), "{name}");
     }
-    // A listed backend takes at least the size of its endpoint; two cases make no line.
+    // A listed backend takes at least the size of its endpoint. An axis with two cases has no line.
     let axes = column(lines, "axis");
     let (slopes, measures) = (numbers(lines, "slope"), column(lines, "measure"));
     let idle_rows = (0..axes.len()).filter(|row| *measures[*row] == Value::from("idle state, bytes"));
@@ -83,7 +85,7 @@
 }
 
 #[test]
-fn notes_the_axes_that_the_time_limit_cut_short() {
+fn notes_an_axis_that_the_time_limit_ended_early() {
     let plan = format!("time_limit = 1\n{}", SMALL_PLAN.replace("rounds = 3", "rounds = 1000"));
     let (output, report) = run_slopes(&plan, &[]);
     assert!(output.status.success(), "{output:?}");
@@ -94,7 +96,7 @@
 }
 
 #[test]
-fn rejects_an_invalid_plan_with_one_line() {
+fn rejects_an_invalid_plan_with_a_one_line_message() {
     let cases = [
         ("rounds = 0", "rounds: expected 1 to 1000, got 0"),
         ("warm_up = nan", "warm_up: expected 0 to 60 seconds, got NaN"),
