--- a/crates/fleet-bench/src/control.rs
+++ b/crates/fleet-bench/src/control.rs
@@ -37,14 +37,14 @@
         let mut group = ProxyGroup::start(size, plan.seed, &program, &shutdown)?;
         rollout::run(&plan.settings, &shutdown, &mut group.proxies, &group.discovery, &mut report)?;
     } else {
-        measure_lists(&plan, &program, &shutdown, &mut report)?;
+        measure_endpoint_lists(&plan, &program, &shutdown, &mut report)?;
     }
-    report.notes.push(load_at_start.note_until_now()?);
+    report.notes.push(load_at_start.note_with_present_load()?);
     Ok(report)
 }
 
 /// Measures, for each group of proxies, the cost of an up-to-date list and the recovery after outages.
-fn measure_lists(
+fn measure_endpoint_lists(
     plan: &Plan,
     program: &Path,
     shutdown: &ShutdownSignal,
--- a/crates/fleet-bench/src/discovery/poll_log.rs
+++ b/crates/fleet-bench/src/discovery/poll_log.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// Maximum propagation latency that a histogram distinguishes; a longer latency is recorded as this maximum.
-const MAX_PROPAGATION: Duration = Duration::from_secs(600);
+const MAX_RECORDED_PROPAGATION: Duration = Duration::from_secs(600);
 
 /// Poll and byte counts of one proxy since the start.
 #[derive(Clone, Copy, Debug, Default)]
@@ -50,7 +50,7 @@
 
 impl PropagationLatency {
     fn new() -> Result<Self, Error> {
-        let empty = || LatencyHistogram::with_max(MAX_PROPAGATION);
+        let empty = || LatencyHistogram::with_max(MAX_RECORDED_PROPAGATION);
         Ok(Self { per_proxy: empty()?, last_proxy: empty()? })
     }
 }
--- a/crates/fleet-bench/src/latency_overhead.rs
+++ b/crates/fleet-bench/src/latency_overhead.rs
@@ -57,6 +57,6 @@
          more than {CALLER_COUNT} calls were in flight.",
         MAX_GENERATOR_DELAY_FRACTION * budget::ADDED_LATENCY_MS
     ));
-    report.notes.push(load_at_start.note_until_now()?);
+    report.notes.push(load_at_start.note_with_present_load()?);
     Ok(report)
 }
--- a/crates/fleet-bench/src/latency_overhead/tables.rs
+++ b/crates/fleet-bench/src/latency_overhead/tables.rs
@@ -8,7 +8,7 @@
 
 /// The columns that identify a measurement.
 const MEASUREMENT_COLUMNS: [&str; 3] = ["listed", "calls/s", "changes/s"];
-const ADDED_COLUMNS: [&str; 13] = [
+const ADDED_LATENCY_COLUMNS: [&str; 13] = [
     "50%, ms",
     "90%, ms",
     "99%, ms",
@@ -46,7 +46,7 @@
             |name: &str, columns: &[&str]| Table::new(name, &[&MEASUREMENT_COLUMNS[..], columns].concat());
         let added = by_measurement(
             "Latency that the proxy adds to a call: differences of percentiles, with 99% by fifths of the run",
-            &ADDED_COLUMNS,
+            &ADDED_LATENCY_COLUMNS,
         );
         let mut calls = by_measurement("Calls: latency from the scheduled start", &["route"]);
         calls.columns.extend(CALL_COLUMNS.map(str::to_string));
@@ -74,7 +74,7 @@
     }
 }
 
-fn added_cells(analysis: &Analysis) -> [Value; ADDED_COLUMNS.len()] {
+fn added_cells(analysis: &Analysis) -> [Value; ADDED_LATENCY_COLUMNS.len()] {
     [
         analysis.added_ms(0.5).into(),
         analysis.added_ms(0.9).into(),
--- a/crates/fleet-bench/src/resource_usage.rs
+++ b/crates/fleet-bench/src/resource_usage.rs
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// Returns [`Error::Procfs`] if procfs cannot be read.
-    pub fn note_until_now(&self) -> Result<String, Error> {
+    pub fn note_with_present_load(&self) -> Result<String, Error> {
         let start = self.load_average;
         let end = Self::now()?.load_average;
         Ok(format!("Load of the machine (1 min): {start:.1} at the start, {end:.1} at the end."))
--- a/crates/fleet-bench/src/slopes/deployment_case.rs
+++ b/crates/fleet-bench/src/slopes/deployment_case.rs
@@ -44,8 +44,9 @@
     /// [`Self::open_requests`], by Little's law.
     #[must_use]
     pub fn request_rate(&self) -> f64 {
-        let slow = 1.0 / REQUESTS_PER_SLOW_REQUEST as f64;
-        self.open_requests as f64 / (SLOW_RESPONSE_TIME_SECONDS * slow + RESPONSE_TIME_SECONDS * (1.0 - slow))
+        let slow_fraction = 1.0 / REQUESTS_PER_SLOW_REQUEST as f64;
+        self.open_requests as f64
+            / (SLOW_RESPONSE_TIME_SECONDS * slow_fraction + RESPONSE_TIME_SECONDS * (1.0 - slow_fraction))
     }
 
     /// Returns the settings of the balancer.
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -97,7 +97,7 @@
         self.times = EventTimes::default();
         self.backend_used.fill(false);
         self.clock_cost = measure_clock_cost();
-        self.advance(requests);
+        self.simulate_arrivals(requests);
         std::mem::take(&mut self.times)
     }
 
@@ -111,7 +111,7 @@
         let changes = [endpoint.clone()];
         let seconds = self.handle(Event::Endpoints(EndpointUpdate::Changes(&changes)));
         self.perform_actions(None);
-        self.advance(REQUESTS_AFTER_CHANGE);
+        self.simulate_arrivals(REQUESTS_AFTER_CHANGE);
         1e6 * seconds
     }
 
@@ -146,7 +146,7 @@
     }
 
     /// Simulates the arrivals of this many requests, and the events that are due in between.
-    fn advance(&mut self, requests: usize) {
+    fn simulate_arrivals(&mut self, requests: usize) {
         for _ in 0..requests {
             let arrival = self.now + 1.0 / self.case.request_rate();
             while let Some(due) = self.queue.take_due(arrival) {
--- a/crates/fleet-bench/tests/earlier_files.rs
+++ b/crates/fleet-bench/tests/earlier_files.rs
@@ -12,7 +12,7 @@
 use serde_json::{Map, Value, json};
 use std::path::{Path, PathBuf};
 
-const REPORTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity");
+const REPORT_DIRECTORY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity");
 
 /// The earlier and the present name of a parameter, or of a value of a parameter.
 struct Renamed {
@@ -74,7 +74,7 @@
 }
 
 fn report_paths() -> Vec<PathBuf> {
-    let files = std::fs::read_dir(REPORTS).unwrap().map(|entry| entry.unwrap().path());
+    let files = std::fs::read_dir(REPORT_DIRECTORY).unwrap().map(|entry| entry.unwrap().path());
     files.filter(|path| path.extension().is_some_and(|extension| extension == "json")).collect()
 }
 
@@ -156,7 +156,7 @@
     let directory = tempfile::tempdir().unwrap();
     let experiment = directory.path().join("experiment.toml");
     for (name, parameter, expected) in cases {
-        let mut report = read_report(&Path::new(REPORTS).join(name));
+        let mut report = read_report(&Path::new(REPORT_DIRECTORY).join(name));
         report.arguments[parameter] = if parameter == "warm_up" { json!(70.0) } else { json!(0.1) };
         std::fs::write(&experiment, toml::to_string(&report.arguments).unwrap()).unwrap();
 
