--- a/crates/fleet-bench/src/latency_overhead/load.rs
+++ b/crates/fleet-bench/src/latency_overhead/load.rs
@@ -52,8 +52,8 @@
     pub route: Route,
 }
 
-/// Samples the start times of calls from a Poisson process, with `rate` calls per second on each route on
-/// average.
+/// Samples the start times of calls from a Poisson process with a mean of `rate` calls per second on each
+/// route.
 pub fn poisson_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
     let times = poisson_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
     let mut calls = Vec::with_capacity(times.len());
