--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -1,19 +1,20 @@
-//! Measures the cost of an up-to-date list for a proxy, in windows of constant change rates.
+//! Measures the cost of an up-to-date endpoint list for a proxy, in windows of constant change rates.
 
-use super::group::{HEAD_COLUMNS, ProxyGroup, Snapshot};
+use super::group::{GROUP_COLUMNS, ProxyGroup, UsageSnapshot};
 use super::list_changes::ListChangeRates;
 use super::plan::{ACKNOWLEDGEMENT_TIMEOUT, Plan};
 use crate::budget;
 use crate::discovery::{PollCounts, PropagationLatency};
 use crate::error::Error;
 use crate::report::{Table, Value};
-use crate::usage::ProcessUsage;
+use crate::resource_usage::ProcessUsage;
 use std::time::Duration;
 
-/// Fraction of a core from which on the discovery server itself may limit the measured rates.
-const SERVER_BUSY_CORES: f64 = 0.8;
+/// Processor time of the discovery server, as a fraction of a core, above which the server itself may limit
+/// the measured rates.
+const SERVER_NEAR_LIMIT_CORES: f64 = 0.8;
 
-const COLUMNS: [&str; 16] = [
+const COST_COLUMNS: [&str; 16] = [
     "changes/s",
     "polls/s",
     "bytes/s",
@@ -32,19 +33,20 @@
     "machine stalled, %",
 ];
 
-/// Returns an empty table for [`measure_rates`].
+/// Returns the table without rows to which [`measure_rates`] adds rows.
 #[must_use]
 pub fn table() -> Table {
     let mut table = Table::new(
         "Cost of an up-to-date list for each proxy, and time until a change is in force (seen at the next poll)",
-        &HEAD_COLUMNS,
+        &GROUP_COLUMNS,
     );
     table.columns.push("rate".to_string());
-    table.columns.extend(COLUMNS.map(str::to_string));
+    table.columns.extend(COST_COLUMNS.map(str::to_string));
     table
 }
 
-/// Measures the costs at all rates of the plan, and adds a row for each.
+/// Measures the costs without changes, at the rate of the fleet and at the rates of the plan, and adds a row
+/// for each.
 ///
 /// # Errors
 ///
@@ -64,19 +66,19 @@
         rows.push((rate.to_string(), measure_window(group, rate, plan.window, notes)?));
     }
     for (name, costs) in rows {
-        table.row(group.row_head().into_iter().chain([name.into()]).chain(costs.cells()));
+        table.row(group.group_cells().into_iter().chain([name.into()]).chain(costs.cells()));
     }
     Ok(())
 }
 
-/// Measures the costs while the list changes at this rate per second.
+/// Measures the costs while the list changes `rate` times per second for `seconds`.
 fn measure_window(
     group: &mut ProxyGroup<'_>,
     rate: f64,
     seconds: f64,
     notes: &mut Vec<String>,
 ) -> Result<Costs, Error> {
-    let times = group.changes.draw_times(rate, seconds);
+    let times = group.changes.change_times(rate, seconds);
     drop(group.discovery.take_propagation()?);
     let before = group.snapshot()?;
     group.publish_at(&times)?;
@@ -92,24 +94,24 @@
             "{row}: 2 s after the window, {pending} acknowledgements of changes were missing."
         ));
     }
-    if costs.server_cores > SERVER_BUSY_CORES {
+    if costs.server_cores > SERVER_NEAR_LIMIT_CORES {
         notes.push(format!("{row}: the discovery server was near its limit, which lengthens these times."));
     }
     Ok(costs)
 }
 
-/// The time until a change is in force, in milliseconds; NaN if no proxy has acknowledged one.
+/// Time until a change is in force, in milliseconds; NaN if no proxy has acknowledged a change.
 #[derive(Clone, Copy)]
-struct InForceMs {
-    /// The median over proxies and changes.
+struct InForceLatencyMs {
+    /// Median over all proxies and changes.
     median: f64,
-    /// The 99th percentile over proxies and changes.
+    /// The 99th percentile over all proxies and changes.
     p99: f64,
-    /// The slowest change at the last proxy.
+    /// Time until the slowest change was in force at the last proxy.
     last: f64,
 }
 
-impl From<&PropagationLatency> for InForceMs {
+impl From<&PropagationLatency> for InForceLatencyMs {
     fn from(latency: &PropagationLatency) -> Self {
         let per_proxy = &latency.per_proxy;
         Self {
@@ -120,32 +122,34 @@
     }
 }
 
-/// Costs of each proxy in one window.
+/// Costs of a proxy in one window; means over the proxies unless the field says otherwise.
 #[derive(Clone, Copy)]
 struct Costs {
     changes_per_second: f64,
     polls_per_second: f64,
-    /// Bytes of polls and responses per second.
+    /// Size of polls and responses, in bytes per second.
     bytes_per_second: f64,
-    /// Processor time as a fraction of a core, on average.
+    /// Mean processor time, as a fraction of a core.
     mean_cores: f64,
     /// Processor time of the proxy with the highest, as a fraction of a core.
     max_cores: f64,
-    /// Resident memory of the proxy with the most.
+    /// Resident memory of the proxy with the most, in bytes.
     max_resident_bytes: f64,
+    /// Peak resident memory of the proxy with the highest peak, in bytes.
     max_peak_resident_bytes: f64,
+    /// File descriptors of the proxy with the most.
     max_open_files: f64,
-    in_force: InForceMs,
+    in_force_latency_ms: InForceLatencyMs,
     /// Processor time of the discovery server, as a fraction of a core.
     server_cores: f64,
     /// Fraction of the time in which a task of the machine waited for a processor.
-    machine_stalled: f64,
+    machine_stall_fraction: f64,
 }
 
 impl Costs {
     fn between(
-        before: &Snapshot,
-        after: &Snapshot,
+        before: &UsageSnapshot,
+        after: &UsageSnapshot,
         changes: usize,
         propagation: &PropagationLatency,
     ) -> Self {
@@ -167,14 +171,14 @@
             max_resident_bytes: max(|usage| usage.resident_bytes),
             max_peak_resident_bytes: max(|usage| usage.peak_resident_bytes),
             max_open_files: max(|usage| usage.open_files as u64),
-            in_force: InForceMs::from(propagation),
+            in_force_latency_ms: InForceLatencyMs::from(propagation),
             server_cores: after.server_usage.cores_since(&before.server_usage),
-            machine_stalled: after.machine.stall_since(&before.machine),
+            machine_stall_fraction: after.machine.stall_fraction_since(&before.machine),
         }
     }
 
-    /// Returns the costs at a rate below that of `other`, by linear interpolation between the costs
-    /// without changes, which are `self`, and the costs of `other`.
+    /// Returns the costs at a change rate below that of `other`, by linear interpolation between `self`, the
+    /// costs without changes, and `other`.
     fn interpolate(&self, other: &Self, rate: f64) -> Self {
         let fraction = (rate / other.changes_per_second).min(1.0);
         let between = |idle: f64, other: f64| idle + fraction * (other - idle);
@@ -188,24 +192,24 @@
         }
     }
 
-    fn cells(self) -> [Value; COLUMNS.len()] {
+    fn cells(self) -> [Value; COST_COLUMNS.len()] {
         [
             self.changes_per_second.into(),
             self.polls_per_second.into(),
             self.bytes_per_second.into(),
-            (self.bytes_per_second / budget::CONTROL_BYTES_PER_SECOND).into(),
+            (self.bytes_per_second / budget::CONTROL_PLANE_BYTES_PER_SECOND).into(),
             (100.0 * self.mean_cores).into(),
-            (self.mean_cores / budget::CONTROL_CORES).into(),
+            (self.mean_cores / budget::CONTROL_PLANE_CORES).into(),
             (100.0 * self.max_cores).into(),
             (self.max_resident_bytes / 1e6).into(),
             (self.max_peak_resident_bytes / 1e6).into(),
-            (self.max_peak_resident_bytes / budget::RESIDENT_BYTES).into(),
+            (self.max_peak_resident_bytes / budget::RESIDENT_MEMORY_BYTES).into(),
             self.max_open_files.into(),
-            self.in_force.median.into(),
-            self.in_force.p99.into(),
-            self.in_force.last.into(),
+            self.in_force_latency_ms.median.into(),
+            self.in_force_latency_ms.p99.into(),
+            self.in_force_latency_ms.last.into(),
             (100.0 * self.server_cores).into(),
-            (100.0 * self.machine_stalled).into(),
+            (100.0 * self.machine_stall_fraction).into(),
         ]
     }
 }
