--- a/crates/balancer-proxy/src/control/discovery/listener.rs
+++ b/crates/balancer-proxy/src/control/discovery/listener.rs
@@ -15,5 +15,5 @@
     /// Returns the clock of the times in watch events.
     fn clock(&self) -> &Clock;
     /// Returns whether the backend is still in use, so that its id must not be released.
-    fn is_backend_known(&self, backend: BackendId) -> bool;
+    fn is_backend_in_use(&self, backend: BackendId) -> bool;
 }
--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -254,7 +254,7 @@
         let event = if list.reset { WatchEvent::Full(endpoints) } else { WatchEvent::Changes(endpoints) };
         self.listener.on_watch_event(event);
         self.has_responded.send_replace(true);
-        self.names.borrow_mut().retain_backends(|id| self.listener.is_backend_known(id));
+        self.names.borrow_mut().retain_backends(|id| self.listener.is_backend_in_use(id));
     }
 
     /// Logs a failed call, and notifies the listener if the decision module schedules the next call. The
--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -39,7 +39,7 @@
     }
 
     /// Returns whether a backend has a pool or is in maintenance.
-    pub(super) fn is_known(&self, backend: BackendId) -> bool {
+    pub(super) fn is_in_use(&self, backend: BackendId) -> bool {
         self.pools.contains_key(&backend) || self.maintenance_deadlines.contains_key(&backend)
     }
 
--- a/crates/balancer-proxy/src/engine/mod.rs
+++ b/crates/balancer-proxy/src/engine/mod.rs
@@ -192,7 +192,7 @@
 
     /// Returns whether the backend is listed or in maintenance, or was removed and may still be used by
     /// attempts.
-    fn is_backend_known(&self, backend: BackendId) -> bool {
-        self.dispatcher.state().endpoints.is_known(backend)
+    fn is_backend_in_use(&self, backend: BackendId) -> bool {
+        self.dispatcher.state().endpoints.is_in_use(backend)
     }
 }
--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -77,15 +77,15 @@
 
         // The bound is many times the grace period and the interval of the sweeps.
         let mut pauses = 0;
-        while (2..49).any(|id| engine.is_backend_known(BackendId(id))) {
+        while (2..49).any(|id| engine.is_backend_in_use(BackendId(id))) {
             pause().await;
             pauses += 1;
             assert!(pauses < 1000, "the removed backends are not forgotten");
         }
-        assert!(engine.is_backend_known(BackendId(49)), "the one that is listed");
-        assert!(engine.is_backend_known(BackendId(1)), "the one with an attempt in flight");
+        assert!(engine.is_backend_in_use(BackendId(49)), "the one that is listed");
+        assert!(engine.is_backend_in_use(BackendId(1)), "the one with an attempt in flight");
         engine.abandon(submitted.id);
-        while engine.is_backend_known(BackendId(1)) {
+        while engine.is_backend_in_use(BackendId(1)) {
             pause().await;
             pauses += 1;
             assert!(pauses < 2000, "the backend of the ended attempt is not forgotten");
