--- a/crates/balancer-proxy/src/control/listener_handover.rs
+++ b/crates/balancer-proxy/src/control/listener_handover.rs
@@ -121,14 +121,14 @@
 
 /// Returns the listener from the first offer that hands over a listener on `address`, or `None` if no offer
 /// does.
-pub async fn receive_listener(offers: &[PathBuf], address: SocketAddr) -> Option<TcpListener> {
-    for offer in offers {
-        match tokio::time::timeout(RECEIVE_TIMEOUT, receive_from_offer(offer, address)).await {
+pub async fn receive_listener(offer_paths: &[PathBuf], address: SocketAddr) -> Option<TcpListener> {
+    for path in offer_paths {
+        match tokio::time::timeout(RECEIVE_TIMEOUT, receive_from_offer(path, address)).await {
             Ok(Ok(listener)) => return Some(listener),
             // The other process has a version without the handover, or was killed.
             Ok(Err(error)) if means_no_offer(&error) => {}
-            Ok(Err(error)) => log!("handover: cannot receive the listener from {}: {error}", offer.display()),
-            Err(_) => log!("handover: no listener received from {} before the timeout", offer.display()),
+            Ok(Err(error)) => log!("handover: cannot receive the listener from {}: {error}", path.display()),
+            Err(_) => log!("handover: no listener received from {} before the timeout", path.display()),
         }
     }
     None
@@ -140,8 +140,8 @@
 }
 
 /// Receives the listener of an offer, and checks that the listener is bound to `address`.
-async fn receive_from_offer(offer: &Path, address: SocketAddr) -> io::Result<TcpListener> {
-    let predecessor = UnixStream::connect(offer).await?;
+async fn receive_from_offer(path: &Path, address: SocketAddr) -> io::Result<TcpListener> {
+    let predecessor = UnixStream::connect(path).await?;
     check_same_user(&predecessor)?;
     let listener = loop {
         predecessor.readable().await?;
--- a/crates/balancer-proxy/src/control/maintenance_store.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store.rs
@@ -32,7 +32,7 @@
     /// The copy of the record in this process.
     record: RefCell<MaintenanceRecord>,
     /// The version of the file that was read or written last; `None` before the first read or write.
-    last_file_version: Cell<Option<FileVersion>>,
+    last_file_stamp: Cell<Option<FileStamp>>,
     /// Whether the copy has content that the file lacks.
     has_unsaved_changes: Cell<bool>,
     /// Whether the last write failed. Only the first of several consecutive failures is logged, as the poll
@@ -42,13 +42,13 @@
 
 /// The identity of a file and its modification time, which together differ after each replacement.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct FileVersion {
+struct FileStamp {
     inode: u64,
     modified_seconds: i64,
     modified_nanoseconds: i64,
 }
 
-impl From<&Metadata> for FileVersion {
+impl From<&Metadata> for FileStamp {
     fn from(metadata: &Metadata) -> Self {
         Self {
             inode: metadata.ino(),
@@ -66,7 +66,7 @@
         let store = Self {
             path: state_files::maintenance_record_path(base),
             record: RefCell::default(),
-            last_file_version: Cell::new(None),
+            last_file_stamp: Cell::new(None),
             has_unsaved_changes: Cell::new(false),
             last_write_failed: Cell::new(false),
         };
@@ -92,12 +92,12 @@
 
     /// Reads the file if another process has replaced it since this store last read or wrote it.
     pub(super) fn refresh(&self) {
-        let current = std::fs::metadata(&self.path).ok().as_ref().map(FileVersion::from);
-        if current.is_some() && current == self.last_file_version.get() {
+        let current = std::fs::metadata(&self.path).ok().as_ref().map(FileStamp::from);
+        if current.is_some() && current == self.last_file_stamp.get() {
             return;
         }
         if let Ok(saved) = self.load() {
-            self.last_file_version.set(current);
+            self.last_file_stamp.set(current);
             self.merge(saved);
         } else {
             // The copy is still valid, and the next save replaces the missing or malformed file.
@@ -163,9 +163,9 @@
     fn save(&self) -> io::Result<()> {
         let staging_path = state_files::maintenance_staging_path(&self.path, std::process::id());
         std::fs::write(&staging_path, serde_json::to_vec(&*self.record.borrow())?)?;
-        let written = FileVersion::from(&std::fs::metadata(&staging_path)?);
+        let written = FileStamp::from(&std::fs::metadata(&staging_path)?);
         std::fs::rename(&staging_path, &self.path)?;
-        self.last_file_version.set(Some(written));
+        self.last_file_stamp.set(Some(written));
         Ok(())
     }
 
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -25,7 +25,7 @@
 /// the connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed `accept`, as the next one may fail immediately, too.
-const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
 /// Serves the management address.
 pub struct Management {
@@ -50,7 +50,7 @@
                 Ok((stream, _)) => self.clone().admit(stream).await,
                 Err(error) => {
                     log!("management: cannot accept a connection: {error}; retrying");
-                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
--- a/crates/balancer-proxy/src/downstream/client_listener.rs
+++ b/crates/balancer-proxy/src/downstream/client_listener.rs
@@ -39,8 +39,8 @@
         sharing: AddressSharing,
         instance_lock: Option<&InstanceLock>,
     ) -> io::Result<Self> {
-        let offers = instance_lock.map(InstanceLock::other_listener_offer_paths).unwrap_or_default();
-        let listener = match receive_listener(&offers, address).await {
+        let offer_paths = instance_lock.map(InstanceLock::other_listener_offer_paths).unwrap_or_default();
+        let listener = match receive_listener(&offer_paths, address).await {
             Some(listener) => {
                 log!("balancer-proxy: the running process has handed its listener over");
                 listener.set_nonblocking(true)?;
--- a/crates/balancer-proxy/src/downstream/connection_table.rs
+++ b/crates/balancer-proxy/src/downstream/connection_table.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether more connections than can be served are open, apart from connections being closed.
-    pub(super) fn is_full(&self) -> bool {
+    pub(super) fn is_served_limit_exceeded(&self) -> bool {
         let connections = self.connections.borrow();
         let open = connections.iter().filter(|connection| !connection.is_closing());
         open.count() > self.limits.get().served
--- a/crates/balancer-proxy/src/downstream/connection_table/tests.rs
+++ b/crates/balancer-proxy/src/downstream/connection_table/tests.rs
@@ -24,13 +24,13 @@
     let table = ConnectionTable::new(SLOTS_PER_REJECTION_SLOT);
 
     let served = add(&table, SLOTS_PER_REJECTION_SLOT - 1);
-    let is_full_with_served = table.is_full();
+    let is_exceeded_with_served = table.is_served_limit_exceeded();
     let has_slot_with_served = table.has_free_slot();
     let rejected = table.add();
 
-    assert!(!is_full_with_served);
+    assert!(!is_exceeded_with_served);
     assert!(has_slot_with_served);
-    assert!(table.is_full());
+    assert!(table.is_served_limit_exceeded());
     assert!(!table.has_free_slot());
     drop((served, rejected));
 }
--- a/crates/balancer-proxy/src/downstream/framing.rs
+++ b/crates/balancer-proxy/src/downstream/framing.rs
@@ -13,7 +13,7 @@
 
 /// The part of a request to which the next byte belongs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Part {
+enum RequestPart {
     /// The request line or a header.
     #[default]
     Head,
@@ -44,11 +44,11 @@
     }
 
     /// Returns the part that follows the head.
-    fn next_part(&self) -> Part {
+    fn next_part(&self) -> RequestPart {
         match self.content_length {
-            _ if self.transfer_encoding => Part::ChunkSize,
-            Some(remaining) if remaining > 0 => Part::Body { remaining },
-            _ => Part::Head,
+            _ if self.transfer_encoding => RequestPart::ChunkSize,
+            Some(remaining) if remaining > 0 => RequestPart::Body { remaining },
+            _ => RequestPart::Head,
         }
     }
 
@@ -71,7 +71,7 @@
 /// The framing of the requests that have arrived on one connection.
 #[derive(Debug, Default)]
 pub(super) struct RequestFraming {
-    part: Part,
+    part: RequestPart,
     /// The beginning of the current line, up to [`MAX_LINE_BYTES`].
     line: Vec<u8>,
     /// Whether a line of the current head has arrived. Empty lines before the first line are skipped.
@@ -93,16 +93,24 @@
     pub(super) fn feed(&mut self, mut data: &[u8]) {
         while !data.is_empty() {
             match self.part {
-                Part::Malformed => return,
-                Part::Body { remaining } => {
+                RequestPart::Malformed => return,
+                RequestPart::Body { remaining } => {
                     let remaining = skip(&mut data, remaining);
-                    self.part = if remaining == 0 { Part::Head } else { Part::Body { remaining } };
+                    self.part =
+                        if remaining == 0 { RequestPart::Head } else { RequestPart::Body { remaining } };
                 }
-                Part::ChunkData { remaining } => {
+                RequestPart::ChunkData { remaining } => {
                     let remaining = skip(&mut data, remaining);
-                    self.part = if remaining == 0 { Part::ChunkEnd } else { Part::ChunkData { remaining } };
+                    self.part = if remaining == 0 {
+                        RequestPart::ChunkEnd
+                    } else {
+                        RequestPart::ChunkData { remaining }
+                    };
                 }
-                Part::Head | Part::ChunkEnd | Part::ChunkSize | Part::Trailers => self.feed_line(&mut data),
+                RequestPart::Head
+                | RequestPart::ChunkEnd
+                | RequestPart::ChunkSize
+                | RequestPart::Trailers => self.feed_line(&mut data),
             }
         }
     }
@@ -124,23 +132,23 @@
     }
 
     /// Returns the part that follows a complete line of the current part.
-    fn part_after_line(&mut self, line: &[u8]) -> Part {
+    fn part_after_line(&mut self, line: &[u8]) -> RequestPart {
         match self.part {
-            Part::Head if !line.is_empty() => {
+            RequestPart::Head if !line.is_empty() => {
                 self.head_has_started = true;
                 self.length_headers.record(line);
-                Part::Head
+                RequestPart::Head
             }
-            Part::Head if self.head_has_started => self.end_head(),
-            Part::ChunkSize => part_after_chunk_size(line),
-            Part::ChunkEnd => Part::ChunkSize,
-            Part::Trailers if line.is_empty() => Part::Head,
+            RequestPart::Head if self.head_has_started => self.end_head(),
+            RequestPart::ChunkSize => part_after_chunk_size(line),
+            RequestPart::ChunkEnd => RequestPart::ChunkSize,
+            RequestPart::Trailers if line.is_empty() => RequestPart::Head,
             other => other,
         }
     }
 
     /// Records whether the length of a complete head is ambiguous, and returns the part that follows.
-    fn end_head(&mut self) -> Part {
+    fn end_head(&mut self) -> RequestPart {
         self.head_has_started = false;
         let length_headers = std::mem::take(&mut self.length_headers);
         if self.ambiguous.len() < MAX_HEADS_READ_AHEAD {
@@ -158,13 +166,13 @@
 }
 
 /// Returns the part that follows the line with the size of a chunk.
-fn part_after_chunk_size(line: &[u8]) -> Part {
+fn part_after_chunk_size(line: &[u8]) -> RequestPart {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
     let digits = std::str::from_utf8(digits).unwrap_or_default();
     match u64::from_str_radix(digits, 16) {
-        Ok(0) => Part::Trailers,
-        Ok(remaining) => Part::ChunkData { remaining },
-        Err(_) => Part::Malformed,
+        Ok(0) => RequestPart::Trailers,
+        Ok(remaining) => RequestPart::ChunkData { remaining },
+        Err(_) => RequestPart::Malformed,
     }
 }
 
--- a/crates/balancer-proxy/src/downstream/request_head.rs
+++ b/crates/balancer-proxy/src/downstream/request_head.rs
@@ -49,7 +49,7 @@
             id: RequestId::default(),
             class: class_index,
             tenant,
-            key: parse_session_key(headers),
+            key: parse_ordering_key(headers),
             timeout,
             streaming_body: false,
         };
@@ -141,7 +141,7 @@
 
 /// Returns the ordering key of a request: the value of its cookie `sid` if that value is a hexadecimal
 /// number, and otherwise the hash of the value.
-fn parse_session_key(headers: &HeaderMap) -> Option<u64> {
+fn parse_ordering_key(headers: &HeaderMap) -> Option<u64> {
     let values = headers.get_all("cookie").into_iter().filter_map(|value| value.to_str().ok());
     let cookies = values.flat_map(|value| value.split(';'));
     let mut pairs = cookies.filter_map(|cookie| cookie.trim().split_once('='));
--- a/crates/balancer-proxy/src/downstream/request_progress.rs
+++ b/crates/balancer-proxy/src/downstream/request_progress.rs
@@ -7,8 +7,8 @@
 
 /// Longest time from the first byte of a request head to its end, and from the accept of a connection to the
 /// end of its first head. Guards against clients that send nothing, stop half way, or never end the head.
-const HEADER_TIMEOUT: Duration = Duration::from_millis(2400);
-/// Least time that is allowed for a body. A body is allowed the rest of [`HEADER_TIMEOUT`] that its head did
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
+/// Least time that is allowed for a body. A body is allowed the rest of [`HEAD_TIMEOUT`] that its head did
 /// not use if that rest is longer.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a write may be blocked before the client is assumed not to read the rest of its response.
@@ -107,7 +107,7 @@
             RequestPhase::Head { started } => started.elapsed(),
             _ => Duration::ZERO,
         };
-        HEADER_TIMEOUT.saturating_sub(head_duration).max(MIN_BODY_TIMEOUT)
+        HEAD_TIMEOUT.saturating_sub(head_duration).max(MIN_BODY_TIMEOUT)
     }
 
     /// Records that a request is complete.
@@ -171,7 +171,7 @@
     pub(super) fn is_timed_out(&self) -> bool {
         match self.phase.get() {
             RequestPhase::Idle => self.idle_since.get().elapsed() > KEEP_ALIVE_TIMEOUT,
-            RequestPhase::Head { started } => started.elapsed() > HEADER_TIMEOUT,
+            RequestPhase::Head { started } => started.elapsed() > HEAD_TIMEOUT,
             RequestPhase::Body | RequestPhase::AwaitingResponse => self.is_write_timed_out(),
         }
     }
--- a/crates/balancer-proxy/src/downstream/request_progress/tests.rs
+++ b/crates/balancer-proxy/src/downstream/request_progress/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of the progress of requests and responses on one connection.
 
-use super::{HEADER_TIMEOUT, MIN_SILENCE_BEFORE_EVICTION, RequestProgress};
+use super::{HEAD_TIMEOUT, MIN_SILENCE_BEFORE_EVICTION, RequestProgress};
 
 #[test]
 fn a_new_connection_has_no_request_in_flight_until_bytes_arrive() {
@@ -27,7 +27,7 @@
     let is_busy_after_request = progress.is_busy();
     progress.finish_response();
 
-    assert!(body_timeout <= HEADER_TIMEOUT);
+    assert!(body_timeout <= HEAD_TIMEOUT);
     assert!(is_due_during_body);
     assert!(!is_busy_during_body);
     assert!(is_busy_after_request);
--- a/crates/balancer-proxy/src/downstream/server.rs
+++ b/crates/balancer-proxy/src/downstream/server.rs
@@ -135,7 +135,8 @@
     fn serve(&self, stream: TcpStream) {
         let slot = self.connections.add();
         let _ = stream.set_nodelay(true); // without this option, responses are slower but correct
-        let admission = if self.connections.is_full() { Admission::Reject } else { Admission::Serve };
+        let admission =
+            if self.connections.is_served_limit_exceeded() { Admission::Reject } else { Admission::Serve };
         let task = ConnectionTask {
             handler: self.handler.clone(),
             lifecycle: self.lifecycle.clone(),
--- a/crates/balancer-proxy/src/engine/attempts/tests.rs
+++ b/crates/balancer-proxy/src/engine/attempts/tests.rs
@@ -4,8 +4,8 @@
 use crate::upstream::completion_flag::CompletionFlag;
 use balancer::{AttemptId, AttemptNumber, BackendId, RequestId};
 
-const ID: AttemptId = AttemptId { request: RequestId(7), number: AttemptNumber(1) };
-const SENT: SentAttempt = SentAttempt { backend: BackendId(3), sent_at: 2.5 };
+const ATTEMPT_ID: AttemptId = AttemptId { request: RequestId(7), number: AttemptNumber(1) };
+const SENT_ATTEMPT: SentAttempt = SentAttempt { backend: BackendId(3), sent_at: 2.5 };
 
 /// Runs a test on a [`tokio::task::LocalSet`], which the tasks of attempts require.
 fn run_with_tasks(test: impl Future<Output = ()>) {
@@ -19,13 +19,13 @@
         let mut attempts = RunningAttempts::default();
         let written = CompletionFlag::default();
         let task = tokio::task::spawn_local(std::future::pending::<()>());
-        attempts.insert(ID, RunningAttempt::new(SENT, written.clone(), task.abort_handle()));
+        attempts.insert(ATTEMPT_ID, RunningAttempt::new(SENT_ATTEMPT, written.clone(), task.abort_handle()));
 
-        let before_write = attempts.write_progress(ID);
+        let before_write = attempts.write_progress(ATTEMPT_ID);
         written.set();
-        let after_write = attempts.write_progress(ID);
-        attempts.remove(ID);
-        let after_end = attempts.write_progress(ID);
+        let after_write = attempts.write_progress(ATTEMPT_ID);
+        attempts.remove(ATTEMPT_ID);
+        let after_end = attempts.write_progress(ATTEMPT_ID);
 
         assert_eq!(before_write, Some(WriteProgress::Incomplete));
         assert_eq!(after_write, Some(WriteProgress::Complete));
@@ -38,12 +38,15 @@
     run_with_tasks(async {
         let mut attempts = RunningAttempts::default();
         let task = tokio::task::spawn_local(std::future::pending::<()>());
-        attempts.insert(ID, RunningAttempt::new(SENT, CompletionFlag::default(), task.abort_handle()));
+        attempts.insert(
+            ATTEMPT_ID,
+            RunningAttempt::new(SENT_ATTEMPT, CompletionFlag::default(), task.abort_handle()),
+        );
 
-        let first = attempts.remove(ID);
-        let second = attempts.remove(ID);
+        let first = attempts.remove(ATTEMPT_ID);
+        let second = attempts.remove(ATTEMPT_ID);
 
-        assert_eq!(first, Some(SENT));
+        assert_eq!(first, Some(SENT_ATTEMPT));
         assert_eq!(second, None);
         assert!(task.await.unwrap_err().is_cancelled());
     });
--- a/crates/balancer-proxy/src/limits/capacities.rs
+++ b/crates/balancer-proxy/src/limits/capacities.rs
@@ -13,9 +13,9 @@
 const MEMORY_DIVISOR: usize = 4;
 /// Fraction of the descriptors that client connections may use. This fraction is the larger one because idle
 /// client connections stay open too.
-const CLIENT_DESCRIPTORS: Fraction = Fraction { numerator: 3, denominator: 5 };
+const CLIENT_DESCRIPTOR_FRACTION: Fraction = Fraction { numerator: 3, denominator: 5 };
 /// Fraction of the descriptors that backend connections may use.
-const BACKEND_DESCRIPTORS: Fraction = Fraction { numerator: 2, denominator: 5 };
+const BACKEND_DESCRIPTOR_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
 
 /// A fraction of a number of units.
 struct Fraction {
@@ -93,8 +93,8 @@
         let clients_in_memory = memory_bytes / MAX_HEAD_BYTES;
         let backends_in_memory = memory_bytes / (MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES);
         Self {
-            client_connections: CLIENT_DESCRIPTORS.of(descriptors).min(clients_in_memory).max(1),
-            backend_connections: BACKEND_DESCRIPTORS.of(descriptors).min(backends_in_memory).max(1),
+            client_connections: CLIENT_DESCRIPTOR_FRACTION.of(descriptors).min(clients_in_memory).max(1),
+            backend_connections: BACKEND_DESCRIPTOR_FRACTION.of(descriptors).min(backends_in_memory).max(1),
             request_body_bytes: memory_bytes.max(MAX_BUFFERED_BODY_BYTES),
         }
     }
--- a/crates/balancer-proxy/src/log_writer.rs
+++ b/crates/balancer-proxy/src/log_writer.rs
@@ -19,7 +19,7 @@
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A task of the log thread.
-enum Task {
+enum LogTask {
     /// Write a line.
     Write(String),
     /// Send a notification that all lines before this task have been written.
@@ -28,7 +28,7 @@
 
 /// The sending side of the queue of the log thread.
 struct LogWriter {
-    tasks: SyncSender<Task>,
+    tasks: SyncSender<LogTask>,
     /// Number of lines that were dropped since the last report of dropped lines.
     dropped: AtomicU64,
 }
@@ -45,7 +45,7 @@
     }
 
     /// Creates a queue that holds up to `lines` lines, without a thread.
-    fn with_queue(lines: usize) -> (Self, Receiver<Task>) {
+    fn with_queue(lines: usize) -> (Self, Receiver<LogTask>) {
         let (tasks, received) = sync_channel(lines);
         (Self { tasks, dropped: AtomicU64::new(0) }, received)
     }
@@ -59,7 +59,7 @@
 
     /// Queues a line, and returns whether the queue had room for it.
     fn try_write(&self, line: String) -> bool {
-        self.tasks.try_send(Task::Write(line)).is_ok()
+        self.tasks.try_send(LogTask::Write(line)).is_ok()
     }
 
     /// Logs the number of dropped lines. If the queue is full, the number is kept for the next report.
@@ -92,19 +92,19 @@
 pub fn flush() {
     let Some(writer) = LOG_WRITER.get() else { return };
     let (done, is_done) = sync_channel(1);
-    if writer.tasks.try_send(Task::Flush(done)).is_ok() {
+    if writer.tasks.try_send(LogTask::Flush(done)).is_ok() {
         let _ = is_done.recv_timeout(FLUSH_TIMEOUT); // the process ends even after a timeout
     }
 }
 
 /// Writes lines until the process ends. A line that cannot be written, for example to a closed pipe, is lost.
-fn write_lines(tasks: &Receiver<Task>) {
+fn write_lines(tasks: &Receiver<LogTask>) {
     for task in tasks {
         match task {
-            Task::Write(line) => {
+            LogTask::Write(line) => {
                 let _ = std::io::stderr().write_all(line.as_bytes());
             }
-            Task::Flush(done) => {
+            LogTask::Flush(done) => {
                 let _ = done.send(());
             }
         }
--- a/crates/balancer-proxy/src/log_writer/tests.rs
+++ b/crates/balancer-proxy/src/log_writer/tests.rs
@@ -1,12 +1,12 @@
 //! Tests of the queue of the log.
 
-use super::{LogWriter, Task};
+use super::{LogTask, LogWriter};
 use std::sync::mpsc::Receiver;
 
 /// Removes the next line from the queue and returns it.
-fn next_line(queue: &Receiver<Task>) -> String {
+fn next_line(queue: &Receiver<LogTask>) -> String {
     match queue.try_recv() {
-        Ok(Task::Write(line)) => line,
+        Ok(LogTask::Write(line)) => line,
         _ => panic!("no line waits"),
     }
 }
@@ -14,7 +14,7 @@
 /// Guards against the loss of the number of dropped lines. While many lines are logged, the queue can be full
 /// when the number is reported. The report was then dropped, and its number was lost.
 #[test]
-fn a_report_that_finds_no_room_leaves_the_count_for_the_next_one() {
+fn a_report_that_exceeds_the_queue_keeps_the_count_for_the_next_report() {
     let (writer, queue) = LogWriter::with_queue(1);
     for line in 0..4 {
         writer.write(format!("line {line}\n"));
--- a/crates/balancer-proxy/src/upstream/connection.rs
+++ b/crates/balancer-proxy/src/upstream/connection.rs
@@ -36,7 +36,7 @@
 /// a future on the connection.
 pub(crate) struct Connection {
     sender: http1::SendRequest<AttemptBody>,
-    driver: Driver,
+    driver: ConnectionDriver,
     activity: ResponseActivity,
     write_state: Rc<RequestWriteState>,
 }
@@ -65,7 +65,7 @@
     // The head of a response must not grow without bound.
     builder.max_buf_size(MAX_HEAD_BYTES);
     let (sender, connection) = builder.handshake(TokioIo::new(socket)).await.map_err(io::Error::other)?;
-    let driver = Driver { connection: Box::pin(connection), ended: false };
+    let driver = ConnectionDriver { connection: Box::pin(connection), ended: false };
     Ok(Connection { sender, driver, activity, write_state })
 }
 
@@ -109,14 +109,14 @@
 }
 
 /// Drives the reads and writes of a connection.
-struct Driver {
+struct ConnectionDriver {
     connection: Pin<Box<http1::Connection<TokioIo<BackendSocket>, AttemptBody>>>,
     /// Set once the connection has ended. The sender reports that it is ready even after the end; without
     /// this flag, a connection that the backend closed right after its response would be reused.
     ended: bool,
 }
 
-impl Driver {
+impl ConnectionDriver {
     /// Drives the connection once.
     fn poll(&mut self, cx: &mut Context<'_>) {
         self.ended = self.ended || self.connection.as_mut().poll(cx).is_ready();
--- a/crates/balancer-proxy/src/upstream/transfer_rate/tests.rs
+++ b/crates/balancer-proxy/src/upstream/transfer_rate/tests.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// A timeout that no test reaches.
-const LONG: Duration = Duration::from_secs(3600);
+const ONE_HOUR: Duration = Duration::from_secs(3600);
 
 #[test]
 fn time_in_which_no_chunk_is_awaited_does_not_count() {
@@ -18,7 +18,7 @@
 #[test]
 fn a_body_is_too_slow_once_it_has_been_awaited_for_longer_than_allowed() {
     let mut strict = TransferRateMonitor::new(Duration::ZERO);
-    let mut tolerant = TransferRateMonitor::new(LONG);
+    let mut tolerant = TransferRateMonitor::new(ONE_HOUR);
 
     strict.start_waiting();
     tolerant.start_waiting();
@@ -31,7 +31,7 @@
 #[test]
 fn received_bytes_extend_the_time_that_the_body_is_allowed() {
     let mut monitor = TransferRateMonitor::new(Duration::ZERO);
-    let bytes_of_an_hour = LONG.as_secs() as usize * MIN_TRANSFER_BYTES_PER_SECOND as usize;
+    let bytes_of_an_hour = ONE_HOUR.as_secs() as usize * MIN_TRANSFER_BYTES_PER_SECOND as usize;
     monitor.start_waiting();
     std::thread::sleep(Duration::from_millis(2));
 
@@ -39,5 +39,5 @@
 
     assert!(!monitor.is_too_slow());
     assert_eq!(monitor.received_bytes(), bytes_of_an_hour);
-    assert_eq!(time_allowed_for(bytes_of_an_hour), LONG);
+    assert_eq!(time_allowed_for(bytes_of_an_hour), ONE_HOUR);
 }
