--- a/crates/balancer-proxy/src/clock.rs
+++ b/crates/balancer-proxy/src/clock.rs
@@ -43,7 +43,7 @@
         unix_time - self.unix_start
     }
 
-    /// Converts a time of this clock to an instant of the runtime. A time that a [`Duration`] can't
+    /// Converts a time of this clock to an instant of the runtime. A time that a [`Duration`] cannot
     /// represent, such as a negative time, is converted to the instant at which the clock started.
     #[must_use]
     pub fn instant_at(&self, time: Time) -> tokio::time::Instant {
--- a/crates/balancer-proxy/src/control/config/environment.rs
+++ b/crates/balancer-proxy/src/control/config/environment.rs
@@ -8,11 +8,11 @@
 
 /// The environment variable with the path of the configuration file.
 const CONFIG_PATH_VARIABLE: &str = "RELAY_CONFIG";
-/// The address for clients.
+/// The sources of the address for clients.
 const LISTEN_ADDRESS: AddressSource = AddressSource { variable: "RELAY_LISTEN", key: "listen" };
-/// The address of discovery. The variable has precedence over the file at startup only.
+/// The sources of the address of discovery. The variable has precedence over the file at startup only.
 const DISCOVERY_ADDRESS: AddressSource = AddressSource { variable: "RELAY_DISCOVERY", key: "discovery" };
-/// The address for management calls.
+/// The sources of the address for management calls.
 const MANAGEMENT_ADDRESS: AddressSource = AddressSource { variable: "RELAY_MANAGEMENT", key: "management" };
 
 /// The environment variable of an address, and the key of the file that the variable overrides.
@@ -46,8 +46,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if the address for clients or of discovery is neither in the environment nor in the
-    /// file, or if a value is not a valid address.
+    /// Returns a [`ConfigError`] if the address for clients or of discovery is neither in the environment nor
+    /// in the file, or if a value is not a valid address.
     pub(super) fn resolve(file: &RawConfig, mode: LoadMode) -> Result<Self, ConfigError> {
         Ok(Self {
             listen: resolve_address(LISTEN_ADDRESS, file.listen.as_deref())?,
--- a/crates/balancer-proxy/src/control/config/file.rs
+++ b/crates/balancer-proxy/src/control/config/file.rs
@@ -28,7 +28,7 @@
 }
 
 impl FileStamp {
-    /// Returns the current stamp of the configuration file, or `None` if the file doesn't exist.
+    /// Returns the current stamp of the configuration file, or `None` if the file does not exist.
     #[must_use]
     pub fn of_config_file() -> Option<Self> {
         let path = environment::config_path().ok()?;
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 ///
-/// [`ConfigError::UnreadableFile`] if the file cannot be read or is not UTF-8; on a reload also
+/// Returns [`ConfigError::UnreadableFile`] if the file cannot be read or is not UTF-8. A reload also returns
 /// [`ConfigError::InvalidValue`] if the path is not a regular file, or the file is too large.
 pub(super) fn read_text(path: &str, mode: LoadMode) -> Result<String, ConfigError> {
     match mode {
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 ///
-/// [`ConfigError::InvalidJson`] with the path of the invalid key.
+/// Returns [`ConfigError::InvalidJson`] with the path of the invalid key.
 pub(super) fn parse_json<T: DeserializeOwned>(path: &str, text: &str) -> Result<T, ConfigError> {
     // Tracking the path of the key slows down parsing, so only an invalid text is parsed that way.
     serde_json::from_str(text).or_else(|_| parse_json_tracking_keys(path, text))
--- a/crates/balancer-proxy/src/control/config/mod.rs
+++ b/crates/balancer-proxy/src/control/config/mod.rs
@@ -54,8 +54,8 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] if a required variable is not set, the file cannot be read or parsed, or a value is
-    /// out of its range.
+    /// Returns a [`ConfigError`] if a required variable is not set, the file cannot be read or parsed, or a
+    /// value is out of its range.
     pub fn load(mode: LoadMode) -> Result<Self, ConfigError> {
         let path = environment::config_path()?;
         let text = file::read_text(&path, mode)?;
--- a/crates/balancer-proxy/src/control/config/translation.rs
+++ b/crates/balancer-proxy/src/control/config/translation.rs
@@ -13,8 +13,8 @@
 pub(super) const DEFAULT_MEMORY_MEBIBYTES: f64 = 192.0;
 /// Default number of file descriptors of the process.
 pub(super) const DEFAULT_FILE_DESCRIPTORS: usize = 1024;
-/// Default timeout for connecting to a backend. Backends are nearby: a backend that takes longer is down, and
-/// a longer wait would use up the deadline of the request.
+/// Default timeout for connecting to a backend. Backends are nearby: a backend that takes longer is
+/// unavailable, and a longer wait would use up the deadline of the request.
 pub(super) const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Default time after which a backend closes an idle connection. Most backends wait longer, so the proxy
 /// stops using a connection first and sends no request on a connection that the backend is closing.
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// [`ConfigError::InvalidValue`] if the text is not a 64-bit hexadecimal number.
+/// Returns [`ConfigError::InvalidValue`] if the text is not a 64-bit hexadecimal number.
 pub(super) fn parse_seed(text: Option<&str>) -> Result<u64, ConfigError> {
     let text = text.unwrap_or(DEFAULT_SEED);
     u64::from_str_radix(text, 16)
@@ -65,7 +65,7 @@
 ///
 /// # Errors
 ///
-/// [`ConfigError::InvalidValue`] if a duration of the proxy or of a class is negative or not finite.
+/// Returns [`ConfigError::InvalidValue`] if a duration of the proxy or of a class is negative or not finite.
 pub(super) fn into_snapshot(mut settings: RawSettings) -> Result<SettingsSnapshot, ConfigError> {
     let zone = zone_id(&mut settings.zones, &settings.zone);
     let proxy = proxy_settings(&settings)?;
--- a/crates/balancer-proxy/src/control/config/validation.rs
+++ b/crates/balancer-proxy/src/control/config/validation.rs
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConfigError::InvalidValue`] with the first invalid value.
+    /// Returns [`ConfigError::InvalidValue`] with the first invalid value.
     pub(super) fn validate_for_reload(&self) -> Result<(), ConfigError> {
         check_identity(&self.settings)?;
         check_not_negative("limits.memory_mb", self.limits.memory_mb)?;
--- a/crates/balancer-proxy/src/control/discovery/client.rs
+++ b/crates/balancer-proxy/src/control/discovery/client.rs
@@ -98,9 +98,8 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no valid list arrives before the timeout. The timeout is the sum of
-    /// `response_timeout` and the longest wait for a change that the request allows, and includes
-    /// connecting.
+    /// Returns a [`CallError`] if no valid list arrives before the timeout. The timeout is the sum of
+    /// `response_timeout` and the longest wait for a change that the request allows, and includes connecting.
     pub(super) async fn fetch(
         &mut self,
         request: ListRequest,
--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -105,7 +105,7 @@
         self.address.get()
     }
 
-    /// Returns the id of a zone, or `None` if neither settings nor a known backend has named the zone.
+    /// Returns the id of a zone, or `None` if neither settings nor a backend in use has named the zone.
     #[must_use]
     pub fn find_zone(&self, name: &str) -> Option<ZoneId> {
         self.names.borrow().find_zone(name)
@@ -206,7 +206,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no valid list arrives before the timeout.
+    /// Returns a [`CallError`] if no valid list arrives before the timeout.
     async fn watch_call(&self, client: &mut DiscoveryClient) -> Result<RawEndpointList, CallError> {
         let timing = self.last_call.get().next_timing();
         let response_timeout = self.jitter.apply(timing.response_timeout);
--- a/crates/balancer-proxy/src/control/discovery/timing.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing.rs
@@ -4,8 +4,8 @@
 //!
 //! The protocol counts a proxy as notified of a change 6 s after discovery had the change and could be
 //! reached, whatever failed before. The worst case is a sequence of five steps: a call without a response,
-//! made just before discovery returns; a backoff; a call with half a response; another backoff; and a
-//! call that succeeds.
+//! made just before discovery can be reached again; a backoff; a call with half a response; another backoff;
+//! and a call that succeeds.
 //!
 //! A call fails after at most its wait for a change plus its response timeout with jitter, which include
 //! connecting:
--- a/crates/balancer-proxy/src/control/endpoint_list.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list.rs
@@ -26,7 +26,7 @@
 pub struct RawEndpointList {
     /// Number of the list, which increases with each change.
     pub(super) generation: u64,
-    /// Whether the list is complete, so that an endpoint that the list lacks is gone.
+    /// Whether the list is complete, so that an endpoint that the list lacks is removed.
     pub(super) reset: bool,
     /// All endpoints if the list is complete, or else the endpoints that have changed.
     pub(super) instances: Vec<RawEndpoint>,
@@ -76,7 +76,7 @@
 /// Maps the names of backends and zones to their ids in this process.
 #[derive(Debug)]
 pub(super) struct EndpointNames {
-    /// The zones of the settings and of the known backends.
+    /// The zones of the settings and of the backends in use.
     zones: ZoneNames,
     /// The id of each backend, by its name.
     backend_ids: HashMap<String, BackendId>,
--- a/crates/balancer-proxy/src/control/endpoint_list/zone_names.rs
+++ b/crates/balancer-proxy/src/control/endpoint_list/zone_names.rs
@@ -3,7 +3,7 @@
 use balancer::ZoneId;
 use std::collections::{HashMap, HashSet};
 
-/// Maps the names of zones to their ids, for the zones in the settings and the zones of known backends. An
+/// Maps the names of zones to their ids, for the zones in the settings and the zones of backends in use. An
 /// id is never reused for another zone, as a record of an earlier attempt may still contain the id.
 #[derive(Debug)]
 pub(super) struct ZoneNames {
--- a/crates/balancer-proxy/src/control/instance_lock.rs
+++ b/crates/balancer-proxy/src/control/instance_lock.rs
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a file can't be opened, locked or written.
+    /// Returns an error if a file cannot be opened, locked or written.
     pub async fn acquire(base: &Path) -> io::Result<Self> {
         let paths = state_files::instance_lock_paths(base);
         for _ in 0..MAX_ACQUIRE_ATTEMPTS {
@@ -71,7 +71,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the lock file can't be written.
+    /// Returns an error if the lock file cannot be written.
     pub fn announce_listening(&self) -> io::Result<()> {
         match &self.held {
             Some(held) => (&held.file).write_all(LISTENING_MARK.as_bytes()),
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the file of published settings can't be written.
+    /// Returns an error if the file of published settings cannot be written.
     pub fn publish_fingerprint(&self, fingerprint: &str) -> io::Result<()> {
         match &self.held {
             Some(held) => std::fs::write(&held.settings_path, fingerprint),
@@ -99,7 +99,7 @@
         self.other_paths.iter().any(|path| publishes_other_settings(path, fingerprint) && is_locked(path))
     }
 
-    /// Returns whether another process runs. A process that can't be detected counts as absent.
+    /// Returns whether another process runs. A process that cannot be detected counts as absent.
     #[must_use]
     pub fn other_process(&self) -> OtherProcess {
         if self.other_paths.iter().any(|path| is_locked(path)) {
--- a/crates/balancer-proxy/src/control/listener_handover.rs
+++ b/crates/balancer-proxy/src/control/listener_handover.rs
@@ -55,8 +55,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if the descriptor of the listener can't be duplicated, or if the Unix socket can't be created,
-    /// for example because the path is too long for a socket address.
+    /// Returns an error if the descriptor of the listener cannot be duplicated, or if the Unix socket cannot
+    /// be created, for example because the path is too long for a socket address.
     pub fn start(path: PathBuf, listener: &impl AsFd) -> io::Result<Self> {
         let listener = Rc::new(listener.as_fd().try_clone_to_owned()?);
         let offer = bind_offer(&path)?;
--- a/crates/balancer-proxy/src/control/maintenance.rs
+++ b/crates/balancer-proxy/src/control/maintenance.rs
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// [`NeverListed`] if discovery has never listed the backend to any process on this address.
+    /// Returns [`NeverListed`] if discovery has never listed the backend to any process on this address.
     pub async fn set_state(&self, backend: &str, state: MaintenanceState) -> Result<(), NeverListed> {
         self.store.refresh();
         if !self.store.record().ever_listed.contains(backend) {
--- a/crates/balancer-proxy/src/control/maintenance_store.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store.rs
@@ -1,10 +1,10 @@
 //! The maintenance store: keeps the maintenance record in a file that outlives the process and is shared
 //! by the processes of one listen address.
 //!
-//! The store owns the copy of the record in this process. To change the record, the store locks it, reads
-//! the file again, applies the change and replaces the whole file. A store that can't read or write its
-//! file uses the copy, and saves the copy as soon as the file can be written. The file is shared with
-//! other versions of the program: see [`state_files`].
+//! The store owns the copy of the record in this process. To change the record, the store locks it, reads the
+//! file again, applies the change and replaces the whole file. A store that cannot read or write its file
+//! uses the copy, and saves the copy as soon as the file can be written. The file is shared with other
+//! versions of the program: see [`state_files`].
 
 use super::maintenance_record::{MaintenanceRecord, MaintenanceState};
 use super::state_files;
@@ -31,7 +31,7 @@
     path: PathBuf,
     /// The copy of the record in this process.
     record: RefCell<MaintenanceRecord>,
-    /// The version of the file that was read or written last; `None` before the first read or write.
+    /// The stamp of the file that was read or written last; `None` before the first read or write.
     last_file_stamp: Cell<Option<FileStamp>>,
     /// Whether the copy has content that the file lacks.
     has_unsaved_changes: Cell<bool>,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Changes the record in memory and in the file. If the file can't be written, the failure is logged
-    /// and the change applies to this process only.
+    /// Changes the record in memory and in the file. If the file cannot be written, the failure is logged and
+    /// the change applies to this process only.
     async fn update(&self, change: impl FnOnce(&mut MaintenanceRecord)) {
         let lock = self.lock().await;
         if let Ok(saved) = self.load() {
--- a/crates/balancer-proxy/src/control/maintenance_store/tests.rs
+++ b/crates/balancer-proxy/src/control/maintenance_store/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the copy of the record and its file. A second store stands for another process.
+//! Tests of the copy of the record and its file. In the tests of two processes, a second store on the same
+//! file takes the place of the other process.
 
 use super::MaintenanceStore;
 use crate::control::maintenance_record::{MaintenanceRecord, MaintenanceState};
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -1,7 +1,7 @@
 //! The management service: responds to the calls of operators, one call for each connection.
 //!
 //! A connection gets its response or is closed within twice the call timeout. Callers that send nothing
-//! can't block other callers, as the oldest connection is closed when the connection limit is reached.
+//! cannot block other callers, as the oldest connection is closed when the connection limit is reached.
 
 use super::maintenance::Maintenance;
 use super::maintenance_record::MaintenanceState;
@@ -137,7 +137,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the address can't be bound.
+/// Returns an error if the address cannot be bound.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
--- a/crates/balancer-proxy/src/control/management_protocol.rs
+++ b/crates/balancer-proxy/src/control/management_protocol.rs
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the connection fails, or the line is incomplete or not one of the calls.
+    /// Returns an error if the connection fails, or the line is incomplete or not one of the calls.
     pub(super) async fn read(stream: impl AsyncRead + Unpin) -> Result<Self, CallError> {
         let mut line = Vec::new();
         BufReader::new(stream.take(MAX_LINE_BYTES)).read_until(b'\n', &mut line).await?;
--- a/crates/balancer-proxy/src/control/reload.rs
+++ b/crates/balancer-proxy/src/control/reload.rs
@@ -146,7 +146,7 @@
     ///
     /// # Errors
     ///
-    /// Fails without any change if the settings may not replace those in force.
+    /// Returns an error without any change if the settings may not replace those in force.
     fn apply(&self, config: Config, trigger: ReloadTrigger) -> Result<(), ConfigError> {
         let addresses = StartupAddresses::of(&config);
         let settings_changed = self.apply_settings(config.snapshot)?;
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// Fails without any change if the settings may not replace those in force.
+    /// Returns an error without any change if the settings may not replace those in force.
     fn apply_settings(&self, mut snapshot: SettingsSnapshot) -> Result<bool, ConfigError> {
         let ReloadTargets { engine, discovery, .. } = &self.targets;
         // A running proxy numbers zones in the order in which they first appeared, so the id in the snapshot
--- a/crates/balancer-proxy/src/downstream/client_connection.rs
+++ b/crates/balancer-proxy/src/downstream/client_connection.rs
@@ -75,8 +75,8 @@
         self.close_request.is_requested()
     }
 
-    /// Returns once the connection is to be closed. Withdraws the request to close the connection if, since
-    /// then, a client request has arrived or its head has started to arrive.
+    /// Returns once the connection is to be closed. Withdraws the request to close the connection if a client
+    /// request has meanwhile arrived, completely or in part.
     pub(super) async fn wait_for_close_request(&self, stream: &TcpStream) {
         loop {
             self.close_request.wait().await;
@@ -108,7 +108,7 @@
         !self.progress.has_request_in_flight() && has_unread_bytes(stream)
     }
 
-    /// Drives `connection` until it ends, or until the client disconnects from a request.
+    /// Drives `connection` until it ends, or until the client disconnects while a response is due.
     pub(super) async fn serve_until_disconnect<T>(
         &self,
         connection: impl Future<Output = T>,
@@ -121,13 +121,14 @@
         }
     }
 
-    /// Returns once the client has disconnected from a request without a finished response. A client that
+    /// Returns once the client has disconnected before the response to its request is finished. A client that
     /// shuts down its sending side counts as disconnected, as the proxy cannot detect whether the client
     /// still reads. The HTTP library detects a disconnect too, but only after it has read all bytes sent
     /// before. While a request awaits its response, the library reads neither pipelined requests nor the rest
     /// of the body.
     async fn wait_for_disconnect(&self, stream: &TcpStream) {
-        // Priority readiness signals only that the client has ended its side, even while bytes are unread.
+        // Priority readiness signals only that the client has shut down its sending side, even while bytes
+        // are unread.
         let _ = stream.ready(Interest::PRIORITY).await;
         while !self.progress.is_response_due() {
             self.head_complete.notified().await;
--- a/crates/balancer-proxy/src/downstream/client_socket.rs
+++ b/crates/balancer-proxy/src/downstream/client_socket.rs
@@ -1,6 +1,6 @@
-//! The socket of a client connection, as the HTTP library uses it. The socket records the bytes that arrive
-//! and the writes that are blocked in the state of the connection. When the socket is closed, it first reads
-//! the bytes that the client still sends, so that the last response reaches the client.
+//! The socket of a client connection, as the HTTP library uses it. The socket records received bytes and
+//! blocked writes in the [`ClientConnection`]. Before the socket is closed, it reads and discards the bytes
+//! that the client still sends, so that the last response reaches the client.
 
 use super::client_connection::ClientConnection;
 use socket2::SockRef;
--- a/crates/balancer-proxy/src/downstream/connection_table.rs
+++ b/crates/balancer-proxy/src/downstream/connection_table.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Number of slots for each slot that is reserved for connections whose requests are rejected because all
-/// other connections are busy.
+/// One slot in this many is reserved for connections whose requests are rejected because all other
+/// connections are busy.
 const SLOTS_PER_REJECTION_SLOT: usize = 8;
 /// Longest duration of [`ConnectionTable::wait_for_close`].
 const MAX_CLOSE_WAIT: Duration = Duration::from_millis(50);
@@ -112,14 +112,15 @@
         2 * self.connections.borrow().len() > self.limits.get().served
     }
 
-    /// Returns whether more connections than can be served are open, apart from connections being closed.
+    /// Returns whether more connections are open than can be served. Connections that are being closed do not
+    /// count.
     pub(super) fn is_served_limit_exceeded(&self) -> bool {
         let connections = self.connections.borrow();
         let open = connections.iter().filter(|connection| !connection.is_closing());
         open.count() > self.limits.get().served
     }
 
-    /// Returns whether a slot is free for one more connection, if only to reject its requests.
+    /// Returns whether a slot is free for one more connection, whose requests may have to be rejected.
     pub(super) fn has_free_slot(&self) -> bool {
         self.connections.borrow().len() < self.limits.get().total()
     }
--- a/crates/balancer-proxy/src/downstream/connection_task.rs
+++ b/crates/balancer-proxy/src/downstream/connection_task.rs
@@ -25,9 +25,9 @@
 
 /// Serves one client connection.
 pub(super) struct ConnectionTask {
-    /// Handles the requests.
+    /// The handler of the requests.
     pub(super) handler: Rc<RequestHandler>,
-    /// Determines when the connection closes because of a shutdown.
+    /// The lifecycle of the server, which determines when a shutdown closes the connection.
     pub(super) lifecycle: Rc<Lifecycle>,
     /// The table of all connections.
     pub(super) connections: Rc<ConnectionTable>,
--- a/crates/balancer-proxy/src/downstream/request_handler.rs
+++ b/crates/balancer-proxy/src/downstream/request_handler.rs
@@ -140,7 +140,7 @@
 
     /// Returns the remaining part of `timeout`, in seconds, for a request that was received at `received`.
     /// During a shutdown, the deadline of all responses bounds the result, so that the decision module uses
-    /// the limit that the engine enforces.
+    /// the deadline that the engine enforces.
     fn time_left(&self, timeout: Time, received: Instant) -> Time {
         let timeout = timeout - received.elapsed().as_secs_f64();
         match self.lifecycle.shutdown() {
--- a/crates/balancer-proxy/src/downstream/request_head.rs
+++ b/crates/balancer-proxy/src/downstream/request_head.rs
@@ -62,7 +62,7 @@
 }
 
 /// Returns the value of a header, or `None` if the header is absent. A repeated header is rejected, because
-/// nothing tells which of its values is valid.
+/// it is ambiguous which of its values applies.
 fn single_value<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, RequestError> {
     let invalid = || invalid_header(name, "one value, of plain text");
     let mut values = headers.get_all(name).into_iter();
@@ -107,8 +107,8 @@
     }
 }
 
-/// Returns how long the client waits for its response, in seconds, and at most the deadline of the class.
-/// Without this bound, a large header value could keep timers for weeks.
+/// Returns the time in seconds for which the client waits for its response, at most the deadline of the
+/// class. Without this bound, a large header value could keep timers for weeks.
 fn parse_timeout(headers: &HeaderMap, class_deadline: Time) -> Result<Time, RequestError> {
     let Some(text) = single_value(headers, "x-remaining-ms")? else {
         return Ok(class_deadline);
--- a/crates/balancer-proxy/src/downstream/response_body.rs
+++ b/crates/balancer-proxy/src/downstream/response_body.rs
@@ -72,7 +72,7 @@
 
     /// Counts the request with its status when the last byte of the response is passed to the HTTP library,
     /// without waiting until the library asks for the end of the body. Counts the request as failed if the
-    /// response breaks off.
+    /// response is interrupted.
     fn record_progress(&mut self, next: Option<&Result<Bytes, StreamError>>) {
         match next {
             Some(Ok(data)) => {
--- a/crates/balancer-proxy/src/downstream/server.rs
+++ b/crates/balancer-proxy/src/downstream/server.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Delay before the next accept after a connection could not be accepted.
+/// Pause after a failed `accept`, as the next one may fail immediately, too.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 /// Interval at which connections that have timed out are closed.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -104,7 +104,7 @@
             match listener.accept().await {
                 Ok(stream) => self.serve_with_slot(stream).await,
                 Err(error) => {
-                    log!("accept: cannot accept a client connection, trying again: {error}");
+                    log!("accept: cannot accept a client connection: {error}; retrying");
                     tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
--- a/crates/balancer-proxy/src/downstream/shutdown_schedule.rs
+++ b/crates/balancer-proxy/src/downstream/shutdown_schedule.rs
@@ -13,7 +13,7 @@
 /// Time from the deadline of all responses to SIGKILL.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(200);
 /// Fraction of the time from SIGTERM to SIGKILL in which clients are served as before SIGTERM, on open and on
-/// new connections. It is long enough for clients to find proxies that were restarted earlier.
+/// new connections. This time is long enough for clients to find proxies that were restarted earlier.
 const FULL_SERVICE_FRACTION: f64 = 0.65;
 /// Longest time for which open connections are served while another process accepts the new connections. In
 /// this time, each open connection carries at most one more request. An immediate close could lose a request
--- a/crates/balancer-proxy/src/engine/dispatcher.rs
+++ b/crates/balancer-proxy/src/engine/dispatcher.rs
@@ -23,7 +23,7 @@
 const HEALTH_CHECK_PATH: &str = "/-/healthy";
 /// Path of a health check whose response is a load report.
 const LOAD_REPORT_PATH: &str = "/-/load";
-/// Timeout in [`Action::Send`], in seconds, that stands for an attempt without a timeout of its own. Such an
+/// Value of the timeout in [`Action::Send`] for an attempt without a timeout of its own, in seconds. Such an
 /// attempt ends at the deadline of its request.
 const NO_ATTEMPT_TIMEOUT_SECS: Time = 0.0;
 
@@ -151,7 +151,7 @@
     }
 
     /// Sends the next attempt of a request. Notifies the module that nothing was sent if the request is
-    /// closed or has no attempt left, or if the backend is unknown.
+    /// closed or has no attempt left, or if the backend has no connection pool.
     fn send(&self, state: &mut EngineState, command: &SendCommand) {
         let pool = state.endpoints.pool(command.backend);
         let request = state.requests.get_mut(command.request).filter(|request| request.has_attempt_left());
--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the connection pool of a backend, or `None` if the backend is unknown.
+    /// Returns the connection pool of a backend, or `None` if the backend has no pool.
     pub(super) fn pool(&self, backend: BackendId) -> Option<Rc<ConnectionPool>> {
         self.pools.get(&backend).cloned()
     }
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -26,7 +26,7 @@
 pub(super) struct OpenRequest {
     /// The id that the client gave the request.
     pub(super) client_request_id: u64,
-    /// Sends the final response to the client's connection.
+    /// The sender of the final response to the client's connection.
     pub(super) response: oneshot::Sender<FinalResponse>,
     /// The request in the form in which attempts send it.
     pub(super) forwarded: Rc<ForwardedRequest>,
--- a/crates/balancer-proxy/src/engine/submission.rs
+++ b/crates/balancer-proxy/src/engine/submission.rs
@@ -22,7 +22,7 @@
 pub struct SubmittedRequest {
     /// The id that the engine assigned to the request.
     pub id: RequestId,
-    /// Receives the final response.
+    /// The receiver of the final response.
     pub response: oneshot::Receiver<FinalResponse>,
 }
 
@@ -104,8 +104,8 @@
         self.dispatcher.handle(state, Event::BodyReceived(id));
     }
 
-    /// Limits the deadlines of all requests, including later ones, to `shutdown_deadline`, when the process
-    /// ends.
+    /// Limits the deadlines of all requests, including later ones, to `shutdown_deadline`, because the
+    /// process is shutting down.
     pub fn set_shutdown_deadline(&self, shutdown_deadline: Instant) {
         let start = self.dispatcher.clock.start_instant();
         let deadline = shutdown_deadline.saturating_duration_since(start).as_secs_f64();
--- a/crates/balancer-proxy/src/engine/timers/tests.rs
+++ b/crates/balancer-proxy/src/engine/timers/tests.rs
@@ -5,7 +5,7 @@
 use balancer::{RequestId, TimerToken};
 use std::time::Duration;
 
-/// Time limit of a step, which is long enough on a busy machine too.
+/// Longer than any step takes, even on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Removes the timers that are due at time `now`, and returns their tokens.
--- a/crates/balancer-proxy/src/limits/capacities.rs
+++ b/crates/balancer-proxy/src/limits/capacities.rs
@@ -33,7 +33,7 @@
 /// Whether another process serves the same listen address, as during an upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OtherProcess {
-    /// This process is the only one, or another process can't be detected.
+    /// This process is the only one, or another process cannot be detected.
     Absent,
     /// Another process runs.
     Running,
@@ -57,8 +57,8 @@
 }
 
 impl ProcessLimits {
-    /// Returns the limits of this process. While another process runs, they are half of these limits, so
-    /// that the two processes together stay within these limits. Otherwise they are these limits.
+    /// Returns the limits of this process. While another process runs, each process gets half of the limits,
+    /// so that both together stay within the limits. Otherwise this process gets all of the limits.
     #[must_use]
     pub fn for_this_process(self, other: OtherProcess) -> Self {
         match other {
--- a/crates/balancer-proxy/src/log_writer.rs
+++ b/crates/balancer-proxy/src/log_writer.rs
@@ -15,7 +15,7 @@
 const MAX_WAITING_LINES: usize = 256;
 /// Length in bytes to which a longer line is truncated.
 const MAX_LINE_BYTES: usize = 4096;
-/// Longest time that the end of the process waits for lines that have not been written.
+/// Longest time for which [`flush`] waits for lines that have not been written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A task of the log thread.
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Queues a line, and returns whether the queue had room for it.
+    /// Queues a line, and returns whether the line fitted into the queue.
     fn try_write(&self, line: String) -> bool {
         self.tasks.try_send(LogTask::Write(line)).is_ok()
     }
--- a/crates/balancer-proxy/src/metrics.rs
+++ b/crates/balancer-proxy/src/metrics.rs
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the metrics can't be serialized.
+    /// Returns an error if the metrics cannot be serialized.
     pub fn to_json(&self, backends: BackendCounts) -> serde_json::Result<String> {
         let settings = self.settings_changes.get();
         serde_json::to_string(&MetricsSnapshot { metrics: self, backends, settings })
--- a/crates/balancer-proxy/src/metrics/class_table.rs
+++ b/crates/balancer-proxy/src/metrics/class_table.rs
@@ -15,7 +15,7 @@
 pub(super) struct OutcomeCounts {
     /// Requests with the final status 200.
     succeeded: Cell<u64>,
-    /// Requests with the final status 429 or 503, which were not executed and are safe to send again.
+    /// Requests with the final status 429 or 503, which were not executed and are safe to retry.
     declined: Cell<u64>,
     /// Requests with any other final status.
     aborted: Cell<u64>,
--- a/crates/balancer-proxy/src/process/error.rs
+++ b/crates/balancer-proxy/src/process/error.rs
@@ -11,7 +11,7 @@
     /// The configuration is incomplete or invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// An address can't be bound, usually because another program listens on it.
+    /// An address cannot be bound, usually because another program listens on it.
     #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address for clients or for management calls.
--- a/crates/balancer-proxy/src/process/management_resources.rs
+++ b/crates/balancer-proxy/src/process/management_resources.rs
@@ -14,8 +14,8 @@
 pub(super) struct ManagementResources {
     /// The listener of the management address.
     pub(super) listener: TcpListener,
-    /// The lock that detects a second process on the listen address. `None` if the lock files can't be
-    /// used: the proxy then runs as if it were the only process.
+    /// The lock that detects a second process on the listen address. `None` if the lock files cannot be used:
+    /// the proxy then runs as if it were the only process.
     pub(super) instance_lock: Option<Rc<InstanceLock>>,
     /// The store of the backends in maintenance.
     pub(super) maintenance_store: Rc<MaintenanceStore>,
@@ -27,7 +27,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the management address can't be bound.
+    /// Returns an error if the management address cannot be bound.
     pub(super) async fn open(management: SocketAddr, listen: SocketAddr) -> io::Result<Self> {
         let listener = management::bind(management).await?;
         log!("balancer-proxy: management on {}", listener.local_addr()?);
@@ -52,7 +52,7 @@
     }
 }
 
-/// Logs that the instance lock files whose paths start with `base` can't be used.
+/// Logs that the instance lock files whose paths start with `base` cannot be used.
 fn log_state_file_error(base: &Path, error: &io::Error) {
     log!(
         "balancer-proxy: cannot use lock files {}.*: {error}; two processes might not detect each other",
--- a/crates/balancer-proxy/src/process/mod.rs
+++ b/crates/balancer-proxy/src/process/mod.rs
@@ -43,7 +43,7 @@
 ///
 /// # Errors
 ///
-/// [`StartError`] if the configuration is invalid, or if an address or a signal can't be used.
+/// Returns a [`StartError`] if the configuration is invalid, or if an address or a signal cannot be used.
 ///
 /// # Panics
 ///
--- a/crates/balancer-proxy/src/process/signals.rs
+++ b/crates/balancer-proxy/src/process/signals.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the operating system refuses a handler.
+    /// Returns an error if the operating system refuses a handler.
     pub(super) fn install() -> io::Result<Self> {
         let hangup = signal(SignalKind::hangup())?;
         let terminate = signal(SignalKind::terminate())?;
--- a/crates/balancer-proxy/src/settings.rs
+++ b/crates/balancer-proxy/src/settings.rs
@@ -92,7 +92,7 @@
     /// Time after which a backend closes an idle connection. The proxy reuses an idle connection only before
     /// this time.
     pub idle_timeout: Duration,
-    /// Longest time after the notification that a backend is draining, gone or in maintenance in which new
+    /// Longest time after the notification that a backend is draining, removed or in maintenance in which new
     /// requests may still be sent to this backend.
     pub drain_grace_period: Duration,
     /// Largest number of requests that may be open at the same time.
--- a/crates/balancer-proxy/src/upstream/exchange.rs
+++ b/crates/balancer-proxy/src/upstream/exchange.rs
@@ -22,8 +22,8 @@
 const MAX_RESPONSE_BUFFERING_TIME: Duration = Duration::from_millis(250);
 
 /// A function that builds the request of an exchange, once for each connection that the request is written
-/// to. The function returns `None` if the body cannot be sent any more. The request sets the flag once its
-/// body has yielded its end.
+/// to. The function returns `None` if the body cannot be sent again. The request sets the flag once its body
+/// has yielded its end.
 pub(super) type BuildRequest<'a> = &'a dyn Fn(&CompletionFlag) -> Option<Request<AttemptBody>>;
 
 /// A response with any status.
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 ///
-/// Returns an [`ExchangeError`] that tells whether the backend may have executed the request. The connection
+/// Returns an [`ExchangeError`] that states whether the backend may have executed the request. The connection
 /// is unusable after an error.
 pub(super) async fn exchange(
     connection: &mut Connection,
--- a/crates/balancer-proxy/src/upstream/exchange_state.rs
+++ b/crates/balancer-proxy/src/upstream/exchange_state.rs
@@ -51,8 +51,8 @@
 /// The limits of an exchange and the records of its progress, as set by the caller of the exchange.
 #[derive(Clone, Default)]
 pub(super) struct ExchangeContext {
-    /// Set once the complete request has been written. The engine shares this flag: when the engine ends
-    /// the attempt, the flag tells whether the backend may execute the request.
+    /// Set once the complete request has been written. The engine shares this flag: when the engine ends the
+    /// attempt, the flag shows whether the backend may execute the request.
     pub(super) request_written: CompletionFlag,
     /// The time after which the last byte of the request is not written; `None` without such a limit.
     pub(super) write_deadline: Option<Instant>,
--- a/crates/balancer-proxy/src/upstream/forwarded_request.rs
+++ b/crates/balancer-proxy/src/upstream/forwarded_request.rs
@@ -41,9 +41,8 @@
 }
 
 impl ForwardedRequest {
-    /// Builds the request for an attempt that ends in `remaining_time` seconds. The body of the request
-    /// sets `end_of_body` once the body has yielded its end. Returns `None` if the body cannot be sent any
-    /// more.
+    /// Builds the request for an attempt that ends in `remaining_time` seconds. The body of the request sets
+    /// `end_of_body` once the body has yielded its end. Returns `None` if the body cannot be sent again.
     pub(super) fn build(
         &self,
         remaining_time: Time,
@@ -67,7 +66,7 @@
         matches!(&self.body, ForwardedBody::Streamed { body, .. } if body.is_consumed())
     }
 
-    /// Returns the body for one attempt, or `None` if the body cannot be sent any more.
+    /// Returns the body for one attempt, or `None` if the body cannot be sent again.
     fn attempt_body(&self, end_of_body: &CompletionFlag) -> Option<AttemptBody> {
         match &self.body {
             ForwardedBody::Buffered(complete) => {
--- a/crates/balancer-proxy/src/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -139,7 +139,7 @@
         self.idle.replace(fresh);
     }
 
-    /// Returns whether the connection has not been idle for too long to be reused.
+    /// Returns whether the connection has been idle for a short enough time to be reused.
     fn is_fresh(&self, idle: &IdleConnection) -> bool {
         idle.since.elapsed() < self.timeouts.get().idle.mul_f64(REUSE_IDLE_TIMEOUT_FRACTION)
     }
--- a/crates/balancer-proxy/src/upstream/pool/tests.rs
+++ b/crates/balancer-proxy/src/upstream/pool/tests.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time limit of a step, which is long enough on a busy machine too.
+/// Longer than any step takes, even on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a test with a listener that establishes connections and never accepts them.
--- a/crates/balancer-proxy/src/upstream/transfer_rate/tests.rs
+++ b/crates/balancer-proxy/src/upstream/transfer_rate/tests.rs
@@ -3,7 +3,7 @@
 use super::{MIN_TRANSFER_BYTES_PER_SECOND, TransferRateMonitor, time_allowed_for};
 use std::time::Duration;
 
-/// A timeout that no test reaches.
+/// An hour, which is a timeout that no test reaches.
 const ONE_HOUR: Duration = Duration::from_secs(3600);
 
 #[test]
--- a/crates/balancer-proxy/src/watch_event.rs
+++ b/crates/balancer-proxy/src/watch_event.rs
@@ -8,7 +8,7 @@
 pub enum WatchEvent {
     /// The endpoints that have changed. All other endpoints are unchanged.
     Changes(Vec<ListedEndpoint>),
-    /// The full list. Endpoints that are not in the list are gone.
+    /// The full list. Endpoints that are not in the list have been removed.
     Full(Vec<ListedEndpoint>),
     /// The full list that the configuration file contained at startup.
     Cached(Vec<ListedEndpoint>),
