--- a/crates/balancer-proxy/src/downstream/connection_task/tests.rs
+++ b/crates/balancer-proxy/src/downstream/connection_task/tests.rs
@@ -5,8 +5,9 @@
 //! runtime asks the system for new bytes only between two rounds of tasks, so a task did not detect bytes
 //! that arrived during its round. The task shut down the sending side, and then read and discarded the
 //! request. The failure appeared with 80 connections and requests sent every 0.25 ms around the end of full
-//! service. Closing the connections takes several milliseconds, and a connection that received a request in
-//! this time ended without the reset that the system sends for unread bytes.
+//! service, which is the time after SIGTERM in which clients are served as before. Closing the connections
+//! takes several milliseconds, and a connection that received a request in this time ended without the reset
+//! that the system sends for unread bytes.
 
 use super::ConnectionTask;
 use crate::downstream::client_connection::ClientConnection;
--- a/crates/balancer-proxy/src/downstream/request_progress.rs
+++ b/crates/balancer-proxy/src/downstream/request_progress.rs
@@ -8,8 +8,8 @@
 /// Longest time from the first byte of a request head to its end, and from the accept of a connection to the
 /// end of its first head. Guards against clients that send nothing, stop half way, or never end the head.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
-/// Least time that is allowed for a body. A body is allowed the rest of [`HEAD_TIMEOUT`] that its head did
-/// not use if that rest is longer.
+/// Least time that is allowed for a body. If its head left a longer part of [`HEAD_TIMEOUT`] unused, the body
+/// is allowed that part instead.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which a write may be blocked before the client is assumed not to read the rest of its response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -1,7 +1,7 @@
 //! The open requests and their final responses.
 //!
-//! Guarantees each accepted request exactly one final response: [`OpenRequests`] owns the sender of the
-//! request's channel, and closing the request consumes the sender.
+//! Each accepted request gets exactly one final response: [`OpenRequests`] owns the sender of the request's
+//! channel, and closing the request consumes the sender.
 
 use crate::settings::SettingsSnapshot;
 use crate::upstream::forwarded_request::ForwardedRequest;
--- a/crates/balancer-proxy/src/upstream/pool.rs
+++ b/crates/balancer-proxy/src/upstream/pool.rs
@@ -118,12 +118,12 @@
 
     /// Returns whether the backend is removed and its grace period is over.
     pub(crate) fn is_removal_expired(&self, clock: &Clock) -> bool {
-        self.send_deadlines.is_expired(clock.now())
+        self.send_deadlines.is_removal_expired(clock.now())
     }
 
     /// Returns whether a request may be sent to the backend now, because no send deadline has passed.
     pub(super) fn may_send(&self, clock: &Clock) -> bool {
-        self.send_deadlines.allow_send(clock.now())
+        self.send_deadlines.may_send(clock.now())
     }
 
     /// Closes the idle connections, and the connections in use as soon as they become idle.
--- a/crates/balancer-proxy/src/upstream/send_deadlines.rs
+++ b/crates/balancer-proxy/src/upstream/send_deadlines.rs
@@ -48,14 +48,14 @@
     }
 
     /// Returns whether a send at time `now` is allowed, because no deadline has passed.
-    pub(super) fn allow_send(&self, now: Time) -> bool {
+    pub(super) fn may_send(&self, now: Time) -> bool {
         let deadlines = [self.drain.get(), self.maintenance.get()];
         deadlines.into_iter().flatten().all(|deadline| now < deadline)
     }
 
     /// Returns whether the backend is removed and a deadline has passed by `now`.
-    pub(super) fn is_expired(&self, now: Time) -> bool {
-        self.is_removed.get() && !self.allow_send(now)
+    pub(super) fn is_removal_expired(&self, now: Time) -> bool {
+        self.is_removed.get() && !self.may_send(now)
     }
 }
 
