--- a/crates/balancer-proxy/src/engine/endpoints.rs
+++ b/crates/balancer-proxy/src/engine/endpoints.rs
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Returns the connection pool of a backend, or `None` if the backend is unknown.
+    /// Returns the connection pool of a backend, or `None` if the backend has no pool.
     pub(super) fn pool(&self, backend: BackendId) -> Option<Rc<ConnectionPool>> {
         self.pools.get(&backend).cloned()
     }
 
     /// Returns whether a backend has a pool or is in maintenance.
-    pub(super) fn is_known(&self, backend: BackendId) -> bool {
+    pub(super) fn is_in_use(&self, backend: BackendId) -> bool {
         self.pools.contains_key(&backend) || self.maintenance_deadlines.contains_key(&backend)
     }
 
--- a/crates/balancer-proxy/src/engine/requests.rs
+++ b/crates/balancer-proxy/src/engine/requests.rs
@@ -1,7 +1,7 @@
 //! The open requests and their final responses.
 //!
-//! Guarantees each accepted request exactly one final response: [`OpenRequests`] owns the sender of the
-//! request's channel, and closing the request consumes the sender.
+//! Each accepted request gets exactly one final response: [`OpenRequests`] owns the sender of the request's
+//! channel, and closing the request consumes the sender.
 
 use crate::settings::SettingsSnapshot;
 use crate::upstream::forwarded_request::ForwardedRequest;
@@ -26,7 +26,7 @@
 pub(super) struct OpenRequest {
     /// The id that the client gave the request.
     pub(super) client_request_id: u64,
-    /// Sends the final response to the client's connection.
+    /// The sender of the final response to the client's connection.
     pub(super) response: oneshot::Sender<FinalResponse>,
     /// The request in the form in which attempts send it.
     pub(super) forwarded: Rc<ForwardedRequest>,
--- a/crates/balancer-proxy/tests/endpoint_churn.rs
+++ b/crates/balancer-proxy/tests/endpoint_churn.rs
@@ -77,18 +77,18 @@
 
         // The bound is many times the grace period and the interval of the removal of expired backends.
         let mut pauses = 0;
-        while (2..49).any(|id| engine.is_backend_known(BackendId(id))) {
+        while (2..49).any(|id| engine.is_backend_in_use(BackendId(id))) {
             pause().await;
             pauses += 1;
             assert!(pauses < 1000, "the engine still holds removed backends without attempts");
         }
-        assert!(engine.is_backend_known(BackendId(49)), "the engine discarded the listed backend");
+        assert!(engine.is_backend_in_use(BackendId(49)), "the engine discarded the listed backend");
         assert!(
-            engine.is_backend_known(BackendId(1)),
+            engine.is_backend_in_use(BackendId(1)),
             "the engine discarded a backend with an attempt in flight"
         );
         engine.abandon(submitted.id);
-        while engine.is_backend_known(BackendId(1)) {
+        while engine.is_backend_in_use(BackendId(1)) {
             pause().await;
             pauses += 1;
             assert!(pauses < 2000, "the engine still holds the backend of the ended attempt");
