--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -1,8 +1,8 @@
-//! One caller: the balancer of one proxy, which calls a service on virtual time.
+//! Simulation of one caller: the balancer of one proxy, which calls a service on virtual time.
 //!
 //! A [`Caller`] takes one event after the other from its [`Environment`], passes the event to the
-//! balancer, and carries out the balancer's actions in the environment. Each call must get one final
-//! response before its deadline, which the environment checks throughout.
+//! balancer, and carries out the balancer's actions in the environment. The environment checks that each
+//! call gets one final response before its deadline.
 
 mod accounting;
 mod calls;
@@ -23,7 +23,7 @@
 use crate::error::Error;
 use accounting::FailureKind;
 use balancer::{Action, AttemptId, Balancer, EndpointUpdate, Event, Outcome};
-use calls::AttemptOrder;
+use calls::NewAttempt;
 use environment::Environment;
 use event_queue::CallerEvent;
 use message::Message;
@@ -31,10 +31,10 @@
 
 /// Number of events between two checks of the real time.
 const EVENTS_PER_ABORT_CHECK: u32 = 4096;
-/// The use of random numbers for callers in the derivation of seeds.
-const SEED_PURPOSE: u64 = 2;
+/// Number that separates the callers' random streams from the other streams of the run.
+const CALLER_STREAM: u64 = 2;
 
-/// Simulates the caller with this index among the callers of the scenario's service.
+/// Simulates the caller at `index` in the list of callers of the scenario's service.
 ///
 /// # Errors
 ///
@@ -70,14 +70,14 @@
         let context = &scenario.context;
         let machine = scenario.service().callers[index];
         let seed =
-            random::derive_seed(&[context.plan.seed, SEED_PURPOSE, context.phase as u64, machine as u64]);
+            random::derive_seed(&[context.plan.seed, CALLER_STREAM, context.phase as u64, machine as u64]);
         let environment = Environment::new(scenario, index, seed);
         let balancer = Balancer::new(0.0, seed, environment.settings());
         Self { seed, environment, balancer, actions: Vec::new() }
     }
 
     fn simulate(mut self) -> Result<CallerObservations, Error> {
-        let first_list = self.environment.begin();
+        let first_list = self.environment.schedule_initial_events();
         self.handle_message(&first_list)?;
         self.environment.schedule_next_call();
         self.handle_all_events()?;
@@ -94,9 +94,9 @@
             }
             match event {
                 CallerEvent::Call => self.make_call()?,
-                CallerEvent::Timer(token) => self.handle_recorded(Event::Timer(token))?,
+                CallerEvent::Timer(token) => self.record_and_handle(Event::Timer(token))?,
                 CallerEvent::AttemptEnded(attempt, outcome) => self.end_attempt(attempt, outcome)?,
-                CallerEvent::EndpointChanges(end) => self.receive_changes(end)?,
+                CallerEvent::EndpointChanges(end_of_changes) => self.receive_changes(end_of_changes)?,
                 CallerEvent::Sample(sample) => self.environment.sample_state(sample, &self.balancer),
                 CallerEvent::Stop => self.environment.stop(),
                 CallerEvent::Start => self.start()?,
@@ -115,8 +115,8 @@
     }
 
     fn make_call(&mut self) -> Result<(), Error> {
-        if let Some(request) = self.environment.draw_call() {
-            self.handle_recorded(Event::Request(request))?;
+        if let Some(request) = self.environment.open_due_call() {
+            self.record_and_handle(Event::Request(request))?;
         }
         self.environment.schedule_next_call();
         Ok(())
@@ -124,14 +124,14 @@
 
     fn end_attempt(&mut self, attempt: AttemptId, outcome: Outcome) -> Result<(), Error> {
         match self.environment.end_attempt(attempt, outcome)? {
-            Some(ended) => self.handle_recorded(Event::AttemptEnded(ended)),
+            Some(ended) => self.record_and_handle(Event::AttemptEnded(ended)),
             None => Ok(()),
         }
     }
 
-    /// Receives the endpoint changes before the index `end`.
-    fn receive_changes(&mut self, end: usize) -> Result<(), Error> {
-        match self.environment.receive_changes(end) {
+    /// Receives the endpoint changes before the index `end_of_changes`.
+    fn receive_changes(&mut self, end_of_changes: usize) -> Result<(), Error> {
+        match self.environment.receive_changes(end_of_changes) {
             Some(message) => self.handle_message(&message),
             None => Ok(()),
         }
@@ -163,15 +163,15 @@
         self.handle(Event::Endpoints(update))
     }
 
-    /// Records an event without endpoints, if the caller is recorded, and handles the event.
-    fn handle_recorded(&mut self, event: Event<'static>) -> Result<(), Error> {
+    /// Handles an event without endpoints, and records the event if the caller is recorded.
+    fn record_and_handle(&mut self, event: Event<'static>) -> Result<(), Error> {
         self.environment.record_event(event);
         self.handle(event)
     }
 
     /// Passes an event to the balancer and carries out its actions.
     fn handle(&mut self, event: Event<'_>) -> Result<(), Error> {
-        // Taken, as carrying out an action may pass further events to the balancer.
+        // The buffer is taken out of `self`, as an action may pass further events to the balancer.
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(self.environment.now(), event, &mut actions);
         let result = actions.drain(..).try_for_each(|action| self.perform(&action));
@@ -182,7 +182,7 @@
     fn perform(&mut self, action: &Action) -> Result<(), Error> {
         match *action {
             Action::Send { id, backend, timeout, .. } => {
-                self.environment.send_attempt(AttemptOrder { request: id, backend, timeout })
+                self.environment.send_attempt(NewAttempt { request: id, backend, timeout })
             }
             Action::Cancel { id, attempt } => {
                 self.end_attempt(AttemptId { request: id, number: attempt }, Outcome::Cancelled)
@@ -193,7 +193,8 @@
                 self.environment.schedule_timer(at, token);
                 Ok(())
             }
-            // Requests are written at once, lists are pushed, and idle connections time out.
+            // Not simulated: requests are written at once, endpoint lists are pushed, and idle
+            // connections are closed by a timeout.
             Action::Withdraw { .. }
             | Action::HealthCheck(_)
             | Action::CloseIdleConnections(_)
--- a/crates/fleet-bench/src/fleet/caller/calls.rs
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -1,10 +1,10 @@
-//! The calls that a caller makes, from the draw of a call to its final response.
+//! The calls that a caller makes, from the start of a call to its final response.
 
 use super::accounting::{FailedCall, FailureKind, SentAttempt};
 use super::endpoint_list::EndpointList;
 use super::event_queue::CallerEvent;
 use super::network::{AttemptTimes, Network};
-use super::requests::{InFlight, Requests};
+use super::requests::{AttemptInFlight, Requests};
 use super::run_state::RunState;
 use super::workload::Workload;
 use crate::fleet::checker::{NewCall, Rule, Violation};
@@ -13,9 +13,9 @@
 use crate::fleet::settings::CLASS_EFFECTS;
 use balancer::{AttemptId, BackendId, EndedAttempt, Outcome, Request, RequestId, Time};
 
-/// An attempt that the balancer asks for.
+/// An attempt that the balancer sends.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptOrder {
+pub struct NewAttempt {
     /// The call.
     pub request: RequestId,
     /// The backend to which the attempt is sent.
@@ -27,20 +27,21 @@
 /// The calls of one caller, with the network on which the attempts are sent.
 pub struct Calls<'a> {
     plan: &'a Plan,
-    /// The index of the first machine of the service; backends are counted from this machine.
-    first_backend: usize,
+    /// The index of the service's first machine, which is subtracted from a machine's index to get the
+    /// index of its backend in the service.
+    first_machine: usize,
     workload: Workload<'a>,
     requests: Requests,
     network: Network<'a>,
 }
 
 impl<'a> Calls<'a> {
-    /// Creates the state of a machine's proxy that has made no calls.
+    /// Creates the state of a machine's proxy before its first call.
     pub fn new(scenario: &'a Scenario<'a>, machine: usize) -> Self {
         let context = &scenario.context;
         Self {
             plan: context.plan,
-            first_backend: scenario.service().machines.start,
+            first_machine: scenario.service().machines.start,
             workload: Workload::new(scenario, machine),
             requests: Requests::default(),
             network: Network::new(scenario, context.topology.machines[machine].zone),
@@ -52,17 +53,18 @@
         &self.network
     }
 
-    /// Schedules the next call, unless the process stops or the phase ends before.
+    /// Schedules the next call, unless the process stops making calls or the phase ends first.
     pub fn schedule_next(&self, run: &mut RunState<'_>) {
-        if let Some(at) = self.workload.draw_next(run.queue.now(), &mut run.rng) {
+        if let Some(at) = self.workload.draw_next_call_time(run.queue.now(), &mut run.rng) {
             run.queue.schedule(at, CallerEvent::Call);
         }
     }
 
-    /// Draws whether the proxy makes the call that is due, and opens the call.
-    pub fn draw(&mut self, run: &mut RunState<'_>) -> Option<Request> {
+    /// Opens the call that is due; returns `None` if the proxy skips the call because its backend is
+    /// warming up.
+    pub fn open_due_call(&mut self, run: &mut RunState<'_>) -> Option<Request> {
         let now = run.queue.now();
-        if !self.workload.draw_is_made(now, &mut run.rng) {
+        if !self.workload.draw_call_is_made(now, &mut run.rng) {
             return None;
         }
         let class = self.workload.draw_class(&mut run.rng);
@@ -76,33 +78,33 @@
         Some(Request { id, class, timeout, ..Request::default() })
     }
 
-    /// Sends an attempt of a caller that has this endpoint list, and schedules the end of the attempt.
+    /// Sends an attempt to a backend of the caller's endpoint list, and schedules the end of the attempt.
     ///
     /// # Errors
     ///
     /// Returns the violation of a rule.
     pub fn send(
         &mut self,
-        order: AttemptOrder,
+        new_attempt: NewAttempt,
         list: &EndpointList,
         run: &mut RunState<'_>,
     ) -> Result<(), Violation> {
-        let backend = (order.backend.0 as usize).wrapping_sub(self.first_backend);
+        let backend = (new_attempt.backend.0 as usize).wrapping_sub(self.first_machine);
         if backend >= list.len() {
-            return Err(Violation { rule: Rule::Unlisted, call: order.request });
+            return Err(Violation { rule: Rule::Unlisted, call: new_attempt.request });
         }
-        let sent = run.queue.now();
-        let attempt = self.requests.send(order.request, InFlight { backend, sent })?;
-        let times = AttemptTimes { sent, timeout_at: sent + order.timeout };
+        let sent_at = run.queue.now();
+        let attempt = self.requests.send(new_attempt.request, AttemptInFlight { backend, sent_at })?;
+        let times = AttemptTimes { sent_at, timeout_at: sent_at + new_attempt.timeout };
         let end = self.network.draw_attempt_end(backend, times, &mut run.rng);
         run.queue.schedule(end.at, CallerEvent::AttemptEnded(attempt, end.outcome));
-        let sent_attempt = SentAttempt { backend, sent, unavailable: end.unavailable };
+        let sent_attempt = SentAttempt { backend, sent_at, unavailable: end.unavailable };
         run.accounting.count_attempt(sent_attempt, list);
         Ok(())
     }
 
-    /// Ends an attempt, and its call with it if the attempt succeeded. Returns `None` if the attempt
-    /// had been cancelled before.
+    /// Ends an attempt, and also its call if the attempt succeeded. Returns `None` if the attempt had
+    /// already ended.
     ///
     /// # Errors
     ///
@@ -113,7 +115,7 @@
         outcome: Outcome,
         run: &mut RunState<'_>,
     ) -> Result<Option<EndedAttempt>, Violation> {
-        let Some(InFlight { backend, sent }) = self.requests.end_attempt(attempt) else {
+        let Some(AttemptInFlight { backend, sent_at }) = self.requests.end_attempt(attempt) else {
             return Ok(None);
         };
         let now = run.queue.now();
@@ -131,10 +133,10 @@
         }
         Ok(Some(EndedAttempt {
             id: request,
-            backend: BackendId((self.first_backend + backend) as u32),
+            backend: BackendId((self.first_machine + backend) as u32),
             attempt: attempt.number,
             outcome,
-            duration: now - sent,
+            duration: now - sent_at,
             request_finished: !self.requests.is_open(request),
             report: None,
         }))
@@ -158,9 +160,9 @@
         Ok(())
     }
 
-    /// Drops all open calls, attempts and connections, as their process has stopped.
+    /// Drops all open calls, attempts and connections because their process has stopped.
     pub fn drop_all(&mut self, run: &mut RunState<'_>) {
-        run.accounting.count_lost(self.requests.drop_all());
+        run.accounting.count_lost_calls(self.requests.drop_all());
         self.network.close_connections();
     }
 
@@ -168,7 +170,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the violation by a call that got no final response.
+    /// Returns the violation of the lowest-numbered call that got no final response.
     pub fn verify_none_open(&self) -> Result<(), Violation> {
         self.requests.verify_none_open()
     }
--- a/crates/fleet-bench/src/fleet/caller/requests.rs
+++ b/crates/fleet-bench/src/fleet/caller/requests.rs
@@ -6,18 +6,18 @@
 
 /// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
-pub struct InFlight {
+pub struct AttemptInFlight {
     /// The index of the backend in the service.
     pub backend: usize,
     /// Time of the send, in seconds.
-    pub sent: Time,
+    pub sent_at: Time,
 }
 
-/// The open calls and the attempts in flight. An attempt may outlive its call.
+/// The open calls and the attempts in flight. An attempt may end later than its call.
 #[derive(Debug, Default)]
 pub struct Requests {
     checker: Checker,
-    in_flight: HashMap<AttemptId, InFlight>,
+    in_flight: HashMap<AttemptId, AttemptInFlight>,
     last_id: u64,
 }
 
@@ -35,19 +35,19 @@
     /// # Errors
     ///
     /// Returns the violation if the attempt violates a rule.
-    pub fn send(&mut self, request: RequestId, attempt: InFlight) -> Result<AttemptId, Violation> {
+    pub fn send(&mut self, request: RequestId, attempt: AttemptInFlight) -> Result<AttemptId, Violation> {
         let number = self.checker.send(request)?;
         let id = AttemptId { request, number };
         self.in_flight.insert(id, attempt);
         Ok(id)
     }
 
-    /// Takes an attempt that ends; returns `None` if the attempt has ended before.
-    pub fn end_attempt(&mut self, id: AttemptId) -> Option<InFlight> {
+    /// Removes and returns an attempt that ends; returns `None` if the attempt has already ended.
+    pub fn end_attempt(&mut self, id: AttemptId) -> Option<AttemptInFlight> {
         self.in_flight.remove(&id)
     }
 
-    /// Records that the only attempt in flight of a call could not connect.
+    /// Records that the only attempt in flight of a call could not connect and therefore never ran.
     pub fn attempt_never_ran(&mut self, request: RequestId) {
         self.checker.attempt_never_ran(request);
     }
@@ -66,7 +66,7 @@
         self.checker.is_open(request)
     }
 
-    /// Drops all calls and attempts. Returns the number of open calls that are counted in the report.
+    /// Drops all calls and attempts. Returns the number of dropped calls that the report counts.
     pub fn drop_all(&mut self) -> u64 {
         self.in_flight.clear();
         self.checker.drop_open() as u64
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the violation by a call that got no final response.
+    /// Returns the violation of the lowest-numbered call that got no final response.
     pub fn verify_none_open(&self) -> Result<(), Violation> {
         self.checker.verify_none_open()
     }
--- a/crates/fleet-bench/src/fleet/phase.rs
+++ b/crates/fleet-bench/src/fleet/phase.rs
@@ -1,4 +1,4 @@
-//! Simulates a phase: all callers of all services in parallel, and the results of all callers together.
+//! Simulates a phase: runs all callers of all services in parallel and combines their observations.
 
 use super::caller;
 use super::counts::Counts;
@@ -19,11 +19,15 @@
 /// Returns the first error of a caller.
 pub fn simulate(context: PhaseContext<'_>, roles: &Roles) -> Result<PhaseResult, Error> {
     let PhaseContext { phase, topology, faults, .. } = context;
-    let mut order = faults.services.clone();
-    // The longest work first, so that at the end no thread works alone.
-    order.sort_by(|a, b| topology.services[*b].rate.total_cmp(&topology.services[*a].rate).then(a.cmp(b)));
+    let mut services_by_call_rate = faults.simulated_services.clone();
+    // Services with many calls take longest and come first. If they came last, a single thread would
+    // still be working after the others have finished.
+    services_by_call_rate.sort_by(|a, b| {
+        topology.services[*b].call_rate.total_cmp(&topology.services[*a].call_rate).then(a.cmp(b))
+    });
     let simulate = |service: &usize| simulate_service(&Scenario::new(context, *service), roles);
-    let services = order.par_iter().with_max_len(1).map(simulate).collect::<Result<_, _>>()?;
+    let services =
+        services_by_call_rate.par_iter().with_max_len(1).map(simulate).collect::<Result<_, _>>()?;
     Ok(PhaseResult { phase, services, outages: count_outages(faults) })
 }
 
@@ -52,16 +56,16 @@
     Ok(ServiceResult {
         service: scenario.service_index,
         counts,
-        propagations: changes.filter_map(|change| propagation(&observations, change)).collect(),
+        propagations: changes.filter_map(|change| measure_propagation(&observations, change)).collect(),
         coverage: coverage::measure(scenario, &observations),
         slow_starts: slow_start::measure(scenario, &observations),
-        state: mean_peak_state(&observations),
+        mean_peak_state: mean_peak_state(&observations),
         recordings: observations.iter_mut().filter_map(|caller| caller.recording.take()).collect(),
     })
 }
 
-/// Returns the indices of the callers that are recorded: some callers without an outage, if the service
-/// has a role.
+/// Returns the indices of the callers that are recorded: up to `recorded_callers` callers without an
+/// outage if the service has a role, otherwise none.
 fn recorded_callers(scenario: &Scenario<'_>, roles: &Roles) -> Vec<usize> {
     let PhaseContext { plan, faults, .. } = scenario.context;
     if !roles.contains(scenario.service_index) {
@@ -84,15 +88,19 @@
 }
 
 /// Returns the propagation of an endpoint change; `None` if no caller was notified.
-fn propagation(callers: &[CallerObservations], change: usize) -> Option<Propagation> {
+fn measure_propagation(callers: &[CallerObservations], change: usize) -> Option<Propagation> {
     let mut delays: Vec<f32> = callers.iter().filter_map(|caller| caller.update_delays[change]).collect();
     if delays.is_empty() {
         return None;
     }
     delays.sort_by(f32::total_cmp);
-    let until = |share: f64| {
-        let callers = (share * delays.len() as f64).ceil() as usize;
+    let delay_until = |fraction: f64| {
+        let callers = (fraction * delays.len() as f64).ceil() as usize;
         delays[callers.clamp(1, delays.len()) - 1]
     };
-    Some(Propagation { half: until(0.5), percent_99: until(0.99), all: until(1.0) })
+    Some(Propagation {
+        half_notified: delay_until(0.5),
+        percent_99_notified: delay_until(0.99),
+        all_notified: delay_until(1.0),
+    })
 }
--- a/crates/fleet-bench/src/fleet/scenario.rs
+++ b/crates/fleet-bench/src/fleet/scenario.rs
@@ -1,4 +1,4 @@
-//! State that all callers of one service have in common in one phase.
+//! State that all callers of one service share in one phase.
 
 use super::faults::{EndpointChange, Faults};
 use super::plan::{Phase, Plan};
@@ -21,14 +21,14 @@
     pub abort_at: Instant,
 }
 
-/// A phase for the callers of one service.
+/// The scenario of one phase for the callers of one service.
 #[derive(Debug)]
 pub struct Scenario<'a> {
     /// The phase.
     pub context: PhaseContext<'a>,
     /// The index of the called service.
     pub service_index: usize,
-    /// The changes of the service's endpoint list, in the order in which discovery publishes the changes.
+    /// The changes of the service's endpoint list, in the order of publication by discovery.
     pub changes: Vec<EndpointChange>,
     /// For each backend of the service, the time at which discovery first publishes that the backend is
     /// not in service, in seconds.
@@ -40,12 +40,13 @@
     #[must_use]
     pub fn new(context: PhaseContext<'a>, service_index: usize) -> Self {
         let changes = context.faults.changes(service_index, context.topology);
-        let first_published = |machine| {
-            let out = |c: &&EndpointChange| c.machine == machine && c.endpoint.status != Status::InService;
-            changes.iter().find(out).map(|change| change.published)
+        let first_published_at = |machine| {
+            let is_out_of_service =
+                |c: &&EndpointChange| c.machine == machine && c.endpoint.status != Status::InService;
+            changes.iter().find(is_out_of_service).map(|change| change.published_at)
         };
         let machines = context.topology.services[service_index].machines.clone();
-        let out_of_service_since = machines.map(first_published).collect();
+        let out_of_service_since = machines.map(first_published_at).collect();
         Self { context, service_index, changes, out_of_service_since }
     }
 
--- a/crates/fleet-bench/src/fleet/tables.rs
+++ b/crates/fleet-bench/src/fleet/tables.rs
@@ -1,4 +1,4 @@
-//! The results of a run as tables.
+//! The tables with the results of a run.
 
 mod calls;
 mod endpoint_lists;
@@ -17,10 +17,10 @@
 
 const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Returns all tables of the phases.
+/// Returns all tables with results of the phases.
 pub fn phase_tables(plan: &Plan, topology: &Topology, roles: &Roles, results: &[PhaseResult]) -> Vec<Table> {
     vec![
-        simulated(topology, results),
+        simulated_services_table(topology, results),
         calls::table(results),
         endpoint_lists::propagation(results),
         endpoint_lists::coverage(plan, results),
@@ -30,7 +30,7 @@
     ]
 }
 
-fn simulated(topology: &Topology, results: &[PhaseResult]) -> Table {
+fn simulated_services_table(topology: &Topology, results: &[PhaseResult]) -> Table {
     let columns =
         ["phase", "services simulated", "proxies simulated", "machines restarted", "machines crashed"];
     let mut table = Table::new("Simulated services and faults", &columns);
@@ -47,7 +47,7 @@
     table
 }
 
-/// Returns the notes that a reader of the tables needs.
+/// Returns notes that explain the tables.
 pub fn notes(plan: &Plan) -> Vec<String> {
     vec![
         "Each proxy calls exactly one of the services that its own service calls, as the proxies of the \
--- a/crates/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: services of uneven size, the machines of their backends, and the call graph.
+//! The simulated fleet: services of different sizes, the machines of their backends, and the call graph.
 
 use super::parameters::{LognormalTime, TimeRange};
 use super::plan::Plan;
@@ -9,21 +9,21 @@
 use rand::{Rng, SeedableRng};
 use std::ops::Range;
 
-/// Sigma of the lognormal call rates of proxies of different services.
-const RATE_SIGMA: f64 = 0.5;
-/// Sigma of the lognormal factor by which the popularity of a service differs from its size.
+/// Sigma of the lognormal distribution of the services' call rates per proxy.
+const CALL_RATE_SIGMA: f64 = 0.5;
+/// Sigma of the lognormal factor between the size of a service and its popularity.
 const POPULARITY_SIGMA: f64 = 0.7;
 /// Distribution of the services' mean service times, in seconds.
-const SERVICE_TIME: LognormalTime = LognormalTime { median: 0.010, sigma: 0.7 };
+const SERVICE_TIME_DISTRIBUTION: LognormalTime = LognormalTime { median: 0.010, sigma: 0.7 };
 /// Bounds of a service's mean service time, in seconds.
 const SERVICE_TIME_RANGE: TimeRange = TimeRange { min: 0.001, max: 0.060 };
-/// Absorbs the rounding of a running sum that should end at a whole number.
-const ROUNDING: f64 = 1e-6;
+/// Tolerance for rounding errors of a running sum whose exact final value is a whole number.
+const ROUNDING_TOLERANCE: f64 = 1e-6;
 
-/// The machine of a backend and its proxy.
+/// The machine of a backend and of the backend's proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct Machine {
-    /// The index of the service of the backend.
+    /// The index of the backend's service.
     pub service: usize,
     /// The zone of the machine.
     pub zone: ZoneId,
@@ -32,22 +32,23 @@
     /// The index of the service that the proxy calls; `None` in the lowest layer.
     pub callee: Option<usize>,
     /// Calls per second of the proxy.
-    pub rate: f64,
+    pub call_rate: f64,
 }
 
 /// A service.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Distance of the service from the clients, from 1.
+    /// Number of the service's layer: 1 for the layer next to the clients.
     pub layer: usize,
-    /// Machines of the service: a range of [`Topology::machines`].
+    /// Indices of the service's machines in [`Topology::machines`].
     pub machines: Range<usize>,
-    /// The machines whose proxies call the service; the position of a proxy is its instance index.
+    /// Indices of the machines whose proxies call the service. The position of a machine in this list is
+    /// the instance index of its proxy.
     pub callers: Vec<usize>,
     /// Mean service time, in seconds.
     pub service_time: Time,
-    /// Calls per second of all callers.
-    pub rate: f64,
+    /// Calls per second of all callers together.
+    pub call_rate: f64,
 }
 
 /// The fleet and its call graph.
@@ -57,12 +58,12 @@
     pub machines: Vec<Machine>,
     /// The services.
     pub services: Vec<Service>,
-    /// Zones in a region; zones are numbered region by region.
+    /// Number of zones in a region. The zones of a region have consecutive numbers.
     zones_per_region: usize,
 }
 
 impl Topology {
-    /// Draws the fleet of a plan.
+    /// Creates a random fleet with the parameters of a plan.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
         let rng = &mut SmallRng::seed_from_u64(derive_seed(&[plan.seed, 0]));
@@ -73,18 +74,19 @@
             services: Vec::with_capacity(plan.services),
             zones_per_region: plan.zones / plan.regions,
         };
-        // Shuffled, as the size of a service does not depend on its layer.
+        // Shuffled, so that the size of a service does not depend on its layer.
         let mut size_order: Vec<usize> = (0..plan.services).collect();
         size_order.shuffle(rng);
         for (service, &layer) in layers.iter().enumerate() {
             topology.add_service(layer, sizes[size_order[service]], plan, rng);
         }
         topology.draw_call_graph(plan.callees_per_service, rng);
-        topology.set_rates(plan.rate * plan.rate_scale, rng);
+        topology.set_call_rates(plan.rate * plan.rate_scale, rng);
         topology
     }
 
-    /// Adds a service with its machines, spread evenly over the zones from a random zone on.
+    /// Adds a service with its machines. The machines are distributed evenly over the zones, starting at a
+    /// random zone.
     fn add_service(&mut self, layer: usize, size: usize, plan: &Plan, rng: &mut SmallRng) {
         let service = self.services.len();
         let first_machine = self.machines.len();
@@ -94,54 +96,55 @@
             zone: ZoneId(((first_zone + i) % plan.zones) as u32),
             rack: rng.random_range(0..plan.racks),
             callee: None,
-            rate: 0.0,
+            call_rate: 0.0,
         }));
-        let service_time = SERVICE_TIME.median * (SERVICE_TIME.sigma * draw_normal(rng)).exp();
+        let service_time =
+            SERVICE_TIME_DISTRIBUTION.median * (SERVICE_TIME_DISTRIBUTION.sigma * draw_normal(rng)).exp();
         self.services.push(Service {
             layer,
             machines: first_machine..self.machines.len(),
             callers: Vec::new(),
             service_time: service_time.clamp(SERVICE_TIME_RANGE.min, SERVICE_TIME_RANGE.max),
-            rate: 0.0,
+            call_rate: 0.0,
         });
     }
 
-    /// Draws the call graph: each service calls a few services of lower layers, popular ones more often,
-    /// and each machine of a service calls one of its callees.
+    /// Draws the call graph: each service calls a few services of lower layers, with a preference for
+    /// popular services, and the proxy of each machine calls one of the service's callees.
     fn draw_call_graph(&mut self, callees_per_service: usize, rng: &mut SmallRng) {
-        // Larger services are called more, with a random factor.
+        // The popularity of a service is its size times a random factor.
         let popularity: Vec<f64> = self
             .services
             .iter()
             .map(|service| service.machines.len() as f64 * (POPULARITY_SIGMA * draw_normal(rng)).exp())
             .collect();
-        let mut callees = self.draw_one_caller_each(rng);
+        let mut callees = self.draw_one_caller_per_service(rng);
         for (service, callees) in callees.iter_mut().enumerate() {
-            let below = self.services_where(|other| other.layer > self.services[service].layer);
+            let lower_services = self.services_where(|other| other.layer > self.services[service].layer);
             for _ in 0..callees_per_service {
-                let drawn = draw_weighted(&below, &popularity, rng);
+                let drawn = draw_weighted(&lower_services, &popularity, rng);
                 callees.extend(drawn.filter(|callee| !callees.contains(callee)));
             }
             self.assign_callees(service, callees, &popularity, rng);
         }
     }
 
-    /// Draws for each service below the first layer a caller in the layer above, so that the call
-    /// graph is as deep as there are layers. Returns the callees of each service.
-    fn draw_one_caller_each(&self, rng: &mut SmallRng) -> Vec<Vec<usize>> {
+    /// Draws a caller in the layer above for each service below the first layer, so that the depth of the
+    /// call graph equals the number of layers. Returns the callees of each service.
+    fn draw_one_caller_per_service(&self, rng: &mut SmallRng) -> Vec<Vec<usize>> {
         let mut callees = vec![Vec::new(); self.services.len()];
         for (index, service) in self.services.iter().enumerate() {
-            let above = self.services_where(|other| other.layer + 1 == service.layer);
-            if !above.is_empty() {
-                let caller = above[rng.random_range(0..above.len())];
+            let services_above = self.services_where(|other| other.layer + 1 == service.layer);
+            if !services_above.is_empty() {
+                let caller = services_above[rng.random_range(0..services_above.len())];
                 callees[caller].push(index);
             }
         }
         callees
     }
 
-    /// Assigns to each machine of a service the callee of its proxy. The first machines get one callee
-    /// each, so that each callee has a caller; the other machines draw a callee by popularity.
+    /// Assigns a callee to the proxy of each machine of a service. The first machines get one callee
+    /// each, so that each callee has a caller. The callees of the other machines are drawn by popularity.
     fn assign_callees(&mut self, service: usize, callees: &[usize], popularity: &[f64], rng: &mut SmallRng) {
         for (i, machine) in self.services[service].machines.clone().enumerate() {
             let drawn = draw_weighted(callees, popularity, rng);
@@ -157,15 +160,16 @@
         (0..self.services.len()).filter(|index| selected(&self.services[*index])).collect()
     }
 
-    /// Draws the call rates of the proxies, with a sum of `total` calls per second.
-    fn set_rates(&mut self, total: f64, rng: &mut SmallRng) {
-        let factors: Vec<f64> = self.services.iter().map(|_| (RATE_SIGMA * draw_normal(rng)).exp()).collect();
+    /// Draws the call rates of the proxies, which add up to `total` calls per second.
+    fn set_call_rates(&mut self, total: f64, rng: &mut SmallRng) {
+        let factors: Vec<f64> =
+            self.services.iter().map(|_| (CALL_RATE_SIGMA * draw_normal(rng)).exp()).collect();
         let callers = self.machines.iter().filter(|machine| machine.callee.is_some());
         let sum: f64 = callers.map(|machine| factors[machine.service]).sum();
         for machine in &mut self.machines {
             if let Some(callee) = machine.callee {
-                machine.rate = total * factors[machine.service] / sum;
-                self.services[callee].rate += machine.rate;
+                machine.call_rate = total * factors[machine.service] / sum;
+                self.services[callee].call_rate += machine.call_rate;
             }
         }
     }
@@ -176,13 +180,13 @@
         zone.0 as usize / self.zones_per_region
     }
 
-    /// Returns the indices of the services that some proxy calls.
+    /// Returns the indices of the services that are called by at least one proxy.
     #[must_use]
     pub fn called_services(&self) -> Vec<usize> {
         self.services_where(|service| !service.callers.is_empty())
     }
 
-    /// Returns the endpoint of a machine's backend, in service since before the run.
+    /// Returns the endpoint of a machine's backend, which is in service before the run starts.
     #[must_use]
     pub fn endpoint(&self, machine: usize) -> Endpoint {
         let zone = self.machines[machine].zone;
@@ -207,31 +211,32 @@
     })
 }
 
-/// Returns the sizes of `services` services with `backends` backends in total, at least 2 each, the
-/// largest first. The backends beyond these 2 fall with the `skew`-th power of the rank, as sizes in
-/// large fleets do.
+/// Returns the number of backends of each service, in descending order, with `backends` backends in
+/// total. Each service has at least 2 backends. The number beyond 2 falls with the `skew`-th power of the
+/// service's rank, as the sizes of services do in large fleets.
 fn compute_service_sizes(backends: usize, services: usize, skew: f64) -> Vec<usize> {
     let to_distribute = backends.saturating_sub(2 * services) as f64;
     let last_weight = (services as f64).powf(-skew);
     let weight = |rank: usize| ((rank + 1) as f64).powf(-skew) - last_weight;
     let sum: f64 = (0..services).map(weight).sum();
-    // Rounded along the running sum, so that the sizes add up.
+    // The running sum is rounded, not each size, so that the sizes add up to the total.
     let mut cumulative = 0.0;
     let mut distributed = 0;
     let size = |rank: usize| {
         cumulative +=
             if sum > 0.0 { to_distribute * weight(rank) / sum } else { to_distribute / services as f64 };
-        let rounded = (cumulative + ROUNDING).floor() as usize;
+        let rounded = (cumulative + ROUNDING_TOLERANCE).floor() as usize;
         2 + rounded - std::mem::replace(&mut distributed, rounded)
     };
     (0..services).map(size).collect()
 }
 
-/// Draws the layer of each service, from 1: fewer services in deeper layers, and at least one in each.
+/// Draws the layer of each service, from 1. Deeper layers have fewer services, and each layer has at
+/// least one.
 fn draw_service_layers(services: usize, depth: usize, rng: &mut SmallRng) -> Vec<usize> {
     let mut layers: Vec<usize> = (1..=depth.min(services)).collect();
     while layers.len() < services {
-        // The smaller of two uniform draws has a density that falls linearly.
+        // The minimum of two uniform samples has a linearly falling density.
         let first = rng.random_range(1..=depth);
         let second = rng.random_range(1..=depth);
         layers.push(first.min(second));
