--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -24,7 +24,7 @@
 impl Balancer {
     /// Returns the bounds of the next attempt of a call, or None if the call must not be sent.
     pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<PermittedAttempt> {
-        attempts::next_attempt(&self.calls[key], self.now, self.settings.quantum)
+        attempts::next_attempt(&self.calls[key], self.now, self.settings.clock_resolution)
     }
 
     /// Sends the next attempt of a call, if an attempt is permitted and a backend is available. Returns
@@ -47,7 +47,7 @@
             timeout: call.deadline() - self.now,
             write_within: write_deadline - self.now,
         });
-        self.calls.clear_lack_of_capacity(key);
+        self.calls.clear_unaccepted_attempt(key);
         self.schedule_health_check(actions);
         true
     }
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -46,7 +46,7 @@
     pub(super) stage: CallStage,
     pub(super) body: BodyProgress,
     /// Whether the latest attempt was rejected or got no connection, and the call waits for a retry.
-    pub(super) lacks_capacity: bool,
+    pub(super) latest_attempt_unaccepted: bool,
     /// The backend that was drawn for the latest placement but not chosen. The next retry is sent to this
     /// backend.
     alternative: Option<BackendIndex>,
@@ -68,9 +68,9 @@
             retry_timer: RetryTimer::new(t1),
             attempts: Vec::new(),
             ordering_key: None,
-            stage: CallStage::Undispatched,
+            stage: CallStage::Ready,
             body: BodyProgress { is_streamed: is_receiving, is_receiving, is_consumed: false },
-            lacks_capacity: false,
+            latest_attempt_unaccepted: false,
             alternative: None,
         }
     }
@@ -211,7 +211,7 @@
 
     /// Ends the wait of a queued call at `now`, and sets a new T1 in seconds.
     pub(super) fn leave_queue(&mut self, now: Time, t1: Time) {
-        self.stage = CallStage::Undispatched;
+        self.stage = CallStage::Ready;
         self.dispatched_at = now;
         self.retry_timer.set_t1(t1);
     }
--- a/crates/balancer/tests/concerns/admission.rs
+++ b/crates/balancer/tests/concerns/admission.rs
@@ -126,7 +126,7 @@
     let without_late_weight = request_class("class", Effect::Safe);
     let with_late_weight = RequestClass { late_priority_weight: 0.1, ..without_late_weight.clone() };
     let classes = vec![without_late_weight, with_late_weight];
-    let settings = Settings { classes, quantum: 0.01, ..Settings::default() };
+    let settings = Settings { classes, clock_resolution: 0.01, ..Settings::default() };
     let timeout_of_class =
         |class, timeout| effective_timeout(&Request { class, timeout, ..request(1) }, &settings);
 
