--- a/crates/balancer-settings/src/defaults.rs
+++ b/crates/balancer-settings/src/defaults.rs
@@ -21,9 +21,9 @@
 pub const SLOW_START_OVERLOAD_WINDOW: Time = 1.0;
 /// Time for which no request of an ordering key is dispatched after an attempt of the key that may still be
 /// running, in seconds.
-pub const KEY_REST_DURATION: Time = 0.0;
+pub const KEY_BLOCK_DURATION: Time = 0.0;
 /// Resolution of timers and clocks, in seconds.
-pub const QUANTUM: Time = 0.001;
+pub const CLOCK_RESOLUTION: Time = 0.001;
 
 /// Deadline of a class that has neither a deadline nor a latency objective, in seconds.
 pub const MAX_TIMEOUT: Time = 1.0;
--- a/crates/balancer-settings/src/translation.rs
+++ b/crates/balancer-settings/src/translation.rs
@@ -65,9 +65,9 @@
                 .fall_multiple
                 .unwrap_or(defaults::SLOW_START_OVERLOAD_MULTIPLE),
             slow_start_overload_window: rules.tip_after.unwrap_or(defaults::SLOW_START_OVERLOAD_WINDOW),
-            key_block_duration: rules.settle_after_doubt.unwrap_or(defaults::KEY_REST_DURATION),
+            key_block_duration: rules.settle_after_doubt.unwrap_or(defaults::KEY_BLOCK_DURATION),
             idle_close_limit: rules.release_within,
-            clock_resolution: self.quantum.unwrap_or(defaults::QUANTUM),
+            clock_resolution: self.quantum.unwrap_or(defaults::CLOCK_RESOLUTION),
         })
     }
 }
--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -19,7 +19,7 @@
 const MAX_ADMISSION_WAIT_FRACTION: f64 = 0.25;
 /// The margin between the latest response and the client's deadline, in clock ticks. Timers fire only once
 /// per tick.
-const RESPONSE_MARGIN_CLOCK_TICKS: f64 = 2.0;
+const RESPONSE_MARGIN_CLOCK_RESOLUTION_MULTIPLE: f64 = 2.0;
 
 /// The arrival rates of the requests of one class, by quota status.
 #[derive(Clone, Copy, Debug)]
@@ -135,7 +135,7 @@
 /// latency objective is the limit, because a call that waits longer only keeps backends busy.
 pub(super) fn effective_timeout(request: &Request, settings: &Settings) -> Time {
     let class = settings.class(request.class);
-    let timeout = request.timeout - RESPONSE_MARGIN_CLOCK_TICKS * settings.clock_resolution;
+    let timeout = request.timeout - RESPONSE_MARGIN_CLOCK_RESOLUTION_MULTIPLE * settings.clock_resolution;
     if class.late_priority_weight <= 0.0 { timeout.min(class.latency_objective) } else { timeout }
 }
 
--- a/crates/balancer/src/decisions/backends/mod.rs
+++ b/crates/balancer/src/decisions/backends/mod.rs
@@ -110,7 +110,7 @@
     /// refers.
     pub fn remove_unreferenced(&mut self) {
         let attempt_counts = &self.attempt_counts;
-        self.endpoints.prune_removed(|index| attempt_counts.is_referenced(index));
+        self.endpoints.remove_unreferenced(|index| attempt_counts.is_referenced(index));
     }
 
     /// Returns whether a backend is in service by the endpoint list, and not in maintenance.
@@ -142,7 +142,7 @@
     /// Begins the maintenance of a backend. Returns whether the maintenance has begun, which is false if the
     /// backend was in maintenance already.
     pub fn begin_maintenance(&mut self, id: BackendId, now: Time) -> bool {
-        self.maintenance.prune_returned(now, self.slow_start.duration());
+        self.maintenance.remove_returned(now, self.slow_start.duration());
         if self.maintenance.contains(id) {
             return false;
         }
@@ -154,7 +154,7 @@
 
     /// Ends the maintenance of a backend. Returns whether the backend was in maintenance.
     pub fn end_maintenance(&mut self, id: BackendId, now: Time) -> bool {
-        self.maintenance.prune_returned(now, self.slow_start.duration());
+        self.maintenance.remove_returned(now, self.slow_start.duration());
         if !self.maintenance.contains(id) {
             return false;
         }
--- a/crates/balancer/src/decisions/balancer/completion.rs
+++ b/crates/balancer/src/decisions/balancer/completion.rs
@@ -23,17 +23,17 @@
             }
         }
         // An attempt of an ended call may have blocked its ordering key.
-        let orphan_key = self.ordered_keys.remove_orphan(ended.id, ended.attempt);
-        let ordering_key = key.map_or(orphan_key, |key| self.calls[key].ordering_key());
+        let ended_call_ordering_key = self.ordered_keys.remove_attempt_of_ended_call(ended.id, ended.attempt);
+        let ordering_key = key.map_or(ended_call_ordering_key, |key| self.calls[key].ordering_key());
         if let Some(ordering_key) = ordering_key.filter(|_| may_still_run(ended.outcome)) {
             // Times are rounded to the clock resolution. Adding the resolution ensures that the key is
             // blocked for the full duration.
             let until = self.now + self.settings.key_block_duration + self.settings.clock_resolution;
             self.ordered_keys.block_until(ordering_key, until);
         }
-        match (key, orphan_key) {
+        match (key, ended_call_ordering_key) {
             (Some(key), _) => self.on_outcome(key, &ended, actions),
-            (None, Some(orphan_key)) => self.dispatch_next(orphan_key, actions),
+            (None, Some(ended_call_ordering_key)) => self.dispatch_next(ended_call_ordering_key, actions),
             (None, None) => {}
         }
     }
--- a/crates/balancer/src/decisions/endpoint_table.rs
+++ b/crates/balancer/src/decisions/endpoint_table.rs
@@ -25,7 +25,7 @@
 }
 
 /// All known backends. The entry of a backend that was removed from the endpoint list stays while attempts
-/// refer to the backend, until [`EndpointTable::prune_removed`] drops the entry.
+/// refer to the backend, until [`EndpointTable::remove_unreferenced`] drops the entry.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     endpoints: BackendMap<Endpoint>,
@@ -88,7 +88,7 @@
 
     /// Drops the entry of each removed backend unless `is_referenced` returns true. The table would
     /// otherwise grow without bound where deployments replace all backends again and again.
-    pub fn prune_removed(&mut self, is_referenced: impl Fn(BackendIndex) -> bool) {
+    pub fn remove_unreferenced(&mut self, is_referenced: impl Fn(BackendIndex) -> bool) {
         for index in self.endpoints.indices() {
             let Endpoint { id, status, .. } = self.endpoints[index];
             if status != Status::Removed || is_referenced(index) {
--- a/crates/balancer/src/decisions/fleet_assignment.rs
+++ b/crates/balancer/src/decisions/fleet_assignment.rs
@@ -115,8 +115,8 @@
         let subsets = Subsets::new(balancers, capacity);
         let mut assignment = Self { shape, backends, subsets, memberships };
         assignment.assign_each_backend(max_assigned);
-        assignment.fill_by_proposals();
-        assignment.fill_with_fewest_memberships();
+        assignment.add_members_by_proposals();
+        assignment.add_backends_with_fewest_memberships();
         assignment
     }
 
@@ -162,7 +162,7 @@
 
     /// Runs proposal rounds until all subsets have their least size or the greatest number of rounds is
     /// reached.
-    fn fill_by_proposals(&mut self) {
+    fn add_members_by_proposals(&mut self) {
         let balancers = self.subsets.balancer_count();
         let mut incomplete_subsets = (0..balancers).filter(|balancer| self.lacks_members(*balancer)).count();
         let rounds = |proposals: usize| (proposals * balancers).div_ceil(self.backends.len().max(1));
@@ -188,7 +188,7 @@
     }
 
     /// Fills the subsets that are still too small with the backends that have the fewest memberships.
-    fn fill_with_fewest_memberships(&mut self) {
+    fn add_backends_with_fewest_memberships(&mut self) {
         for balancer in 0..self.subsets.balancer_count() {
             while self.lacks_members(balancer) {
                 let subset = self.subsets.members_of(balancer);
--- a/crates/balancer/src/decisions/maintenance.rs
+++ b/crates/balancer/src/decisions/maintenance.rs
@@ -81,7 +81,7 @@
 
     /// Drops the state of returned backends whose slow start of `slow_start_duration` seconds after their
     /// return is over.
-    pub fn prune_returned(&mut self, now: Time, slow_start_duration: Time) {
+    pub fn remove_returned(&mut self, now: Time, slow_start_duration: Time) {
         self.states.retain(|_, state| match state.phase {
             Phase::InMaintenance { .. } => true,
             Phase::Returned { assumed_start } => {
--- a/crates/balancer/src/decisions/ordered_keys.rs
+++ b/crates/balancer/src/decisions/ordered_keys.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// The least number of queues at which idle queues are removed.
-const MIN_PRUNE_THRESHOLD: usize = 16;
+const MIN_REMOVAL_THRESHOLD: usize = 16;
 
 /// The queue of one ordering key.
 #[derive(Debug, Default)]
@@ -16,14 +16,14 @@
     /// The calls without a final response, in the order of their arrival.
     calls: VecDeque<CallKey>,
     /// The number of attempts in flight whose calls have ended.
-    orphaned_attempts: usize,
+    ended_call_attempt_count: usize,
     /// The time until which the key is blocked, in seconds.
     blocked_until: Time,
 }
 
 impl KeyQueue {
     fn is_idle(&self, now: Time) -> bool {
-        self.calls.is_empty() && self.orphaned_attempts == 0 && self.blocked_until <= now
+        self.calls.is_empty() && self.ended_call_attempt_count == 0 && self.blocked_until <= now
     }
 }
 
@@ -41,14 +41,18 @@
 pub(super) struct OrderedKeys {
     queues: HashMap<u64, KeyQueue>,
     /// The number of queues at which idle queues are removed.
-    prune_threshold: usize,
+    removal_threshold: usize,
     /// The ordering key of each attempt in flight whose call has ended.
-    orphans: HashMap<AttemptId, u64>,
+    ended_call_attempts: HashMap<AttemptId, u64>,
 }
 
 impl Default for OrderedKeys {
     fn default() -> Self {
-        Self { queues: HashMap::new(), prune_threshold: MIN_PRUNE_THRESHOLD, orphans: HashMap::new() }
+        Self {
+            queues: HashMap::new(),
+            removal_threshold: MIN_REMOVAL_THRESHOLD,
+            ended_call_attempts: HashMap::new(),
+        }
     }
 }
 
@@ -60,9 +64,9 @@
 
     /// Adds a call to the queue of its ordering key. Removes idle queues first if there are many queues.
     pub fn enqueue(&mut self, ordering_key: u64, call: CallKey, now: Time) {
-        if self.queues.len() >= self.prune_threshold {
+        if self.queues.len() >= self.removal_threshold {
             self.queues.retain(|_, queue| !queue.is_idle(now));
-            self.prune_threshold = MIN_PRUNE_THRESHOLD.max(2 * self.queues.len());
+            self.removal_threshold = MIN_REMOVAL_THRESHOLD.max(2 * self.queues.len());
         }
         self.queues.entry(ordering_key).or_default().calls.push_back(call);
     }
@@ -70,30 +74,35 @@
     /// Returns the next call of an ordering key, or `None` if the queue is empty or an attempt of an ended
     /// call is still in flight.
     pub fn next(&self, ordering_key: u64) -> Option<NextCall> {
-        let queue = self.queues.get(&ordering_key).filter(|queue| queue.orphaned_attempts == 0)?;
+        let queue = self.queues.get(&ordering_key).filter(|queue| queue.ended_call_attempt_count == 0)?;
         let key = *queue.calls.front()?;
         Some(NextCall { key, blocked_until: queue.blocked_until })
     }
 
-    /// Removes an ended call from its queue. Its attempts in flight become orphans, which still block the
+    /// Removes an ended call from its queue. Its attempts in flight become ended_call_attempts, which still block the
     /// ordering key.
     pub fn remove(&mut self, ordering_key: u64, key: CallKey, call: &Call) {
         let Some(queue) = self.queues.get_mut(&ordering_key) else { return };
         queue.calls.retain(|queued| *queued != key);
         for (attempt, sent) in call.numbered_attempts() {
             if sent.is_in_flight() {
-                queue.orphaned_attempts += 1;
-                self.orphans.insert(AttemptId { request: call.id(), number: attempt }, ordering_key);
+                queue.ended_call_attempt_count += 1;
+                self.ended_call_attempts
+                    .insert(AttemptId { request: call.id(), number: attempt }, ordering_key);
             }
         }
     }
 
     /// Removes an orphaned attempt that has ended. Returns its ordering key, or `None` if the attempt was
     /// not an orphan.
-    pub fn remove_orphan(&mut self, request: RequestId, attempt: AttemptNumber) -> Option<u64> {
-        let ordering_key = self.orphans.remove(&AttemptId { request, number: attempt })?;
+    pub fn remove_attempt_of_ended_call(
+        &mut self,
+        request: RequestId,
+        attempt: AttemptNumber,
+    ) -> Option<u64> {
+        let ordering_key = self.ended_call_attempts.remove(&AttemptId { request, number: attempt })?;
         if let Some(queue) = self.queues.get_mut(&ordering_key) {
-            queue.orphaned_attempts -= 1;
+            queue.ended_call_attempt_count -= 1;
         }
         Some(ordering_key)
     }
--- a/crates/balancer/src/decisions/placement.rs
+++ b/crates/balancer/src/decisions/placement.rs
@@ -61,7 +61,7 @@
             return Some(Placement { backend, alternative: None });
         }
         let mut candidates = self.candidates(constraints);
-        self.drop_above_mean_load(&mut candidates);
+        self.remove_above_mean_load(&mut candidates);
         let first = candidates.swap_remove(self.sample_index(candidates.len())?);
         let Some(second) = self.sample_index(candidates.len()).map(|index| candidates[index]) else {
             return Some(Placement { backend: first, alternative: None });
@@ -111,7 +111,7 @@
 
     /// Drops the candidates whose load exceeds the mean. Otherwise a slow machine would be overloaded
     /// whenever both sampled candidates are slow.
-    fn drop_above_mean_load(&self, candidates: &mut Vec<BackendIndex>) {
+    fn remove_above_mean_load(&self, candidates: &mut Vec<BackendIndex>) {
         let mean = candidates.iter().map(|index| self.load(*index)).sum::<f64>() / candidates.len() as f64;
         candidates.retain(|index| self.load(*index) <= mean * (1.0 + LOAD_ROUNDING_TOLERANCE));
     }
--- a/crates/balancer/src/decisions/retransmission.rs
+++ b/crates/balancer/src/decisions/retransmission.rs
@@ -87,15 +87,15 @@
 }
 
 /// Returns T1 in seconds for a call with this latency estimate and `time_left` seconds until its deadline.
-/// T1 exceeds the expected latency, but leaves time for a retry, and is at least `timer_resolution`
+/// T1 exceeds the expected latency, but leaves time for a retry, and is at least `clock_resolution`
 /// seconds.
-pub(super) fn first_interval(latency: &LatencyEstimate, time_left: Time, timer_resolution: Time) -> Time {
+pub(super) fn first_interval(latency: &LatencyEstimate, time_left: Time, clock_resolution: Time) -> Time {
     let max_t1 = MAX_T1_FRACTION * time_left;
     if latency.samples() <= 0.0 {
-        return max_t1.max(timer_resolution);
+        return max_t1.max(clock_resolution);
     }
     let t1_from_latency = latency.mean() + T1_MEAN_DEVIATIONS * latency.deviation();
-    t1_from_latency.min(max_t1).max(timer_resolution)
+    t1_from_latency.min(max_t1).max(clock_resolution)
 }
 
 /// Returns the probability of a retry: the probability p of the paper, from the unanswered calls and the
--- a/crates/balancer/src/decisions/timer.rs
+++ b/crates/balancer/src/decisions/timer.rs
@@ -31,17 +31,17 @@
 /// The number of low bits of a key's integer that encode the slot. The higher bits encode the version of
 /// the slot.
 const KEY_SLOT_BITS: u32 = 32;
-const RETRY: u64 = 0;
-const DEADLINE: u64 = 1;
-const QUEUE_WAIT: u64 = 2;
+const RETRY_PURPOSE: u64 = 0;
+const DEADLINE_PURPOSE: u64 = 1;
+const QUEUE_WAIT_PURPOSE: u64 = 2;
 
 impl From<Timer> for TimerToken {
     fn from(timer: Timer) -> Self {
         let (key, purpose) = match timer {
             Timer::EndpointPoll => return TimerToken(ENDPOINT_POLL_TOKEN),
-            Timer::Retry(key) => (key, RETRY),
-            Timer::Deadline(key) => (key, DEADLINE),
-            Timer::QueueWait(key) => (key, QUEUE_WAIT),
+            Timer::Retry(key) => (key, RETRY_PURPOSE),
+            Timer::Deadline(key) => (key, DEADLINE_PURPOSE),
+            Timer::QueueWait(key) => (key, QUEUE_WAIT_PURPOSE),
         };
         TimerToken(1 + (pack(key) << PURPOSE_BITS | purpose))
     }
@@ -55,8 +55,8 @@
         let packed = token - 1;
         let key = unpack(packed >> PURPOSE_BITS);
         match packed & PURPOSE_MASK {
-            DEADLINE => Self::Deadline(key),
-            QUEUE_WAIT => Self::QueueWait(key),
+            DEADLINE_PURPOSE => Self::Deadline(key),
+            QUEUE_WAIT_PURPOSE => Self::QueueWait(key),
             _ => Self::Retry(key),
         }
     }
--- a/crates/balancer/tests/concerns/endpoint_table.rs
+++ b/crates/balancer/tests/concerns/endpoint_table.rs
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn prunes_only_removed_backends_without_a_reference() {
+fn removes_only_unlisted_backends_without_a_reference() {
     let mut table = EndpointTable::default();
     table.upsert(&endpoint(1));
     let referenced = table.upsert(&Endpoint { status: Status::Removed, ..endpoint(2) }).index;
     table.upsert(&Endpoint { status: Status::Removed, ..endpoint(3) });
     table.upsert(&Endpoint { status: Status::Draining, ..endpoint(4) });
 
-    table.prune_removed(|index| index == referenced);
+    table.remove_unreferenced(|index| index == referenced);
 
     let is_known = |id: &u32| table.index_of(BackendId(*id)).is_some();
     let known: Vec<u32> = (1..=4).filter(is_known).collect();
@@ -66,17 +66,17 @@
 }
 
 #[test]
-fn reuses_the_index_of_a_pruned_backend_once() {
+fn reuses_the_index_of_a_removed_backend_once() {
     let mut table = EndpointTable::default();
-    let pruned = table.upsert(&Endpoint { status: Status::Removed, ..endpoint(1) }).index;
-    table.prune_removed(|_| false);
-    table.prune_removed(|_| false);
+    let removed = table.upsert(&Endpoint { status: Status::Removed, ..endpoint(1) }).index;
+    table.remove_unreferenced(|_| false);
+    table.remove_unreferenced(|_| false);
 
     let first = table.upsert(&endpoint(2));
     let second = table.upsert(&endpoint(3));
 
     assert_eq!(first.change, EndpointChange::Added);
-    assert_eq!(first.index, pruned);
-    assert_ne!(second.index, pruned);
+    assert_eq!(first.index, removed);
+    assert_ne!(second.index, removed);
     assert_eq!(table.indices().count(), 2);
 }
--- a/crates/balancer/tests/concerns/maintenance.rs
+++ b/crates/balancer/tests/concerns/maintenance.rs
@@ -66,9 +66,9 @@
     maintenance.end(BACKEND, MAINTENANCE_END, None);
     let used = [BACKEND, OTHER_BACKEND].map(|backend| maintenance.was_used(backend));
 
-    maintenance.prune_returned(MAINTENANCE_END + SLOW_START_DURATION - 0.1, SLOW_START_DURATION);
+    maintenance.remove_returned(MAINTENANCE_END + SLOW_START_DURATION - 0.1, SLOW_START_DURATION);
     let is_used_during_slow_start = maintenance.was_used(BACKEND);
-    maintenance.prune_returned(MAINTENANCE_END + SLOW_START_DURATION, SLOW_START_DURATION);
+    maintenance.remove_returned(MAINTENANCE_END + SLOW_START_DURATION, SLOW_START_DURATION);
 
     assert_eq!(used, [true, false]);
     assert!(is_used_during_slow_start);
@@ -79,7 +79,7 @@
 fn keeps_the_state_of_a_backend_in_maintenance_without_a_time_limit() {
     let mut maintenance = maintenance_of_used_backend();
 
-    maintenance.prune_returned(MAINTENANCE_BEGIN + 1e9, SLOW_START_DURATION);
+    maintenance.remove_returned(MAINTENANCE_BEGIN + 1e9, SLOW_START_DURATION);
 
     assert!(maintenance.contains(BACKEND));
     assert!(maintenance.was_used(BACKEND));
--- a/crates/balancer/tests/concerns/ordered_keys.rs
+++ b/crates/balancer/tests/concerns/ordered_keys.rs
@@ -64,11 +64,11 @@
 
     keys.remove(ORDERING_KEY, ended, &call_with_attempt(None));
     let while_in_flight = next_call_key(&keys);
-    let removed_orphan_key = keys.remove_orphan(RequestId(1), AttemptNumber(0));
-    let removed_again = keys.remove_orphan(RequestId(1), AttemptNumber(0));
+    let key_of_removed_attempt = keys.remove_attempt_of_ended_call(RequestId(1), AttemptNumber(0));
+    let removed_again = keys.remove_attempt_of_ended_call(RequestId(1), AttemptNumber(0));
 
     assert_eq!(while_in_flight, None);
-    assert_eq!(removed_orphan_key, Some(ORDERING_KEY));
+    assert_eq!(key_of_removed_attempt, Some(ORDERING_KEY));
     assert_eq!(removed_again, None);
     assert_eq!(next_call_key(&keys), Some(waiting));
 }
@@ -83,7 +83,7 @@
     keys.remove(ORDERING_KEY, ended, &call_with_attempt(Some(Outcome::Timeout)));
 
     assert_eq!(next_call_key(&keys), Some(waiting));
-    assert_eq!(keys.remove_orphan(RequestId(1), AttemptNumber(0)), None);
+    assert_eq!(keys.remove_attempt_of_ended_call(RequestId(1), AttemptNumber(0)), None);
 }
 
 #[test]
--- a/crates/balancer/tests/concerns/retransmission.rs
+++ b/crates/balancer/tests/concerns/retransmission.rs
@@ -10,7 +10,7 @@
 /// T1 of the calls of these tests, in seconds.
 const T1: Time = 0.5;
 /// The resolution of timers, in seconds.
-const TIMER_RESOLUTION: Time = 0.01;
+const CLOCK_RESOLUTION: Time = 0.01;
 /// The average send rate, at which ten calls are sent in one T1.
 const SENDS_PER_SECOND: f64 = 20.0;
 
@@ -72,22 +72,22 @@
 fn t1_is_the_mean_latency_plus_four_mean_deviations() {
     let latency = estimate_from_latencies(&[0.1, 0.2, 0.1, 0.2]);
 
-    let t1 = first_interval(&latency, 100.0, TIMER_RESOLUTION);
+    let t1 = first_interval(&latency, 100.0, CLOCK_RESOLUTION);
 
     assert_close(t1, latency.mean() + 4.0 * latency.deviation());
 }
 
 #[test]
-fn t1_leaves_time_for_a_retry_and_is_at_least_the_timer_resolution() {
+fn t1_leaves_time_for_a_retry_and_is_at_least_the_clock_resolution() {
     let unknown = LatencyEstimate::default();
     let slow = estimate_from_latencies(&[5.0]);
     let instant = estimate_from_latencies(&[0.0]);
 
-    assert_close(first_interval(&unknown, 2.0, TIMER_RESOLUTION), 0.8);
-    assert_close(first_interval(&slow, 2.0, TIMER_RESOLUTION), 0.8);
-    assert_close(first_interval(&instant, 2.0, TIMER_RESOLUTION), TIMER_RESOLUTION);
-    assert_close(first_interval(&unknown, 0.0, TIMER_RESOLUTION), TIMER_RESOLUTION);
-    assert_close(first_interval(&slow, -1.0, TIMER_RESOLUTION), TIMER_RESOLUTION);
+    assert_close(first_interval(&unknown, 2.0, CLOCK_RESOLUTION), 0.8);
+    assert_close(first_interval(&slow, 2.0, CLOCK_RESOLUTION), 0.8);
+    assert_close(first_interval(&instant, 2.0, CLOCK_RESOLUTION), CLOCK_RESOLUTION);
+    assert_close(first_interval(&unknown, 0.0, CLOCK_RESOLUTION), CLOCK_RESOLUTION);
+    assert_close(first_interval(&slow, -1.0, CLOCK_RESOLUTION), CLOCK_RESOLUTION);
 }
 
 #[test]
