--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -15,10 +15,10 @@
 const MIN_TIME_LEFT_FRACTION: f64 = 0.6;
 /// The longest wait for admission, as a fraction of the timeout. A short wait is enough where few calls are
 /// in flight, because their excess ends within a few responses. The fraction is small because, in a lasting
-/// overload, a request that is rejected in the end has waited in vain.
+/// overload, the wait only delays the rejection of the request.
 const MAX_ADMISSION_WAIT_FRACTION: f64 = 0.25;
-/// The margin between the latest response and the client's deadline, in clock ticks. Timers fire only once
-/// per tick.
+/// The margin between the latest response and the client's deadline, as a multiple of the clock resolution.
+/// Timers have no finer resolution.
 const RESPONSE_MARGIN_CLOCK_RESOLUTION_MULTIPLE: f64 = 2.0;
 
 /// The arrival rates of the requests of one class, by quota status.
@@ -114,7 +114,7 @@
         &self.queue
     }
 
-    /// Returns the mutable queue of calls that wait for admission.
+    /// Returns the queue of calls that wait for admission, to add or remove calls.
     pub fn queue_mut(&mut self) -> &mut AdmissionQueue {
         &mut self.queue
     }
@@ -149,8 +149,8 @@
     MAX_ADMISSION_WAIT_FRACTION * timeout
 }
 
-/// Returns the delay before a retry that a rejection asks of the client, in seconds. `None` where the
-/// settings set no such delay, as clients do not honour one.
+/// Returns the time that the client should wait before a retry of a rejected request, in seconds, or `None`
+/// if the settings state that clients do not honour `Retry-After`.
 pub(super) fn retry_after(t1: Time, settings: &Settings) -> Option<Time> {
     let wait = t1.min(settings.max_retry_after);
     (wait > 0.0).then_some(wait)
--- a/crates/balancer/src/decisions/attempts.rs
+++ b/crates/balancer/src/decisions/attempts.rs
@@ -55,7 +55,7 @@
         Effect::Safe => Some(unrestricted),
         Effect::Unsafe => None,
         Effect::Idempotent { group, window } => {
-            // Clocks are rounded, so the window is shortened by the resolution of clocks.
+            // Times are rounded to the clock resolution, so the window is shortened by the resolution.
             let write_deadline = call.deadline().min(first_run.sent_at + window - clock_resolution);
             let scope = idempotency_scope(group, first_run);
             (now < write_deadline).then_some(PermittedAttempt { scope, write_deadline })
@@ -75,7 +75,7 @@
     !body.is_consumed && (may_hedge || !call.has_attempt_in_flight())
 }
 
-/// Returns the backends that recognise a repeated request, given its first attempt that may have run.
+/// Returns the backends that detect a repeat of a request, given its first attempt that may have run.
 fn idempotency_scope(group: IdempotencyGroup, first_run: &Attempt) -> Scope {
     match group {
         IdempotencyGroup::All => Scope::Anywhere,
--- a/crates/balancer/src/decisions/backends/mod.rs
+++ b/crates/balancer/src/decisions/backends/mod.rs
@@ -113,7 +113,7 @@
         self.endpoints.remove_unreferenced(|index| attempt_counts.is_referenced(index));
     }
 
-    /// Returns whether a backend is in service by the endpoint list, and not in maintenance.
+    /// Returns whether a backend is in service according to the endpoint list, and not in maintenance.
     fn is_in_service(&self, index: BackendIndex) -> bool {
         let endpoint = self.endpoint(index);
         endpoint.status == Status::InService && !self.maintenance.contains(endpoint.id)
@@ -195,18 +195,18 @@
         self.slow_start.has_budget(index, started_at, warm_rate, context.now, context.random)
     }
 
-    /// Returns the rate of requests that this balancer would send to a member outside its slow start. The
-    /// rate is divided by the number of subsets of the member over the mean, so that the rates of all
-    /// balancers add up to the same total for each backend.
+    /// Returns the rate of requests that this balancer would send to a member that is not in slow start. The
+    /// rate is divided by the ratio of the number of subsets that contain the member to the mean number, so
+    /// that the rates of all balancers add up to the same total for each backend.
     fn warm_rate(&self, member: BackendIndex, context: &mut DecisionContext<'_>) -> WarmRate {
-        let memberships = self.subset.membership_ratio_to_mean(member);
+        let membership_ratio = self.subset.membership_ratio_to_mean(member);
         let successes = context.traffic.successes_per_second(context.now);
         if let Some(reported) = self.load_reports.requests_per_second_per_backend() {
             let balancers = self.balancers_per_backend(context.settings);
-            return WarmRate::Reported(reported / balancers / memberships);
+            return WarmRate::Reported(reported / balancers / membership_ratio);
         }
         let members = self.subset.members().len().max(1) as f64;
-        WarmRate::Own(successes / members / memberships)
+        WarmRate::Own(successes / members / membership_ratio)
     }
 
     /// Returns the number of balancers that have a given backend as a member, on the assumption that each
--- a/crates/balancer/src/decisions/balancer/arrivals.rs
+++ b/crates/balancer/src/decisions/balancer/arrivals.rs
@@ -113,9 +113,9 @@
     pub(super) fn admit_queued(&mut self, actions: &mut Vec<Action>) {
         while let Some(highest_rank) = self.admission.queue().highest_rank()
             && self.admits(highest_rank)
-            && let Some(best) = self.admission.queue_mut().pop_highest()
+            && let Some(key) = self.admission.queue_mut().pop_highest()
         {
-            self.dispatch_queued(best, actions);
+            self.dispatch_queued(key, actions);
         }
     }
 
--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -22,7 +22,7 @@
 }
 
 impl Balancer {
-    /// Returns the bounds of the next attempt of a call, or None if the call must not be sent.
+    /// Returns the limits of the next attempt of a call, or `None` if the call must not be sent.
     pub(super) fn permitted_attempt(&self, key: CallKey) -> Option<PermittedAttempt> {
         attempts::next_attempt(&self.calls[key], self.now, self.settings.clock_resolution)
     }
--- a/crates/balancer/src/decisions/calls/call.rs
+++ b/crates/balancer/src/decisions/calls/call.rs
@@ -47,7 +47,7 @@
     pub(super) body: BodyProgress,
     /// Whether the latest attempt was rejected or got no connection, and the call waits for a retry.
     pub(super) latest_attempt_unaccepted: bool,
-    /// The backend that was drawn for the latest placement but not chosen. The next retry is sent to this
+    /// The backend that was sampled for the latest placement but not chosen. The next retry is sent to this
     /// backend.
     alternative: Option<BackendIndex>,
 }
--- a/crates/balancer/src/decisions/endpoint_polls.rs
+++ b/crates/balancer/src/decisions/endpoint_polls.rs
@@ -8,11 +8,12 @@
 /// time and the time given by [`POLL_BACKOFF_AFTER_START`].
 const POLL_BACKOFF_AFTER_FAILURE: Time = 0.25;
 /// The mean delay from the start of the previous retry to the start of the next one, in seconds. 6 s after
-/// discovery returns, every change counts as notified, even if two polls after the return take 2 s each to
-/// fail.
+/// discovery is available again, every change counts as notified, even if the next two polls take 2 s each
+/// to fail.
 const POLL_BACKOFF_AFTER_START: Time = 1.0;
-/// The least delay as a fraction of the mean. Delays have a uniform jitter between this fraction and this
-/// fraction plus one, to spread the polls, as discovery may be busy.
+/// The least delay as a fraction of the mean. Each delay is the mean times a uniform random factor between
+/// this fraction and this fraction plus one. The random factor spreads the polls, because discovery may be
+/// busy.
 const MIN_BACKOFF_FRACTION: f64 = 0.5;
 /// The period over which the first polls of balancers are spread, as a fraction of the longest interval
 /// between polls. Balancers often start together.
--- a/crates/balancer/src/decisions/endpoint_table.rs
+++ b/crates/balancer/src/decisions/endpoint_table.rs
@@ -25,12 +25,12 @@
 }
 
 /// All known backends. The entry of a backend that was removed from the endpoint list stays while attempts
-/// refer to the backend, until [`EndpointTable::remove_unreferenced`] drops the entry.
+/// refer to the backend, until [`EndpointTable::remove_unreferenced`] removes the entry.
 #[derive(Debug, Default)]
 pub(super) struct EndpointTable {
     endpoints: BackendMap<Endpoint>,
     by_id: HashMap<BackendId, BackendIndex>,
-    /// The indices of dropped entries, to be reused for new backends.
+    /// The indices of removed entries, to be reused for new backends.
     free_indices: Vec<BackendIndex>,
 }
 
@@ -50,7 +50,7 @@
         self.by_id.len()
     }
 
-    /// Returns all indices in ascending order, including the indices of dropped entries.
+    /// Returns all indices in ascending order, including the indices of removed entries.
     pub fn indices(&self) -> impl Iterator<Item = BackendIndex> + use<> {
         self.endpoints.indices()
     }
@@ -86,8 +86,9 @@
         }
     }
 
-    /// Drops the entry of each removed backend unless `is_referenced` returns true. The table would
-    /// otherwise grow without bound where deployments replace all backends again and again.
+    /// Removes the entry of each backend that the endpoint list no longer contains, unless `is_referenced`
+    /// returns true. The table would otherwise grow without bound where deployments replace all backends
+    /// again and again.
     pub fn remove_unreferenced(&mut self, is_referenced: impl Fn(BackendIndex) -> bool) {
         for index in self.endpoints.indices() {
             let Endpoint { id, status, .. } = self.endpoints[index];
--- a/crates/balancer/src/decisions/fleet_assignment.rs
+++ b/crates/balancer/src/decisions/fleet_assignment.rs
@@ -8,8 +8,8 @@
 //!    then in a subset.
 //! 2. Subsets that are too small get more members in proposal rounds. In each round, every backend below
 //!    its limit on memberships proposes itself to one balancer, which a hash determines. The balancer
-//!    accepts the first proposals until its subset is full. When a backend is removed, only its own subsets
-//!    have room for another one.
+//!    accepts the first proposals until its subset is full. When a backend is removed, only the
+//!    subsets that contained the backend have room for another one.
 
 use crate::interface::BackendId;
 use crate::support::{BackendIndex, bucket_in_round, hash_in_round};
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Fills the subsets that are still too small with the backends that have the fewest memberships.
+    /// Adds the backends with the fewest memberships to the subsets that are still too small.
     fn add_backends_with_fewest_memberships(&mut self) {
         for balancer in 0..self.subsets.balancer_count() {
             while self.lacks_members(balancer) {
@@ -203,8 +203,8 @@
         self.subsets.members_of(balancer).len() < self.shape.min_members_for(balancer)
     }
 
-    /// Returns the limits on the memberships of a backend in proposal rounds. They are based on the mean
-    /// number of memberships if all subsets have their least size.
+    /// Returns the limits on the memberships of a backend in proposal rounds. The limits are based on the
+    /// mean number of memberships if all subsets have their least size.
     fn membership_limits(&self) -> MembershipLimits {
         let memberships = self.subsets.balancer_count() as f64 * self.shape.min_members;
         let mean = (memberships / self.backends.len().max(1) as f64).max(1.0);
--- a/crates/balancer/src/decisions/load_reports.rs
+++ b/crates/balancer/src/decisions/load_reports.rs
@@ -1,5 +1,5 @@
 //! Load reports: the service time of each backend, the request rate of the fleet, and the health checks
-//! that bring load reports where responses do not carry them.
+//! that obtain load reports where responses contain none.
 
 use crate::interface::{LoadReport, Time};
 use crate::support::{BackendIndex, BackendMap, SmoothedMean};
@@ -8,7 +8,7 @@
 const BACKEND_REPORT_WEIGHT: f64 = 0.3;
 /// The weight of a new report in the means over all backends.
 const FLEET_REPORT_WEIGHT: f64 = 0.02;
-/// The number of sends between two health checks, where only health checks bring load reports.
+/// The number of sends between two health checks, where load reports come with health checks only.
 const SENDS_PER_HEALTH_CHECK: usize = 3;
 
 /// Whether a backend that reports its load is in slow start.
--- a/crates/balancer/src/decisions/maintenance.rs
+++ b/crates/balancer/src/decisions/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance: backends that operators remove from service and put back into service.
+//! Maintenance: backends that operators remove from service and return to service.
 
 use crate::interface::{BackendId, Time};
 use std::collections::HashMap;
@@ -79,7 +79,7 @@
         state.phase = Phase::Returned { assumed_start };
     }
 
-    /// Drops the state of returned backends whose slow start of `slow_start_duration` seconds after their
+    /// Removes the state of returned backends whose slow start of `slow_start_duration` seconds after their
     /// return is over.
     pub fn remove_returned(&mut self, now: Time, slow_start_duration: Time) {
         self.states.retain(|_, state| match state.phase {
--- a/crates/balancer/src/decisions/ordered_keys.rs
+++ b/crates/balancer/src/decisions/ordered_keys.rs
@@ -1,7 +1,8 @@
 //! Ordering keys: requests with the same key are processed one at a time, in the order of their arrival.
 //!
 //! The next call of a key waits while an earlier call is unfinished or has an attempt without an outcome.
-//! The key is also blocked for a while after an attempt that may still be running at its backend.
+//! The key is also blocked for [`key_block_duration`](crate::interface::Settings::key_block_duration) after
+//! the end of an attempt that may still be running at its backend.
 
 use super::calls::{Call, CallKey};
 use crate::interface::{AttemptId, AttemptNumber, Outcome, RequestId, Time};
@@ -79,8 +80,8 @@
         Some(NextCall { key, blocked_until: queue.blocked_until })
     }
 
-    /// Removes an ended call from its queue. Its attempts in flight become ended_call_attempts, which still block the
-    /// ordering key.
+    /// Removes an ended call from its queue. The attempts in flight of the call still block the ordering
+    /// key until they end.
     pub fn remove(&mut self, ordering_key: u64, key: CallKey, call: &Call) {
         let Some(queue) = self.queues.get_mut(&ordering_key) else { return };
         queue.calls.retain(|queued| *queued != key);
@@ -93,8 +94,8 @@
         }
     }
 
-    /// Removes an orphaned attempt that has ended. Returns its ordering key, or `None` if the attempt was
-    /// not an orphan.
+    /// Removes an attempt that has ended later than its call. Returns the ordering key of the attempt, or
+    /// `None` if no such attempt is recorded.
     pub fn remove_attempt_of_ended_call(
         &mut self,
         request: RequestId,
--- a/crates/balancer/src/decisions/outlier_detection.rs
+++ b/crates/balancer/src/decisions/outlier_detection.rs
@@ -4,8 +4,9 @@
 use crate::interface::Time;
 use crate::support::{BackendIndex, BackendMap};
 
-/// The ratio of relative latencies between a member and the best member beyond which the member is an
-/// outlier. Calls in flight at an outlier do not indicate a load that exceeds the capacity of the fleet.
+/// The ratio of the relative latency of a member to the least relative latency among the members, beyond
+/// which the member is an outlier. Calls in flight at an outlier do not indicate a load that exceeds the
+/// capacity of the fleet.
 const OUTLIER_LATENCY_RATIO: f64 = 2.5;
 /// The relative latency of a backend that is as fast as expected or has no observations.
 const EXPECTED_RELATIVE_LATENCY: f64 = 1.0;
@@ -163,7 +164,7 @@
     /// Returns the relative latency beyond which a backend is an outlier. The threshold is a multiple of
     /// the least relative latency among the `warm_members`, or among all `members` if none is warm. It is
     /// never below the expected latency, which is also the value for backends without observations, so such
-    /// a backend is no outlier however fast the best member is.
+    /// a backend is no outlier however fast the fastest member is.
     ///
     /// Members in slow start are left out because they get few calls and are fast. In an overload, all
     /// other members would look like outliers compared with them.
--- a/crates/balancer/src/decisions/overload.rs
+++ b/crates/balancer/src/decisions/overload.rs
@@ -22,11 +22,11 @@
 /// The number of calls in flight at each backend up to which there is no overload, even if the number is
 /// far above the expected one.
 ///
-/// Where few balancers face few backends, an expected number of four calls soon doubles when a backend
-/// stops, responses are invalid or a short burst arrives. The excess then lasts if load is shed, because
-/// rejected clients retry at once. An entry backend also holds mostly idle calls while the tiers below work
-/// on them: four to seven for each backend, with responses as fast as expected. With a limit of 14,
-/// overloads are not shed. With this limit, backends that cannot hold nine calls are not protected.
+/// Where there are few balancers and few backends, an expected number of four calls soon doubles when a
+/// backend stops, responses are invalid or a short burst arrives. The excess then lasts if load is shed,
+/// because rejected clients retry at once. A backend of the entry tier also has four to seven calls in
+/// flight that mostly wait for the tiers below, with responses as fast as expected. With a limit of 14, load
+/// is not shed in an overload. With the limit of 9, backends that cannot hold nine calls are not protected.
 const MIN_CALLS_PER_BACKEND_FOR_OVERLOAD: f64 = 9.0;
 
 /// The load of a balancer at one moment.
--- a/crates/balancer/src/decisions/placement.rs
+++ b/crates/balancer/src/decisions/placement.rs
@@ -73,9 +73,10 @@
         }
     }
 
-    /// Returns the usable members. Other usable backends replace the members without budget in slow start;
-    /// otherwise, requests that these members cannot take would all go to the few warm members of this
-    /// subset and overload them. If no member is usable, returns a few other usable backends.
+    /// Returns the usable members, and other usable backends in place of members that are in slow start and
+    /// have no budget left. Without these other backends, the requests that such members cannot take would
+    /// all go to the few warm members of the subset and overload them. If no member is usable, returns a
+    /// few other usable backends.
     fn candidates(&mut self, constraints: Constraints<'_>) -> Vec<BackendIndex> {
         let mut candidates = self.backends.subset().members().to_vec();
         candidates.retain(|index| constraints.permit(*index, self.backends));
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Drops the candidates whose load exceeds the mean. Otherwise a slow machine would be overloaded
+    /// Removes the candidates whose load exceeds the mean. Otherwise a slow machine would be overloaded
     /// whenever both sampled candidates are slow.
     fn remove_above_mean_load(&self, candidates: &mut Vec<BackendIndex>) {
         let mean = candidates.iter().map(|index| self.load(*index)).sum::<f64>() / candidates.len() as f64;
--- a/crates/balancer/src/decisions/slow_start.rs
+++ b/crates/balancer/src/decisions/slow_start.rs
@@ -10,15 +10,16 @@
 /// each balancer estimates the rate from its own traffic.
 const OWN_RATE_BUDGET_FRACTION: f64 = 0.35;
 /// The fraction of the overload rate of a backend in slow start that all balancers together may send, if
-/// backends report their rates. It is greater than [`OWN_RATE_BUDGET_FRACTION`], as uneven traffic of the
-/// balancers uses up none of the remaining margin.
+/// backends report their rates. It is greater than [`OWN_RATE_BUDGET_FRACTION`], because no margin is needed
+/// for uneven traffic of the balancers.
 const REPORTED_RATE_BUDGET_FRACTION: f64 = 0.5;
 
 /// The estimated rate of requests that this balancer would send to a backend that is not in slow start.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum WarmRate {
-    /// An even share of the rate that warm backends report, in requests per second. A busy balancer sends
-    /// its members more than an even share, so that budgets from its own rate would add up to too much.
+    /// An even share of the rate that warm backends report, in requests per second. Budgets from each
+    /// balancer's own rate would add up to too much, because a busy balancer sends its members more than an
+    /// even share.
     Reported(f64),
     /// The rate of successful responses that this balancer gets from each member, in requests per second.
     /// Under overload, it is less than the send rate.
@@ -79,9 +80,9 @@
 
     /// Returns whether a request may be sent to a backend in slow start that started at `started_at`.
     ///
-    /// A fraction of a token is the probability that the request may be sent, and is consumed whether or
-    /// not it may. If fractions accumulated to whole tokens, many balancers would spend their tokens at the
-    /// same time.
+    /// If less than one token is available, the available fraction is the probability that the request may
+    /// be sent. The fraction is consumed in any case. If fractions accumulated to whole tokens, many
+    /// balancers would spend their tokens at the same time.
     pub fn has_budget(
         &mut self,
         index: BackendIndex,
--- a/crates/balancer/src/decisions/subset.rs
+++ b/crates/balancer/src/decisions/subset.rs
@@ -118,8 +118,8 @@
         self.members = assigned.chain(self.leaving.iter().map(|member| member.index)).collect();
     }
 
-    /// Adds the previously assigned members to the leaving ones, unless they are still assigned, and drops
-    /// the members whose time to leave has passed.
+    /// Adds the previously assigned members to the leaving ones, unless they are still assigned, and
+    /// removes the members whose time to leave has passed.
     fn update_leaving(&mut self, previous: &[AssignedMember], inputs: AssignmentInputs<'_>) {
         let AssignmentInputs { settings, now, .. } = inputs;
         let leaves_at = now + settings.longest_timeout();
@@ -200,8 +200,8 @@
         assigned
     }
 
-    /// Returns the least number of members. It allows a choice between two members, and keeps the subsets
-    /// similar in size if there are many backends.
+    /// Returns the least number of members. The number allows a choice between two members, and keeps
+    /// the subsets similar in size if there are many backends.
     fn min_size(&self, settings: &Settings) -> f64 {
         let tier_min_size = if settings.tier.is_entry() { MIN_ENTRY_SUBSET_SIZE } else { MIN_SUBSET_SIZE };
         (MIN_SIZE_TO_MEAN_RATIO * self.backends_per_balancer(settings)).max(tier_min_size as f64)
--- a/crates/balancer/src/decisions/timer.rs
+++ b/crates/balancer/src/decisions/timer.rs
@@ -5,7 +5,7 @@
 use slotmap::{Key, KeyData};
 
 /// The purpose of a timer. A call timer contains the key of its call. Keys are never reused, so a timer of
-/// an ended call is recognised.
+/// an ended call can be detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Timer {
     /// The endpoint list is due for a poll.
@@ -62,9 +62,9 @@
     }
 }
 
-/// Returns a key in the bits of a token that the purpose leaves. The version of an occupied slot is always
-/// odd, so its lowest bit is left out. All other bits are needed: the keys of two calls that use the same
-/// slot one after the other differ only in the version.
+/// Returns a key packed into the bits of a token that do not encode the purpose. The version of an occupied
+/// slot is always odd, so its lowest bit is left out. All other bits of the version are needed: the keys of
+/// two calls that use the same slot one after the other differ only in the version.
 fn pack(key: CallKey) -> u64 {
     let key = key.data().as_ffi();
     let half_version = key >> (KEY_SLOT_BITS + 1);
--- a/crates/balancer/src/interface/settings.rs
+++ b/crates/balancer/src/interface/settings.rs
@@ -85,9 +85,9 @@
     /// The priority weight of a request over the quota of its tenant, as a fraction of the weight of its
     /// class.
     pub over_quota_weight: f64,
-    /// The number of balancers of the service to which this balancer belongs.
+    /// The number of balancers that share the backends of this balancer, including this balancer.
     pub instance_count: usize,
-    /// The index of this balancer among the balancers of its service, from 0.
+    /// The index of this balancer among the balancers that share its backends, from 0.
     pub instance_index: usize,
     /// The tier of this balancer.
     pub tier: Tier,
@@ -111,7 +111,8 @@
     pub max_retry_after: Time,
     /// Whether the endpoint list has to be polled because discovery does not push changes.
     pub must_poll_endpoints: bool,
-    /// The time after which a balancer counts as notified of a change even if it has not polled, in seconds.
+    /// The longest time between two polls of the endpoint list, in seconds. After this time, a balancer
+    /// counts as notified of a change even if it has not polled.
     pub endpoint_poll_limit: Time,
     /// The capacity of a backend at its start, as a fraction of its full capacity, from 0 to 1.
     pub slow_start_initial_capacity: f64,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -21,7 +21,7 @@
 //!    the overload lasts.
 //! 2. *Ordering*: requests with the same ordering key are dispatched one at a time, if their class is
 //!    ordered by key.
-//! 3. *Placement*: two members of the balancer's subset are drawn at random, and the attempt goes to the
+//! 3. *Placement*: two members of the balancer's subset are sampled at random, and the attempt goes to the
 //!    one with less load. The slow start of a member that is warming up limits the requests sent to it.
 //! 4. *Retransmission*: while a request is unanswered, retry timers with doubling intervals fire: the first
 //!    T1 after the dispatch, the next ones 2 T1 and 4 T1 after the one before. When a timer fires, the
--- a/crates/balancer/src/support/decaying_rate.rs
+++ b/crates/balancer/src/support/decaying_rate.rs
@@ -3,7 +3,7 @@
 use crate::Time;
 
 /// A count of events and the span that the count covers, both of which decay with the same time constant.
-/// Until the window has filled, the rate is the plain mean since the start.
+/// While the window is short, the rate is close to the plain mean since the start.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingRate {
     /// The sum of the weights of all events. The weight of an event decays from 1.
--- a/crates/balancer/src/support/token_bucket.rs
+++ b/crates/balancer/src/support/token_bucket.rs
@@ -5,7 +5,7 @@
 /// A token bucket with one token for each request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
-    /// The number of tokens. Negative if more were taken than were available.
+    /// The number of tokens, which is negative if more were taken than were available.
     tokens: f64,
     /// The time of the latest refill, in seconds.
     refilled_at: Time,
