--- a/crates/fleet-bench/src/control.rs
+++ b/crates/fleet-bench/src/control.rs
@@ -1,7 +1,8 @@
-//! Real proxies against a stub discovery server: the cost of an up-to-date list, the time until a change
-//! is in force, and the polls that discovery receives after an outage.
+//! Runs real proxies against a stub discovery server, and measures three things: the cost of an up-to-date
+//! endpoint list, the time until a change is in force, and the polls that discovery receives after an
+//! outage.
 //!
-//! Bytes are those of polls and responses, heads and bodies, without the overhead of TCP.
+//! Byte counts cover heads and bodies of polls and responses, without the overhead of TCP.
 
 mod cost;
 mod group;
@@ -14,9 +15,9 @@
 use crate::error::Error;
 use crate::proxy::find_program;
 use crate::report::{Report, Table};
+use crate::resource_usage::MachineLoad;
 use crate::rollout;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::MachineLoad;
 use group::ProxyGroup;
 use list_changes::{ListChangeRates, MIN_CHANGES_PER_WINDOW};
 use std::path::Path;
@@ -36,14 +37,14 @@
         let mut group = ProxyGroup::start(size, plan.seed, &program, &shutdown)?;
         rollout::run(&plan.settings, &shutdown, &mut group.proxies, &group.discovery, &mut report)?;
     } else {
-        measure_lists(&plan, &program, &shutdown, &mut report)?;
+        measure_endpoint_lists(&plan, &program, &shutdown, &mut report)?;
     }
-    report.notes.push(load_at_start.note_until_now()?);
+    report.notes.push(load_at_start.note_with_present_load()?);
     Ok(report)
 }
 
-/// Measures costs and recoveries of all groups.
-fn measure_lists(
+/// Measures, for each group of proxies, the cost of an up-to-date list and the recovery after outages.
+fn measure_endpoint_lists(
     plan: &Plan,
     program: &Path,
     shutdown: &ShutdownSignal,
@@ -53,7 +54,10 @@
     let mut recoveries = recovery::table();
     for size in plan.groups() {
         let GroupSize { listed, proxies, registry_mode } = size;
-        tracing::info!("{listed} listed, {proxies} proxies, registry mode: {}", registry_mode.name());
+        tracing::info!(
+            "measuring {listed} listed, {proxies} proxies, registry mode: {}",
+            registry_mode.name()
+        );
         let mut group = ProxyGroup::start(size, plan.seed, program, shutdown)?;
         cost::measure_rates(&mut group, plan, &mut costs, &mut report.notes)?;
         for &outage in &plan.outages {
@@ -85,7 +89,7 @@
         table.row([
             listed.into(),
             rates.restarts_per_day.into(),
-            rates.configurations_per_day.into(),
+            rates.configuration_changes_per_day.into(),
             rates.changes_per_second().into(),
         ]);
     }
--- a/crates/fleet-bench/src/discovery/server.rs
+++ b/crates/fleet-bench/src/discovery/server.rs
@@ -11,11 +11,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Maximum wait of a long poll, by the protocol.
+/// Maximum wait of a long poll in the discovery protocol.
 const MAX_POLL_WAIT: Duration = Duration::from_secs(60);
-/// Backoff after a failed accept, or when an address cannot be bound again yet.
-const SOCKET_BACKOFF: Duration = Duration::from_millis(2);
-const LIST_PATH: &str = "/api/targets";
+/// Delay before the retry of a failed accept, or of a failed bind of an address that was closed before.
+const SOCKET_RETRY_DELAY: Duration = Duration::from_millis(2);
+const INSTANCE_LIST_PATH: &str = "/api/targets";
 const NOT_FOUND_RESPONSE: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 
 /// Availability of the server.
@@ -25,22 +25,22 @@
     Up,
     /// Each response is delayed by this time.
     Slow(Duration),
-    /// The server accepts polls, and responds only after the outage.
+    /// The server accepts polls, and responds to them only after the outage.
     Silent,
     /// The server closes its connections and refuses new ones.
     Refusing,
 }
 
-/// State of the server on which a waiting poll depends.
+/// The part of the server's state on which a waiting poll depends.
 #[derive(Clone, Copy, Debug)]
-pub struct Status {
+pub struct ServerStatus {
     /// Availability of the server.
     pub availability: Availability,
     /// The present version of the list.
     pub version: u64,
 }
 
-impl Status {
+impl ServerStatus {
     fn is_silent(&self) -> bool {
         self.availability == Availability::Silent
     }
@@ -50,8 +50,8 @@
     }
 }
 
-/// The list, and the log of the polls.
-pub struct State {
+/// The instance list and the log of the polls.
+pub struct ServerState {
     /// The instance list in its present version.
     pub list: VersionedList,
     /// The polls of all proxies.
@@ -59,26 +59,27 @@
 }
 
 /// State that all connections share.
-pub struct Shared {
-    state: Mutex<State>,
+pub struct SharedState {
+    state: Mutex<ServerState>,
     /// The present status; a change wakes the waiting polls.
-    pub status: watch::Sender<Status>,
+    pub status: watch::Sender<ServerStatus>,
 }
 
-impl Shared {
+impl SharedState {
     /// Creates the state of a server that is up and serves this list.
-    pub fn new(state: State) -> Self {
-        let status = Status { availability: Availability::Up, version: state.list.version() };
+    pub fn new(state: ServerState) -> Self {
+        let status = ServerStatus { availability: Availability::Up, version: state.list.version() };
         Self { state: Mutex::new(state), status: watch::Sender::new(status) }
     }
 
     /// Locks the state.
-    pub fn state(&self) -> MutexGuard<'_, State> {
-        // Each method leaves valid counts, so that the counts are usable after a panic elsewhere.
+    pub fn state(&self) -> MutexGuard<'_, ServerState> {
+        // No method leaves invalid counts, so that the state is usable after a panic of another thread.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits as the poll asks for, and returns the response.
+    /// Waits until the list differs from the version that the poll names, or until the poll's wait ends, and
+    /// returns the response. A silent server does not respond, and a slow server delays the response.
     async fn wait_for_response(&self, poll: Poll) -> Result<Arc<[u8]>, serde_json::Error> {
         // Waiting on the status cannot fail, as the sender is in `self`.
         let mut status = self.status.subscribe();
@@ -105,9 +106,9 @@
 }
 
 impl Poll {
-    /// Parses path and query; `None` for another path.
+    /// Parses path and query. Returns `None` if the path is not that of the instance list.
     fn parse(path: &str) -> Option<Self> {
-        let query = match path.strip_prefix(LIST_PATH)? {
+        let query = match path.strip_prefix(INSTANCE_LIST_PATH)? {
             "" => return Some(Self { since: None, wait: Duration::ZERO }),
             rest => rest.strip_prefix('?')?,
         };
@@ -120,8 +121,8 @@
     }
 }
 
-/// Serves one proxy at its own address. While the server refuses connections, the address is not bound.
-pub async fn serve_proxy(shared: Arc<Shared>, proxy: usize, address: SocketAddr, first: StdListener) {
+/// Serves one proxy at its own address. The address is not bound while the server refuses connections.
+pub async fn serve_proxy(shared: Arc<SharedState>, proxy: usize, address: SocketAddr, first: StdListener) {
     let mut listener = TcpListener::from_std(first);
     loop {
         match listener {
@@ -131,47 +132,47 @@
                 let _ = status.wait_for(|status| !status.is_refusing()).await;
             }
             Err(error) => {
-                tracing::warn!("discovery: {address}: {error}");
-                tokio::time::sleep(SOCKET_BACKOFF).await;
+                tracing::warn!("discovery: cannot listen on {address}: {error}; retrying");
+                tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
         }
         listener = TcpListener::bind(address).await;
     }
 }
 
-/// Accepts connections until the server refuses connections.
-async fn accept_connections(shared: &Arc<Shared>, proxy: usize, listener: TcpListener) {
+/// Accepts connections of a proxy until the server refuses connections.
+async fn accept_connections(shared: &Arc<SharedState>, proxy: usize, listener: TcpListener) {
     let mut status = shared.status.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = status.wait_for(Status::is_refusing) => return,
+            _ = status.wait_for(ServerStatus::is_refusing) => return,
         };
         match accepted {
             Ok((stream, _)) => {
                 tokio::spawn(serve_until_refusing(shared.clone(), proxy, stream));
             }
             Err(error) => {
-                tracing::warn!("discovery: {error}");
-                tokio::time::sleep(SOCKET_BACKOFF).await;
+                tracing::warn!("discovery: cannot accept a connection of proxy {proxy}: {error}; retrying");
+                tokio::time::sleep(SOCKET_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn serve_until_refusing(shared: Arc<Shared>, proxy: usize, mut stream: TcpStream) {
-    let _ = stream.set_nodelay(true); // a failure makes the connection slower only
+async fn serve_until_refusing(shared: Arc<SharedState>, proxy: usize, mut stream: TcpStream) {
+    let _ = stream.set_nodelay(true); // on failure the connection is only slower
     let mut status = shared.status.subscribe();
     tokio::select! {
         ended = serve_connection(&shared, proxy, &mut stream) => if let Err(error) = ended {
-            tracing::debug!("discovery: {error}");
+            tracing::debug!("discovery: connection of proxy {proxy} failed: {error}");
         },
-        _ = status.wait_for(Status::is_refusing) => {}
+        _ = status.wait_for(ServerStatus::is_refusing) => {}
     }
 }
 
 /// Responds to the polls of one connection until the connection ends.
-async fn serve_connection(shared: &Shared, proxy: usize, stream: &mut TcpStream) -> io::Result<()> {
+async fn serve_connection(shared: &SharedState, proxy: usize, stream: &mut TcpStream) -> io::Result<()> {
     let mut buffer = Vec::new();
     while let Some(head) = RequestHead::read(stream, &mut buffer).await? {
         let poll = Poll::parse(&head.path);
@@ -182,16 +183,17 @@
         };
         let response = tokio::select! {
             response = shared.wait_for_response(poll) => response.map_err(io::Error::other)?,
-            // A waiting proxy sends nothing, so a read means that the proxy has given up and closed.
+            // A waiting proxy sends nothing, so a read ends only if the proxy has closed the connection.
             _ = stream.read_buf(&mut buffer) => return Ok(()),
         };
-        write_counted(shared, proxy, stream, &response).await?;
+        write_and_count(shared, proxy, stream, &response).await?;
     }
     Ok(())
 }
 
-async fn write_counted(
-    shared: &Shared,
+/// Writes a response to a proxy, and records its bytes in the log.
+async fn write_and_count(
+    shared: &SharedState,
     proxy: usize,
     stream: &mut TcpStream,
     response: &[u8],
--- a/crates/fleet-bench/src/added/load.rs
+++ b/crates/fleet-bench/src/latency_overhead/load.rs
@@ -1,8 +1,8 @@
-//! An open-loop load of calls that are made directly or through the proxy.
+//! An open-loop load: calls with scheduled start times, made directly or through the proxy.
 
 use super::connection::Connection;
-use crate::draw::draw_arrivals;
 use crate::error::Error;
+use crate::sampling::poisson_arrivals;
 use crate::shutdown::ShutdownSignal;
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -10,15 +10,15 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// Duration of the load before the measured load, in seconds, in which connections are opened.
+/// Duration of the load before the measurement, in seconds. During this time connections are opened.
 pub const WARM_UP_SECONDS: f64 = 1.5;
-/// Maximum number of calls in flight. A further call waits for a caller, and the wait counts as latency
-/// of the call.
-pub const CALLERS: usize = 128;
-/// Time within which all callers have connected.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
-/// Duration of the busy loop at the end of a wait, as a sleep ends late by some tens of microseconds.
-const SPIN_TIME: Duration = Duration::from_micros(150);
+/// Number of callers, and thus the maximum number of calls in flight. A further call waits for a free
+/// caller, and the wait is part of the latency of the call.
+pub const CALLER_COUNT: usize = 128;
+/// Time before the first call in which the callers connect.
+const CALLER_CONNECT_TIME: Duration = Duration::from_millis(200);
+/// Duration of the spin loop at the end of a wait: a sleep ends some tens of microseconds late.
+const SPIN_WAIT_TIME: Duration = Duration::from_micros(150);
 
 /// Route of a call to the backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,18 +43,19 @@
     }
 }
 
-/// A call that is scheduled.
+/// A call with its scheduled start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScheduledCall {
-    /// Time of the call, since the start of the load.
+    /// Scheduled start of the call, since the start of the load.
     pub at: Duration,
     /// Route of the call.
     pub route: Route,
 }
 
-/// Draws calls of a Poisson process, with `rate` calls per second on each route.
-pub fn draw_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
-    let times = draw_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
+/// Samples the start times of calls from a Poisson process with a mean of `rate` calls per second on each
+/// route.
+pub fn poisson_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
+    let times = poisson_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
     let mut calls = Vec::with_capacity(times.len());
     for at in times {
         let route = if rng.random() { Route::Proxied } else { Route::Direct };
@@ -63,10 +64,10 @@
     calls
 }
 
-/// A call that a caller takes from the schedule.
+/// A call of the schedule with its number.
 #[derive(Clone, Copy, Debug)]
-struct TakenCall {
-    /// Number of the call, from 0.
+struct NumberedCall {
+    /// Number of the call in the schedule, from 0.
     number: usize,
     /// The call.
     call: ScheduledCall,
@@ -77,31 +78,30 @@
 pub struct CallSample {
     /// The call.
     pub call: ScheduledCall,
-    /// Delay of the generator in beginning the call, if a caller was free in time; `None` if the call
-    /// waited for a caller.
+    /// Delay from the scheduled to the actual start of the call; `None` if the call waited for a free caller.
     pub generator_delay: Option<Duration>,
-    /// The time from the scheduled start to the response; `None` if the call failed.
+    /// Time from the scheduled start to the response; `None` if the call failed.
     pub latency: Option<Duration>,
 }
 
-/// The calls of one load, which the callers make in turn.
-pub struct Schedule {
+/// The calls of one load. Each free caller takes the next call.
+pub struct CallSchedule {
     start: Instant,
     calls: Vec<ScheduledCall>,
     next: AtomicUsize,
 }
 
-impl Schedule {
-    /// Creates a schedule of these calls, which starts once the callers have had time to connect.
+impl CallSchedule {
+    /// Creates a schedule that starts after [`CALLER_CONNECT_TIME`].
     #[must_use]
     pub fn start_soon(calls: Vec<ScheduledCall>) -> Self {
-        Self { start: Instant::now() + CONNECT_TIME, calls, next: AtomicUsize::new(0) }
+        Self { start: Instant::now() + CALLER_CONNECT_TIME, calls, next: AtomicUsize::new(0) }
     }
 
     /// Takes the next call.
-    fn take_next(&self) -> Option<TakenCall> {
+    fn take_next(&self) -> Option<NumberedCall> {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        self.calls.get(number).map(|call| TakenCall { number, call: *call })
+        self.calls.get(number).map(|call| NumberedCall { number, call: *call })
     }
 }
 
@@ -121,14 +121,18 @@
         Ok(Self { direct: Connection::open(backend)?, proxied: Connection::open(proxy)? })
     }
 
-    /// Makes calls of the schedule until none is left.
+    /// Makes calls of the schedule until no call is left.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Interrupted`] once a signal has arrived.
-    pub fn run(mut self, schedule: &Schedule, shutdown: &ShutdownSignal) -> Result<Vec<CallSample>, Error> {
+    pub fn run(
+        mut self,
+        schedule: &CallSchedule,
+        shutdown: &ShutdownSignal,
+    ) -> Result<Vec<CallSample>, Error> {
         let mut samples = Vec::new();
-        while let Some(TakenCall { number, call }) = schedule.take_next() {
+        while let Some(NumberedCall { number, call }) = schedule.take_next() {
             let due = schedule.start + call.at;
             let was_free = Instant::now() < due;
             wait_precisely(due, call.at, shutdown)?;
@@ -145,10 +149,10 @@
     }
 }
 
-/// Sleeps for most of the time until `due`, which is `since_start` after the start of the load, and
-/// spins for the rest.
+/// Sleeps for most of the time until `due`, and spins for the rest. `since_start` is the time from the
+/// start of the load to `due`.
 fn wait_precisely(due: Instant, since_start: Duration, shutdown: &ShutdownSignal) -> Result<(), Error> {
-    shutdown.sleep_until(due - SPIN_TIME.min(since_start))?;
+    shutdown.sleep_until(due - SPIN_WAIT_TIME.min(since_start))?;
     while Instant::now() < due {
         std::hint::spin_loop();
     }
--- a/crates/fleet-bench/src/added/bench.rs
+++ b/crates/fleet-bench/src/latency_overhead/test_bed.rs
@@ -1,49 +1,49 @@
-//! A real proxy with its endpoint list, in front of stub backends.
+//! Starts a real proxy in front of stub backends, and runs loads through the proxy.
 
-use super::load::{CALLERS, CallSample, Caller, Schedule, WARM_UP_SECONDS, draw_calls};
+use super::load::{CALLER_COUNT, CallSample, CallSchedule, Caller, WARM_UP_SECONDS, poisson_calls};
 use super::plan::LoadPlan;
 use crate::address::{self, AddressRole};
 use crate::backend::Backends;
 use crate::discovery::{Change, Discovery};
-use crate::draw::{derive_seed, draw_arrivals};
 use crate::error::Error;
 use crate::instance::{InstanceList, create_instances};
 use crate::proxy::{ProxyConfig, ProxyOptions, ProxyProcess, RegistryMode};
+use crate::resource_usage::{MachineLoad, ProcessUsage};
+use crate::sampling::{derive_seed, poisson_arrivals};
 use crate::shutdown::ShutdownSignal;
-use crate::usage::{MachineLoad, ProcessUsage};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::path::Path;
 use std::time::Duration;
 
-/// Maximum number of stub backends. The entries of the list share the addresses of the backends in turn,
-/// as a proxy sends to few entries of a list, whatever the size of the list.
-const BACKENDS: usize = 8;
+/// Maximum number of stub backends. A longer list repeats the addresses of the stub backends: a proxy sends
+/// requests to few entries of its list, whatever the size of the list.
+const MAX_STUB_BACKENDS: usize = 8;
 
-/// A real proxy with its endpoint list, in front of stub backends that respond at once.
-pub struct Bench<'a> {
+/// A real proxy with an endpoint list, in front of stub backends that respond at once.
+pub struct ProxyTestBed<'a> {
     shutdown: &'a ShutdownSignal,
     listed: usize,
     rng: SmallRng,
-    // Fields are dropped in this order: the proxy ends before the servers.
+    // Fields are dropped in this order: the proxy must end before the servers.
     proxy: ProxyProcess,
     discovery: Discovery,
     backends: Backends,
 }
 
-/// Samples and usage of one load.
+/// Call samples and resource usage of one load.
 pub struct LoadResult {
-    /// Samples of all calls, the calls of the warm-up included.
+    /// Samples of all calls, including the calls of the warm-up.
     pub samples: Vec<CallSample>,
-    /// The usage of the proxy before the load.
+    /// Resource usage of the proxy before the load.
     pub usage_before: ProcessUsage,
-    /// The usage of the proxy after the load.
+    /// Resource usage of the proxy after the load.
     pub usage_after: ProcessUsage,
-    /// The fraction of the time in which a task of the machine waited for a processor.
-    pub machine_stalled: f64,
+    /// Fraction of the time in which a task of the machine waited for a processor.
+    pub machine_stall_fraction: f64,
 }
 
-impl<'a> Bench<'a> {
+impl<'a> ProxyTestBed<'a> {
     /// Starts the servers and the proxy, and waits until the proxy is ready.
     ///
     /// # Errors
@@ -56,7 +56,7 @@
         program: &Path,
         listed: usize,
     ) -> Result<Self, Error> {
-        let backends = Backends::start(BACKENDS.min(listed))?;
+        let backends = Backends::start(MAX_STUB_BACKENDS.min(listed))?;
         let instances = create_instances(backends.addresses().iter().copied().cycle().take(listed));
         let discovery = Discovery::start(instances.clone(), 1)?;
         let mut proxy = ProxyProcess::spawn(&ProxyOptions {
@@ -77,7 +77,7 @@
         Ok(Self { shutdown, listed, rng, proxy, discovery, backends })
     }
 
-    /// Checks that the load has reached the backends.
+    /// Checks that requests have reached the stub backends.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
         if self.backends.responses() == 0 { Err(Error::NoBackendRequests) } else { Ok(()) }
     }
 
-    /// Makes the calls of one load and measures the proxy meanwhile.
+    /// Makes the calls of one load, and measures the resource usage of the proxy during the load.
     ///
     /// # Errors
     ///
@@ -97,21 +97,21 @@
         let machine = MachineLoad::now()?;
         let samples = self.run_load(load)?;
         let usage_after = self.proxy.usage()?;
-        let machine_stalled = MachineLoad::now()?.stall_since(&machine);
-        Ok(LoadResult { samples, usage_before, usage_after, machine_stalled })
+        let machine_stall_fraction = MachineLoad::now()?.stall_fraction_since(&machine);
+        Ok(LoadResult { samples, usage_before, usage_after, machine_stall_fraction })
     }
 
     fn run_load(&mut self, load: LoadPlan) -> Result<Vec<CallSample>, Error> {
         let seconds = WARM_UP_SECONDS + load.seconds;
-        let calls = draw_calls(&mut self.rng, load.rate, seconds);
-        let changes = draw_arrivals(&mut self.rng, load.changes, seconds);
+        let calls = poisson_calls(&mut self.rng, load.rate, seconds);
+        let changes = poisson_arrivals(&mut self.rng, load.changes, seconds);
         let shutdown = self.shutdown;
         let proxy = self.proxy.listen();
         let backends = self.backends.addresses().to_vec();
-        let schedule = Schedule::start_soon(calls);
+        let schedule = CallSchedule::start_soon(calls);
         std::thread::scope(|scope| {
             let mut callers = Vec::new();
-            for number in 0..CALLERS {
+            for number in 0..CALLER_COUNT {
                 let backend = backends[number % backends.len()];
                 let schedule = &schedule;
                 callers.push(scope.spawn(move || Caller::connect(backend, proxy)?.run(schedule, shutdown)));
@@ -119,13 +119,13 @@
             let published = self.publish_at(&changes);
             let mut samples = Vec::new();
             for caller in callers {
-                samples.extend(caller.join().map_err(|_| Error::Panicked("a caller"))??);
+                samples.extend(caller.join().map_err(|_| Error::Panicked("a caller thread"))??);
             }
             published.map(|()| samples)
         })
     }
 
-    /// Publishes a change of a weight at each of these times from now on.
+    /// Publishes a random weight change at each of these times, which are relative to now.
     fn publish_at(&mut self, times: &[Duration]) -> Result<(), Error> {
         self.discovery.publish_at(times, self.shutdown, || {
             let weight = self.rng.random_range(0.5..2.0);
--- a/crates/fleet-bench/src/proxy.rs
+++ b/crates/fleet-bench/src/proxy.rs
@@ -1,13 +1,13 @@
-//! Real proxies as child processes, started with their own configuration, measured through procfs, and
-//! killed on drop.
+//! Real proxies as child processes. Each proxy has its own configuration file, is measured through procfs,
+//! and is killed on drop.
 
 mod config;
 
 pub use config::{ProxyConfig, RegistryMode};
 
 use crate::error::Error;
+use crate::resource_usage::ProcessUsage;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::ProcessUsage;
 use procfs::process::Process;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
@@ -19,32 +19,33 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// A started proxy must be ready within this time, also on a busy machine.
-const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time within which a started proxy must be ready, even on a busy machine.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(60);
 /// Interval between two readiness checks.
-const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout for connecting and for each read of a readiness check or management call.
-const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-const CONFIG_FILE: &str = "config.json";
-const LOG_FILE: &str = "log";
-const READY_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n";
+const SOCKET_TIMEOUT: Duration = Duration::from_secs(5);
+const CONFIG_FILE_NAME: &str = "config.json";
+const LOG_FILE_NAME: &str = "log";
+const READINESS_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: proxy\r\nConnection: close\r\n\r\n";
 
-/// Returns the path of the proxy's program: `named`, or `balancer-proxy` beside this program.
+/// Returns the path of the proxy's program: `path` if given, and otherwise `balancer-proxy` in the directory
+/// of this program.
 ///
 /// # Errors
 ///
 /// Returns [`Error::ProgramMissing`] if there is no such file.
-pub fn find_program(named: Option<&Path>) -> Result<PathBuf, Error> {
-    let path = match named {
+pub fn find_program(path: Option<&Path>) -> Result<PathBuf, Error> {
+    let path = match path {
         Some(path) => path.to_path_buf(),
         None => std::env::current_exe()?.with_file_name("balancer-proxy"),
     };
     if path.is_file() { Ok(path) } else { Err(Error::ProgramMissing { path }) }
 }
 
-/// Options of the start of a proxy.
+/// The program, addresses and configuration with which a proxy is started.
 pub struct ProxyOptions<'a> {
-    /// The program.
+    /// Path of the proxy's program.
     pub program: &'a Path,
     /// The address to which clients connect.
     pub listen: SocketAddr,
@@ -56,7 +57,7 @@
     pub config: ProxyConfig<'a>,
 }
 
-/// A proxy process. Dropping the value kills the process and removes its directory.
+/// A proxy process. Dropping the value kills the process and removes its temporary directory.
 pub struct ProxyProcess {
     command: Command,
     child: Child,
@@ -67,14 +68,14 @@
 }
 
 impl ProxyProcess {
-    /// Starts a proxy without a wait for its readiness.
+    /// Starts a proxy, and does not wait until the proxy is ready.
     ///
     /// # Errors
     ///
-    /// Returns an error if its files cannot be written or the program cannot be started.
+    /// Returns an error if the proxy's files cannot be written or the program cannot be started.
     pub fn spawn(options: &ProxyOptions<'_>) -> Result<Self, Error> {
         let directory = TempDir::with_prefix("fleet-bench-")?;
-        let config_path = directory.path().join(CONFIG_FILE);
+        let config_path = directory.path().join(CONFIG_FILE_NAME);
         let config = options.config.to_json()?;
         std::fs::write(&config_path, config)
             .map_err(|error| Error::File { path: config_path.clone(), error })?;
@@ -88,8 +89,8 @@
             .env("TMPDIR", directory.path())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(File::create(directory.path().join(LOG_FILE))?);
-        let (child, process) = launch(&mut command)?;
+            .stderr(File::create(directory.path().join(LOG_FILE_NAME))?);
+        let (child, process) = spawn_process(&mut command)?;
         let (listen, management) = (options.listen, options.management);
         Ok(Self { command, child, process, directory, listen, management })
     }
@@ -103,20 +104,20 @@
     /// Returns the path of the configuration file.
     #[must_use]
     pub fn config_path(&self) -> PathBuf {
-        self.directory.path().join(CONFIG_FILE)
+        self.directory.path().join(CONFIG_FILE_NAME)
     }
 
-    /// Sends SIGHUP, on which the proxy reads its configuration file again.
+    /// Sends SIGHUP to the proxy, which then reloads its configuration file.
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] if the process is gone.
+    /// Returns [`Error::Io`] if the process no longer exists.
     pub fn reload(&self) -> Result<(), Error> {
-        // The child has not been waited for, so that its id is not yet in use by another process.
+        // The child has not been waited for, so that no other process has its id.
         Ok(kill_process(Pid::from_child(&self.child), Signal::HUP).map_err(std::io::Error::from)?)
     }
 
-    /// Kills the process by SIGKILL. The files of the process remain.
+    /// Kills the process with SIGKILL. The files of the process remain.
     ///
     /// # Errors
     ///
@@ -127,13 +128,13 @@
         Ok(())
     }
 
-    /// Starts a killed proxy again with the same options, without a wait for its readiness.
+    /// Starts a killed proxy again with the same options, and does not wait until the proxy is ready.
     ///
     /// # Errors
     ///
     /// Returns an error if the program cannot be started.
     pub fn restart(&mut self) -> Result<(), Error> {
-        (self.child, self.process) = launch(&mut self.command)?;
+        (self.child, self.process) = spawn_process(&mut self.command)?;
         Ok(())
     }
 
@@ -144,7 +145,7 @@
     /// Returns [`Error::ProxyEnded`] or [`Error::ProxyNotReady`] if the proxy does not become ready, and
     /// [`Error::Interrupted`] once a signal has arrived.
     pub fn wait_until_ready(&mut self, shutdown: &ShutdownSignal) -> Result<(), Error> {
-        let deadline = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READINESS_TIMEOUT;
         while !self.is_ready() {
             shutdown.check()?;
             let address = self.listen;
@@ -154,22 +155,22 @@
             if Instant::now() > deadline {
                 return Err(Error::ProxyNotReady { address, last_log_line: self.last_log_line() });
             }
-            std::thread::sleep(READY_POLL_INTERVAL);
+            std::thread::sleep(READINESS_POLL_INTERVAL);
         }
         Ok(())
     }
 
     fn is_ready(&self) -> bool {
-        let response = http_request(self.listen, READY_REQUEST);
+        let response = http_request(self.listen, READINESS_REQUEST);
         response.is_ok_and(|response| response.starts_with("HTTP/1.1 200"))
     }
 
     fn last_log_line(&self) -> String {
-        let log = std::fs::read_to_string(self.directory.path().join(LOG_FILE)).unwrap_or_default();
-        log.lines().last().unwrap_or("its log is empty").to_string()
+        let log = std::fs::read_to_string(self.directory.path().join(LOG_FILE_NAME)).unwrap_or_default();
+        log.lines().last().unwrap_or("(the log is empty)").to_string()
     }
 
-    /// Reads the usage of the process.
+    /// Reads the resource usage of the process.
     ///
     /// # Errors
     ///
@@ -182,8 +183,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Error::Io`] if the proxy cannot be reached, and [`Error::InvalidStats`] if its
-    /// response is not JSON.
+    /// Returns [`Error::Io`] if the proxy cannot be reached, and [`Error::InvalidStats`] if the response is
+    /// not JSON followed by `END`.
     pub fn stats(&self) -> Result<Value, Error> {
         let response = management_call(self.management, "stats\n")?;
         let stats = response.strip_suffix("\nEND\n").and_then(|line| serde_json::from_str(line).ok());
@@ -198,7 +199,8 @@
     }
 }
 
-fn launch(command: &mut Command) -> Result<(Child, Process), Error> {
+/// Starts a process, and returns it with its procfs entry.
+fn spawn_process(command: &mut Command) -> Result<(Child, Process), Error> {
     let path = PathBuf::from(command.get_program());
     let mut child = command.spawn().map_err(|error| Error::File { path, error })?;
     let process = i32::try_from(child.id()).ok().and_then(|id| Process::new(id).ok());
@@ -211,19 +213,19 @@
 }
 
 fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
-    let stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
-    stream.set_read_timeout(Some(CALL_TIMEOUT))?;
+    let stream = TcpStream::connect_timeout(&address, SOCKET_TIMEOUT)?;
+    stream.set_read_timeout(Some(SOCKET_TIMEOUT))?;
     Ok(stream)
 }
 
-/// Sends an HTTP request that closes the connection, and returns the response.
+/// Sends an HTTP request that asks the server to close the connection, and returns the response.
 fn http_request(address: SocketAddr, request: &str) -> std::io::Result<String> {
     let mut stream = connect(address)?;
     stream.write_all(request.as_bytes())?;
     read_to_end(stream)
 }
 
-/// Makes a management call, which the proxy executes once the client has closed the sending side of the
+/// Makes a management call. The proxy executes the call once the client has closed the sending side of the
 /// connection.
 fn management_call(address: SocketAddr, call: &str) -> std::io::Result<String> {
     let mut stream = connect(address)?;
--- a/crates/fleet-bench/src/rollout/proxy_set.rs
+++ b/crates/fleet-bench/src/rollout/proxy_set.rs
@@ -1,14 +1,14 @@
-//! The proxies of a rollout, which all get each version of the settings.
+//! The proxies of a rollout. Each version of the settings is sent to all of them.
 
 use super::managed_proxy::{ManagedProxy, SettingsStats};
 use crate::error::Error;
 use crate::proxy::ProxyProcess;
+use crate::resource_usage::ProcessUsage;
 use crate::shutdown::ShutdownSignal;
-use crate::usage::ProcessUsage;
 use std::thread::{Builder, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
-/// A change must be in force at all proxies within this time, by the operators' expectation.
+/// Maximum time until a change is in force at all proxies, as the operators require.
 pub const ROLLOUT_TIMEOUT: Duration = Duration::from_secs(14);
 
 /// The proxies, and the newest version of their settings.
@@ -49,18 +49,18 @@
         self.shutdown
     }
 
-    /// Assigns the next version, or several, and returns the newest.
+    /// Increases the newest version by `by`, and returns the newest version.
     pub fn advance_version(&mut self, by: usize) -> u64 {
         self.version += by as u64;
         self.version
     }
 
-    /// Acts on all proxies at the same time.
+    /// Runs an action on all proxies in parallel, and returns the results in the order of the proxies.
     ///
     /// # Errors
     ///
-    /// Returns the first error of an action.
-    pub fn for_all<T: Send>(
+    /// Returns the error of the first proxy whose action failed.
+    pub fn run_on_all<T: Send>(
         &mut self,
         action: impl Fn(&mut ManagedProxy<'a>) -> Result<T, Error> + Sync,
     ) -> Result<Vec<T>, Error> {
@@ -71,19 +71,20 @@
                 threads.push(Builder::new().spawn_scoped(scope, move || action(proxy))?);
             }
             let join = |thread: ScopedJoinHandle<'_, Result<T, Error>>| {
-                thread.join().unwrap_or(Err(Error::Panicked("a thread")))
+                thread.join().unwrap_or(Err(Error::Panicked("a rollout thread")))
             };
             threads.into_iter().map(join).collect()
         })
     }
 
-    /// Acts on all proxies and waits until the stats of each fulfil a condition. Returns how long each
-    /// took since the start, before the first action. `expected` names the condition in errors.
+    /// Runs an action on all proxies in parallel, and waits until the stats of each proxy fulfil a condition.
+    /// Returns the time of each proxy from the start of the first action until then. `expected` describes the
+    /// condition in errors.
     ///
     /// # Errors
     ///
     /// Returns [`Error::RolloutTimeout`] if a proxy takes longer than [`ROLLOUT_TIMEOUT`].
-    pub fn act_and_wait(
+    pub fn run_and_wait(
         &mut self,
         expected: &str,
         action: impl Fn(&mut ManagedProxy<'a>) -> Result<(), Error> + Sync,
@@ -91,7 +92,7 @@
     ) -> Result<Vec<Duration>, Error> {
         let shutdown = self.shutdown;
         let start = Instant::now();
-        let fulfilled_at = self.for_all(|proxy| {
+        let fulfilled_at = self.run_on_all(|proxy| {
             action(proxy)?;
             proxy.wait_for_stats(shutdown, start + ROLLOUT_TIMEOUT, |stats| condition(proxy, stats))
         })?;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Acts on all proxies and waits until each has the newest version.
+    /// Runs an action on all proxies in parallel, and waits until each proxy has the newest version.
     ///
     /// # Errors
     ///
@@ -126,7 +127,7 @@
     ) -> Result<Vec<Duration>, Error> {
         let version = self.version;
         let has_version = |_: &ManagedProxy<'a>, stats: &SettingsStats| stats.version == Some(version);
-        self.act_and_wait(&format!("settings version {version}"), action, has_version)
+        self.run_and_wait(&format!("settings version {version}"), action, has_version)
     }
 
     /// Changes the settings of all proxies to the next version.
@@ -136,10 +137,10 @@
     /// Returns [`Error::RolloutTimeout`] if a proxy takes longer than [`ROLLOUT_TIMEOUT`].
     pub fn roll_out_next(&mut self) -> Result<Vec<Duration>, Error> {
         let version = self.advance_version(1);
-        self.roll_out(|proxy| proxy.change_to(version))
+        self.roll_out(|proxy| proxy.reload_with_version(version))
     }
 
-    /// Reads the usage of all proxies.
+    /// Reads the resource usage of all proxies.
     ///
     /// # Errors
     ///
@@ -148,26 +149,27 @@
         self.proxies.iter().map(|proxy| proxy.process.usage()).collect()
     }
 
-    /// Begins a scenario: later stats count from now.
+    /// Begins a scenario: stores the present stats of each proxy as its initial stats.
     ///
     /// # Errors
     ///
     /// Returns an error if a proxy does not respond.
     pub fn reset_stats(&mut self) -> Result<(), Error> {
-        self.for_all(|proxy| {
+        self.run_on_all(|proxy| {
             proxy.initial_stats = proxy.stats()?;
             Ok(())
         })?;
         Ok(())
     }
 
-    /// Files that all proxies together have applied and rejected since the start of the scenario.
+    /// Returns the numbers of files that all proxies together have applied and rejected since the start of
+    /// the scenario.
     ///
     /// # Errors
     ///
     /// Returns an error if a proxy does not respond.
     pub fn file_counts(&mut self) -> Result<FileCounts, Error> {
-        let stats = self.for_all(|proxy| Ok(proxy.stats()?.since(proxy.initial_stats)))?;
+        let stats = self.run_on_all(|proxy| Ok(proxy.stats()?.since(proxy.initial_stats)))?;
         Ok(FileCounts {
             applied: stats.iter().map(|stats| stats.applied).sum(),
             rejected: stats.iter().map(|stats| stats.rejected).sum(),
--- a/crates/fleet-bench/src/slopes/simulation.rs
+++ b/crates/fleet-bench/src/slopes/simulation.rs
@@ -1,8 +1,11 @@
-//! Simulates one balancer in operation on virtual time: requests arrive at an even rate and get
-//! responses, timers fire when due, and cancelled attempts are reported to the balancer. The processor
-//! time of each event is measured separately.
+//! Simulates one balancer on virtual time. Requests arrive at a constant rate, backends respond, timers fire
+//! when due, and cancelled attempts are reported to the balancer. The processor time of each event is
+//! measured separately.
 
-use super::case::{Case, REQUEST_TIMEOUT, RESPONSE_TIME, SLOW_REQUEST_INTERVAL, SLOW_RESPONSE_TIME};
+use super::deployment_case::{
+    DeploymentCase, REQUEST_TIMEOUT_SECONDS, REQUESTS_PER_SLOW_REQUEST, RESPONSE_TIME_SECONDS,
+    SLOW_RESPONSE_TIME_SECONDS,
+};
 use super::event_queue::{EventQueue, PendingEvent};
 use super::event_times::{EventKind, EventTimes, measure_clock_cost};
 use super::open_requests::{Attempt, OpenRequests};
@@ -14,7 +17,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Requests simulated after each endpoint change, so that the next one meets a balancer at work.
+/// Number of requests that are simulated after each endpoint change, so that the next change arrives at a
+/// balancer with open requests.
 const REQUESTS_AFTER_CHANGE: usize = 2;
 
 /// An attempt that the balancer cancelled.
@@ -25,30 +29,31 @@
     attempt: Attempt,
 }
 
-/// A balancer in operation.
+/// One balancer with simulated requests, backends and timers.
 pub struct Simulation {
-    case: Case,
+    case: DeploymentCase,
     balancer: Balancer,
     endpoints: Vec<Endpoint>,
-    /// Actions that have not been carried out.
+    /// Actions of the balancer that have not been executed.
     actions: Vec<Action>,
     rng: SmallRng,
     now: Time,
     next_id: u64,
-    open: OpenRequests,
+    open_requests: OpenRequests,
     queue: EventQueue,
     times: EventTimes,
-    /// Whether each backend got an attempt in the current stretch.
-    used: Vec<bool>,
-    /// Whether the current settings have one instance more than the case.
+    /// Whether each backend received an attempt in the current batch of requests.
+    backend_used: Vec<bool>,
+    /// Whether the present settings have one instance more than the case.
     extra_instance: bool,
+    /// Processor time of a clock reading, in seconds.
     clock_cost: f64,
 }
 
 impl Simulation {
     /// Creates a simulation whose balancer has received its endpoint list.
     #[must_use]
-    pub fn new(case: Case, seed: u64) -> Self {
+    pub fn new(case: DeploymentCase, seed: u64) -> Self {
         let mut simulation = Self {
             case,
             balancer: Balancer::new(0.0, seed, case.settings()),
@@ -57,10 +62,10 @@
             rng: SmallRng::seed_from_u64(seed),
             now: 0.0,
             next_id: 0,
-            open: OpenRequests::default(),
+            open_requests: OpenRequests::default(),
             queue: EventQueue::default(),
             times: EventTimes::default(),
-            used: vec![false; case.backends],
+            backend_used: vec![false; case.backends],
             extra_instance: false,
             clock_cost: measure_clock_cost(),
         };
@@ -68,7 +73,7 @@
         simulation
     }
 
-    /// Returns the size of the balancer in bytes: the struct, and the memory freed by its drop.
+    /// Returns the size of the balancer in bytes: the struct and the heap memory that its drop frees.
     #[must_use]
     pub fn state_bytes(self) -> f64 {
         let balancer = self.balancer;
@@ -76,29 +81,28 @@
         size_of::<Balancer>() as f64 - freed as f64
     }
 
-    /// Returns the number of backends that got an attempt in the last stretch.
+    /// Returns the number of backends that received an attempt in the last batch of requests.
     #[must_use]
     pub fn backends_used(&self) -> usize {
-        self.used.iter().filter(|used| **used).count()
+        self.backend_used.iter().filter(|used| **used).count()
     }
 
-    /// Simulates requests for this many seconds of virtual time, until the balancer's rates are
-    /// estimated.
+    /// Simulates requests for this many seconds of virtual time, in which the balancer estimates its rates.
     pub fn warm_up(&mut self, duration: Time) {
-        self.serve((duration * self.case.request_rate()).ceil() as usize);
+        self.simulate_requests((duration * self.case.request_rate()).ceil() as usize);
     }
 
-    /// Simulates a stretch of this many requests, and returns the cost of the stretch.
-    pub fn serve(&mut self, requests: usize) -> EventTimes {
+    /// Simulates a batch of this many requests, and returns the cost of the batch.
+    pub fn simulate_requests(&mut self, requests: usize) -> EventTimes {
         self.times = EventTimes::default();
-        self.used.fill(false);
+        self.backend_used.fill(false);
         self.clock_cost = measure_clock_cost();
-        self.advance(requests);
+        self.simulate_arrivals(requests);
         std::mem::take(&mut self.times)
     }
 
-    /// Measures the processor time of an update of one endpoint, in microseconds: alternately a backend
-    /// begins to drain, and the same backend is back in service.
+    /// Measures the processor time of an update of one endpoint, in microseconds. Updates alternate: a
+    /// backend begins to drain, and then the same backend is in service again.
     pub fn measure_endpoint_change(&mut self) -> f64 {
         let draining = self.endpoints.iter().position(|endpoint| endpoint.status != Status::InService);
         let index = draining.unwrap_or_else(|| self.rng.random_range(0..self.endpoints.len()));
@@ -107,11 +111,11 @@
         let changes = [endpoint.clone()];
         let seconds = self.handle(Event::Endpoints(EndpointUpdate::Changes(&changes)));
         self.perform_actions(None);
-        self.advance(REQUESTS_AFTER_CHANGE);
+        self.simulate_arrivals(REQUESTS_AFTER_CHANGE);
         1e6 * seconds
     }
 
-    /// Measures the processor time of a complete endpoint list without any change, in microseconds.
+    /// Measures the processor time of a full endpoint list without any change, in microseconds.
     pub fn measure_full_list(&mut self) -> f64 {
         let endpoints = std::mem::take(&mut self.endpoints);
         let seconds = self.handle(Event::Endpoints(EndpointUpdate::Full(&endpoints)));
@@ -120,8 +124,7 @@
         1e6 * seconds
     }
 
-    /// Measures the processor time of the first complete endpoint list of a new balancer, in
-    /// microseconds.
+    /// Measures the processor time of the first full endpoint list of a new balancer, in microseconds.
     pub fn measure_first_list(&mut self, seed: u64) -> f64 {
         let mut balancer = Balancer::new(0.0, seed, self.case.settings());
         let started = thread_time();
@@ -131,8 +134,8 @@
         1e6 * (seconds - self.clock_cost)
     }
 
-    /// Measures the processor time of new settings, in microseconds: alternately with one instance more,
-    /// and with the original number.
+    /// Measures the processor time of new settings, in microseconds. Settings alternate between one instance
+    /// more and the number of the case.
     pub fn measure_settings_change(&mut self) -> f64 {
         self.extra_instance = !self.extra_instance;
         let mut settings = self.case.settings();
@@ -142,8 +145,8 @@
         1e6 * seconds
     }
 
-    /// Simulates further requests of the current stretch, and the events in between.
-    fn advance(&mut self, requests: usize) {
+    /// Simulates the arrivals of this many requests, and the events that are due in between.
+    fn simulate_arrivals(&mut self, requests: usize) {
         for _ in 0..requests {
             let arrival = self.now + 1.0 / self.case.request_rate();
             while let Some(due) = self.queue.take_due(arrival) {
@@ -151,11 +154,11 @@
                 self.handle_pending(due.event);
             }
             self.now = arrival;
-            self.arrive();
+            self.handle_arrival();
         }
     }
 
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let tenants = self.case.tenants;
@@ -163,10 +166,10 @@
             id,
             class: ClassIndex(self.rng.random_range(0..self.case.classes)),
             tenant: (tenants > 0).then(|| TenantIndex(self.rng.random_range(0..tenants))),
-            timeout: REQUEST_TIMEOUT,
+            timeout: REQUEST_TIMEOUT_SECONDS,
             ..Request::default()
         };
-        self.open.open(id);
+        self.open_requests.open(id);
         let seconds = self.handle(Event::Request(request));
         self.times.add(EventKind::Request, seconds);
         self.times.add_open_requests(self.balancer.open_requests());
@@ -175,15 +178,15 @@
 
     fn handle_pending(&mut self, event: PendingEvent) {
         match event {
-            PendingEvent::Timer { id, token } => self.fire_timer(id, token),
-            PendingEvent::Response { id, attempt } => self.respond(id, attempt),
+            PendingEvent::Timer { id, token } => self.handle_timer(id, token),
+            PendingEvent::Response { id, attempt } => self.handle_response(id, attempt),
         }
     }
 
-    fn fire_timer(&mut self, id: RequestId, token: TimerToken) {
+    fn handle_timer(&mut self, id: RequestId, token: TimerToken) {
         let seconds = self.handle(Event::Timer(token));
         let retries = self.actions.iter().any(|action| matches!(action, Action::Send { .. }));
-        let kind = if !self.open.is_open(id) {
+        let kind = if !self.open_requests.is_open(id) {
             EventKind::LateTimer
         } else if retries {
             EventKind::TimerWithRetry
@@ -194,15 +197,15 @@
         self.perform_actions(Some(id));
     }
 
-    /// Responds to an attempt, unless the request has ended with its other attempt.
-    fn respond(&mut self, id: RequestId, number: AttemptNumber) {
-        let Some(attempt) = self.open.attempt(id, number) else {
+    /// Reports the response to an attempt, unless another attempt has already completed the request.
+    fn handle_response(&mut self, id: RequestId, number: AttemptNumber) {
+        let Some(attempt) = self.open_requests.attempt(id, number) else {
             return;
         };
         let seconds = self.end_attempt(id, number, attempt, Outcome::Success);
         self.times.add(EventKind::Response, seconds);
         self.perform_actions(Some(id));
-        self.open.close(id);
+        self.open_requests.close(id);
     }
 
     fn end_attempt(
@@ -224,14 +227,14 @@
         }))
     }
 
-    /// Passes an event to the balancer, and returns the processor time of the event in seconds.
+    /// Passes an event to the balancer, and returns the processor time of the event, in seconds.
     fn handle(&mut self, event: Event<'_>) -> f64 {
         let started = thread_time();
         self.balancer.handle(self.now, event, &mut self.actions);
         thread_time() - started - self.clock_cost
     }
 
-    /// Carries out the actions of the balancer, and the actions that follow from these. `request` is the
+    /// Executes the pending actions of the balancer, and the actions that result from them. `request` is the
     /// request whose event led to the actions.
     fn perform_actions(&mut self, request: Option<RequestId>) {
         let mut actions = std::mem::take(&mut self.actions);
@@ -245,20 +248,20 @@
                     self.queue.schedule(at, PendingEvent::Timer { id, token });
                 }
                 Action::Cancel { id, attempt: number } => {
-                    let attempt = self.open.attempt(id, number);
+                    let attempt = self.open_requests.attempt(id, number);
                     cancelled.extend(attempt.map(|attempt| CancelledAttempt { id, number, attempt }));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.times.unserved += 1;
                     ended.push(id);
                 }
-                // There are no health checks, watches or connections.
+                // The simulation has no health checks, watches or connections.
                 _ => {}
             }
         }
         self.actions = actions;
         for id in ended {
-            self.open.close(id);
+            self.open_requests.close(id);
         }
         for CancelledAttempt { id, number, attempt } in cancelled {
             let seconds = self.end_attempt(id, number, attempt, Outcome::Cancelled);
@@ -269,13 +272,13 @@
         }
     }
 
-    /// Sends an attempt. The first attempt of a slow request is slow, a retry is not.
+    /// Sends an attempt. Only the first attempt of a slow request gets a slow response.
     fn send(&mut self, id: RequestId, backend: BackendId) {
-        let attempt = self.open.add_attempt(id, Attempt { backend, sent: self.now });
-        let slow = attempt == AttemptNumber(0) && id.0.is_multiple_of(SLOW_REQUEST_INTERVAL);
-        let response_time = if slow { SLOW_RESPONSE_TIME } else { RESPONSE_TIME };
+        let attempt = self.open_requests.add_attempt(id, Attempt { backend, sent: self.now });
+        let slow = attempt == AttemptNumber(0) && id.0.is_multiple_of(REQUESTS_PER_SLOW_REQUEST);
+        let response_time = if slow { SLOW_RESPONSE_TIME_SECONDS } else { RESPONSE_TIME_SECONDS };
         self.queue.schedule(self.now + response_time, PendingEvent::Response { id, attempt });
-        if let Some(used) = self.used.get_mut(backend.0 as usize) {
+        if let Some(used) = self.backend_used.get_mut(backend.0 as usize) {
             *used = true;
         }
     }
