--- a/crates/balancer-proxy/src/control/discovery/mod.rs
+++ b/crates/balancer-proxy/src/control/discovery/mod.rs
@@ -105,7 +105,7 @@
         self.address.get()
     }
 
-    /// Returns the id of a zone, or `None` if neither settings nor a known backend has named the zone.
+    /// Returns the id of a zone, or `None` if neither settings nor a backend in use has named the zone.
     #[must_use]
     pub fn find_zone(&self, name: &str) -> Option<ZoneId> {
         self.names.borrow().find_zone(name)
@@ -206,7 +206,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if no valid list arrives before the timeout.
+    /// Returns a [`CallError`] if no valid list arrives before the timeout.
     async fn watch_call(&self, client: &mut DiscoveryClient) -> Result<RawEndpointList, CallError> {
         let timing = self.last_call.get().next_timing();
         let response_timeout = self.jitter.apply(timing.response_timeout);
@@ -254,7 +254,7 @@
         let event = if list.reset { WatchEvent::Full(endpoints) } else { WatchEvent::Changes(endpoints) };
         self.listener.on_watch_event(event);
         self.has_responded.send_replace(true);
-        self.names.borrow_mut().retain_backends(|id| self.listener.is_backend_known(id));
+        self.names.borrow_mut().retain_backends(|id| self.listener.is_backend_in_use(id));
     }
 
     /// Logs a failed call, and notifies the listener if the decision module schedules the next call. The
--- a/crates/balancer-proxy/src/control/management.rs
+++ b/crates/balancer-proxy/src/control/management.rs
@@ -1,7 +1,7 @@
 //! The management service: responds to the calls of operators, one call for each connection.
 //!
 //! A connection gets its response or is closed within twice the call timeout. Callers that send nothing
-//! can't block other callers, as the oldest connection is closed when the connection limit is reached.
+//! cannot block other callers, as the oldest connection is closed when the connection limit is reached.
 
 use super::maintenance::Maintenance;
 use super::maintenance_record::MaintenanceState;
@@ -25,7 +25,7 @@
 /// the connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause after a failed `accept`, as the next one may fail immediately, too.
-const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 
 /// Serves the management address.
 pub struct Management {
@@ -50,7 +50,7 @@
                 Ok((stream, _)) => self.clone().admit(stream).await,
                 Err(error) => {
                     log!("management: cannot accept a connection: {error}; retrying");
-                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
@@ -137,7 +137,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the address can't be bound.
+/// Returns an error if the address cannot be bound.
 pub async fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
