--- a/crates/balancer/tests/common/actions.rs
+++ b/crates/balancer/tests/common/actions.rs
@@ -11,8 +11,8 @@
     pub action: Action,
 }
 
-/// An attempt that a balancer sends. No request is sent to the same backend twice, so that the backend
-/// distinguishes the attempts of a request.
+/// An attempt that a balancer sends. No request is sent to the same backend twice, so the backend
+/// identifies the attempt among the attempts of the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentAttempt {
     /// The request.
--- a/crates/balancer/tests/common/balancer_harness.rs
+++ b/crates/balancer/tests/common/balancer_harness.rs
@@ -45,7 +45,8 @@
         harness
     }
 
-    /// Handles an event now. Timers are recorded; all other actions are returned.
+    /// Passes an event to the balancer at the current virtual time. Records the timers, and returns all other
+    /// actions.
     pub fn handle(&mut self, event: Event<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
--- a/crates/balancer/tests/concerns/attempts.rs
+++ b/crates/balancer/tests/concerns/attempts.rs
@@ -146,14 +146,14 @@
 fn is_safe_to_retry_if_no_backend_processed_the_request_or_all_backends_detect_a_repeat() {
     let is_safe =
         |effect: Effect, outcome: Outcome| is_safe_to_retry(&call_with_attempt(effect, Some(outcome)));
-    let recognised_everywhere = idempotent_effect(IdempotencyGroup::All);
-    let recognised_in_zone = idempotent_effect(IdempotencyGroup::Zone);
+    let detected_everywhere = idempotent_effect(IdempotencyGroup::All);
+    let detected_in_zone = idempotent_effect(IdempotencyGroup::Zone);
 
     for outcome in POSSIBLY_PROCESSED_OUTCOMES {
-        assert!(is_safe(Effect::Safe, outcome) && is_safe(recognised_everywhere, outcome));
-        assert!(!is_safe(Effect::Unsafe, outcome) && !is_safe(recognised_in_zone, outcome));
+        assert!(is_safe(Effect::Safe, outcome) && is_safe(detected_everywhere, outcome));
+        assert!(!is_safe(Effect::Unsafe, outcome) && !is_safe(detected_in_zone, outcome));
     }
     for outcome in UNPROCESSED_OUTCOMES {
-        assert!(is_safe(Effect::Unsafe, outcome) && is_safe(recognised_in_zone, outcome));
+        assert!(is_safe(Effect::Unsafe, outcome) && is_safe(detected_in_zone, outcome));
     }
 }
--- a/crates/balancer/tests/concerns/calls.rs
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn counts_a_call_that_lacks_capacity_once_until_it_is_sent_again_or_ends() {
+fn counts_a_call_with_an_unaccepted_attempt_once_until_it_is_sent_again_or_ends() {
     let mut table = CallTable::default();
     let retried = table.insert(safe_call(1), CallStage::Ready);
     let ended = table.insert(safe_call(2), CallStage::Ready);
--- a/crates/balancer/tests/concerns/ordered_keys.rs
+++ b/crates/balancer/tests/concerns/ordered_keys.rs
@@ -22,8 +22,8 @@
     keys.next(ORDERING_KEY).map(|next| next.key)
 }
 
-/// Returns the state at `now`, in which [`ORDERING_KEY`] has no calls and is blocked until 5 s, and calls of
-/// [`PRUNE_THRESHOLD_QUEUES`] other keys have arrived.
+/// Returns the state at `now`, after calls of [`PRUNE_THRESHOLD_QUEUES`] other keys have arrived.
+/// [`ORDERING_KEY`] has no calls and is blocked until 5 s.
 fn keys_with_blocked_key(now: Time) -> OrderedKeys {
     let [ended, other] = call_keys();
     let mut keys = OrderedKeys::default();
--- a/crates/balancer/tests/concerns/outlier_detection.rs
+++ b/crates/balancer/tests/concerns/outlier_detection.rs
@@ -122,13 +122,13 @@
 fn distinguishes_recent_activity_and_successes_from_older_ones() {
     let [backend] = backend_indices();
     let mut detection = detection_without_observations(&[backend]);
-    let has_responded_before = detection.has_succeeded_since(backend, 0.0);
+    let has_succeeded_before = detection.has_succeeded_since(backend, 0.0);
 
     detection.record_activity(backend, 1.0);
     detection.record_success(backend, 1.0);
 
     let one_time_constant = 0.5 * RATE_TIME_CONSTANT;
-    assert!(!has_responded_before);
+    assert!(!has_succeeded_before);
     assert!(detection.has_succeeded_since(backend, 0.5));
     assert!(!detection.has_succeeded_since(backend, 1.0));
     assert!(detection.was_recently_active(backend, 0.5 + one_time_constant));
--- a/crates/balancer/tests/concerns/placement.rs
+++ b/crates/balancer/tests/concerns/placement.rs
@@ -13,7 +13,7 @@
 
 /// The time of the placements, in seconds.
 const PLACEMENT_TIME: Time = 0.0;
-/// The number of placements in a test that expects each candidate to be drawn at least once.
+/// The number of placements in a test that expects each candidate to be sampled at least once.
 const PLACEMENT_COUNT: usize = 100;
 
 /// The backends and the other state of a balancer that placement uses.
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn chooses_a_backend_in_the_own_zone_up_to_a_limit_of_load_if_crossing_zones_has_a_cost() {
+fn chooses_a_backend_in_its_own_zone_up_to_a_limit_of_load_if_crossing_zones_has_a_cost() {
     let settings = Settings { cross_zone_cost: 0.1, zone: ZoneId(0), ..Settings::default() };
     let remote = Endpoint { zone: ZoneId(1), ..endpoint(2) };
     let mut fleet = Fleet::new(settings, &[endpoint(1), remote]);
--- a/crates/balancer/tests/concerns/slow_start.rs
+++ b/crates/balancer/tests/concerns/slow_start.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_fraction_of_a_request_is_a_probability_and_is_consumed_by_a_refusal() {
+fn permits_a_fraction_of_a_request_at_random_and_consumes_the_fraction_if_not_permitted() {
     let half_a_request_later = BACKEND_WARM_AT + 1.0 / 30.0;
     let mut backend = WarmingBackend::added_at(BACKEND_WARM_AT);
     let mut permitted = 0;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_send_beyond_the_budget_is_taken_from_later_budget() {
+fn a_send_beyond_the_budget_reduces_the_later_budget() {
     let mut backend = WarmingBackend::added_at(BACKEND_WARM_AT);
     for _ in 0..15 {
         backend.slow_start.record_send(backend.index);
--- a/crates/balancer/tests/decision_invariants/checker.rs
+++ b/crates/balancer/tests/decision_invariants/checker.rs
@@ -88,7 +88,7 @@
         self.violations.push(violation.into());
     }
 
-    /// Returns the violation of the order of an ordering key that a send of this request at `now` would be.
+    /// Returns the violation if a send of this request at `now` would break the order of its ordering key.
     pub fn order_violation(&self, now: Time, id: u64) -> Option<&'static str> {
         let is_ordered = |request: &&ObservedRequest| {
             self.settings.class(request.class).ordered_by_key && request.key.is_some()
@@ -105,7 +105,7 @@
                 attempt.may_still_run() && now < attempt.ended_at + self.settings.key_block_duration
             };
             if earlier.attempts.iter().any(blocks_key) {
-                return Some("order: the key has not rested");
+                return Some("order: the key is still blocked");
             }
         }
         None
@@ -235,7 +235,7 @@
 ) -> Vec<&'static str> {
     let mut violations = Vec::new();
     if request.is_finished {
-        violations.push("sent after the end");
+        violations.push("sent after the end of the request");
     }
     if request.attempts.len() >= settings.max_attempts {
         violations.push("too many attempts");
--- a/crates/balancer/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -86,7 +86,7 @@
     assert_eq!(violations_in(SAFE_CLASS, &[send_at(0.0, 1)]), ["1 has no final response"]);
     assert_eq!(violations_in(SAFE_CLASS, &[fail_at(1.5)]), ["1 has a late final response"]);
     assert_eq!(violations_in(SAFE_CLASS, &[fail_at(0.1), fail_at(0.2)]).len(), 1);
-    assert_eq!(violations_in(SAFE_CLASS, &[fail_at(0.1), send_at(0.2, 1)]), ["sent after the end"]);
+    assert_eq!(violations_in(SAFE_CLASS, &[fail_at(0.1), send_at(0.2, 1)]), ["sent after the end of the request"]);
 }
 
 #[test]
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_checker_finds_requests_of_a_key_out_of_order_or_during_the_rest_of_the_key() {
+fn the_checker_finds_requests_of_a_key_out_of_order_or_while_the_key_is_blocked() {
     let mut checker = Checker::new(settings(PERMISSIVE_SETTINGS));
     checker.list.insert(1, endpoint(1));
     for id in 1..3 {
@@ -128,7 +128,7 @@
     first_attempt.outcome = Some(Outcome::Timeout);
     first_attempt.ended_at = 0.3;
     checker.check_action(0.4, &send_action(RequestId(2), 1));
-    assert_eq!(checker.violations, ["order: the key has not rested"]);
+    assert_eq!(checker.violations, ["order: the key is still blocked"]);
     assert_eq!(checker.order_violation(0.51, 2), None);
 }
 
--- a/crates/balancer/tests/decision_invariants/random_events.rs
+++ b/crates/balancer/tests/decision_invariants/random_events.rs
@@ -113,7 +113,7 @@
 }
 
 /// An attempt in flight.
-struct InFlight {
+struct AttemptInFlight {
     id: u64,
     attempt: AttemptNumber,
     backend: u32,
@@ -126,7 +126,7 @@
     now: Time,
     /// The timers that are set, in the order in which the balancer set them.
     timers: Vec<PendingTimer>,
-    in_flight: Vec<InFlight>,
+    in_flight: Vec<AttemptInFlight>,
     list: Vec<Endpoint>,
     last_request: u64,
 }
@@ -148,7 +148,7 @@
     for step in steps {
         simulation.run_step(step);
     }
-    simulation.wait(FINAL_WAIT);
+    simulation.advance_by(FINAL_WAIT);
     simulation.checker.check_all_finished();
     if simulation.balancer.open_requests() > 0 {
         simulation.checker.record_violation("finished requests are still open in the balancer");
@@ -159,10 +159,10 @@
 impl Simulation {
     fn run_step(&mut self, step: &Step) {
         match *step {
-            Step::Request { class, tenant, key, timeout } => self.request(class, tenant, key, timeout),
+            Step::Request { class, tenant, key, timeout } => self.handle_request(class, tenant, key, timeout),
             Step::EndAttempt { attempt, outcome } => self.end_attempt(attempt, outcome),
-            Step::Disconnect { request } => self.disconnect(request),
-            Step::Wait(duration) => self.wait(duration),
+            Step::Disconnect { request } => self.disconnect_client(request),
+            Step::Wait(duration) => self.advance_by(duration),
             Step::ChangeEndpoint { backend, status, is_restarted } => {
                 let started_at = is_restarted.then_some(self.now);
                 self.change_endpoint(backend, status, started_at);
@@ -186,14 +186,14 @@
                 Action::Send { id, backend, .. } => {
                     let request = self.checker.requests.get(&id.0);
                     let attempt = AttemptNumber(request.map_or(0, |request| request.attempts.len() - 1));
-                    self.in_flight.push(InFlight { id: id.0, attempt, backend: backend.0 });
+                    self.in_flight.push(AttemptInFlight { id: id.0, attempt, backend: backend.0 });
                 }
                 _ => {}
             }
         }
     }
 
-    fn request(&mut self, class: ClassIndex, tenant: TenantIndex, key: Option<u64>, timeout: Time) {
+    fn handle_request(&mut self, class: ClassIndex, tenant: TenantIndex, key: Option<u64>, timeout: Time) {
         self.last_request += 1;
         let deadline = self.now + timeout.max(0.0);
         self.checker.requests.insert(self.last_request, ObservedRequest::new(class, key, deadline));
@@ -211,7 +211,7 @@
         if self.in_flight.is_empty() {
             return;
         }
-        let InFlight { id, attempt, backend } = self.in_flight.remove(index % self.in_flight.len());
+        let AttemptInFlight { id, attempt, backend } = self.in_flight.remove(index % self.in_flight.len());
         self.checker.record_notification_or_use(self.now, backend);
         let request = self.checker.requests.get_mut(&id).unwrap();
         request.is_finished |= outcome == Outcome::Success;
@@ -231,7 +231,7 @@
         }));
     }
 
-    fn disconnect(&mut self, index: usize) {
+    fn disconnect_client(&mut self, index: usize) {
         if self.last_request == 0 {
             return;
         }
@@ -240,7 +240,7 @@
         self.handle(Event::ClientDisconnected(RequestId(id)));
     }
 
-    fn wait(&mut self, duration: Time) {
+    fn advance_by(&mut self, duration: Time) {
         let end = self.now + duration;
         while let Some(index) = self.next_timer_until(end) {
             let PendingTimer { due, token } = self.timers.remove(index);
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -55,7 +55,7 @@
     settings.over_quota_weight = 0.01;
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
 
-    // Rejections by class and tenant.
+    // The number of rejected requests, indexed by class and tenant.
     let mut rejected = [[0; 2]; 2];
     let mut in_flight = VecDeque::<AttemptInFlight>::new();
     for round in 0..4000u64 {
@@ -63,7 +63,7 @@
         let (class, tenant) = (class_of(id), Some(tenant_of(id)));
         let request = Request { id, class, tenant, timeout: 2.0, ..Request::default() };
         let mut actions = harness.handle(Event::Request(request));
-        // The backends respond to all requests at first, later to seven in ten.
+        // One attempt ends in each of the first 500 rounds, and in seven of ten later rounds.
         if (round < 500 || round % 10 < 7)
             && let Some(AttemptInFlight { attempt, sent_at }) = in_flight.pop_front()
         {
@@ -87,7 +87,7 @@
 
 #[test]
 fn rejects_a_request_whose_timeout_is_far_below_the_expected_latency() {
-    // Guards against attempts that serve no client: the client gives up before the attempt ends.
+    // Guards against attempts that serve no client: the client times out before the attempt ends.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
     for id in 0..30 {
         harness.serve(id, 0.1);
--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -10,7 +10,7 @@
     BalancerHarness::new(settings, &[endpoint(1), endpoint(2)])
 }
 
-/// Returns settings of safe requests where attempts may be cancelled, and settings where they may not.
+/// Returns settings of safe requests with cancellation allowed, and settings with cancellation not allowed.
 fn settings_with_and_without_cancellation() -> [Settings; 2] {
     [true, false].map(|cancellation_allowed| Settings { cancellation_allowed, ..safe_settings() })
 }
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn does_not_forward_a_request_queued_for_its_key_after_a_disconnect() {
+fn does_not_send_a_request_queued_for_its_key_after_a_disconnect() {
     for mut settings in settings_with_and_without_cancellation() {
         settings.classes[0].ordered_by_key = true;
         let mut harness = harness_with_two_backends(settings);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn does_not_forward_a_request_queued_at_the_entry_tier_after_a_disconnect() {
+fn does_not_send_a_request_queued_at_the_entry_tier_after_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
         let settings = Settings { tier: Tier::ENTRY, ..settings };
         let mut harness = harness_with_two_backends(settings);
@@ -138,10 +138,10 @@
             harness.serve(id, 0.1);
         }
         let mut queued = Vec::new();
-        let mut forwarded = Vec::new();
+        let mut sent_at_once = Vec::new();
         for id in 1000..1100 {
             match sends(&harness.request(id)).first() {
-                Some(sent) => forwarded.push(*sent),
+                Some(sent) => sent_at_once.push(*sent),
                 None => queued.push(id),
             }
         }
@@ -151,7 +151,7 @@
             assert!(harness.handle(Event::ClientDisconnected(RequestId(*id))).is_empty());
         }
 
-        for sent in forwarded {
+        for sent in sent_at_once {
             let actions = harness.end_attempt(sent, Outcome::Success, 0.1);
             assert!(sends(&actions).is_empty() && !queued.iter().any(|id| is_rejected(&actions, *id)));
         }
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -147,7 +147,7 @@
     for poll_limit in ENDPOINT_POLL_LIMITS {
         for seed in 0..200 {
             let mut harness = harness_with_first_poll(seed, poll_limit);
-            // A number of polls fail at once. The next poll gets no response while discovery returns.
+            // Some polls fail at once. The next two polls fail slowly, while discovery recovers.
             for failed_at_once in 0..10_u32 {
                 let first_start = harness.now;
                 for _ in 0..failed_at_once {
--- a/crates/balancer/tests/decisions/idle_backends.rs
+++ b/crates/balancer/tests/decisions/idle_backends.rs
@@ -1,8 +1,8 @@
 //! Placement among idle backends with the same latency.
 //!
 //! Guards against one of several idle backends getting nearly all requests: 765 to 770 of 800 requests at
-//! four backends. A retry timer that fired just before the response recorded the wait so far as the latency
-//! of the backend, which then appeared slightly faster than the others. Placement excludes backends with more
+//! four backends. When a retry timer fired just before the response, the time since the send was recorded as
+//! the latency of the backend, which then appeared slightly faster than the others. Placement excludes backends with more
 //! than the mean load, so that only this backend remained.
 //!
 //! The counts were the same at latencies of 0.01, 0.05 and 0.2 s, with and without pauses between requests.
--- a/crates/balancer/tests/decisions/maintenance.rs
+++ b/crates/balancer/tests/decisions/maintenance.rs
@@ -1,4 +1,4 @@
-//! Maintenance: a balancer sends no request to a backend in maintenance, and slow start follows.
+//! Maintenance: a balancer sends no request to a backend in maintenance, and slow start follows the maintenance.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -10,7 +10,7 @@
     Action, BackendId, Endpoint, EndpointUpdate, Event, MaintenanceChange, Outcome, Settings, Status, Time,
 };
 
-fn start_maintenance(harness: &mut BalancerHarness, id: u32) -> Vec<Action> {
+fn begin_maintenance(harness: &mut BalancerHarness, id: u32) -> Vec<Action> {
     harness.handle(Event::Maintenance { backend: BackendId(id), change: MaintenanceChange::Begins })
 }
 
@@ -45,8 +45,8 @@
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1), endpoint(2)]);
     harness.serve(1, 0.01);
 
-    assert_eq!(start_maintenance(&mut harness, 1), [Action::CloseIdleConnections(BackendId(1))]);
-    assert_eq!(start_maintenance(&mut harness, 1), [], "the backend is in maintenance already");
+    assert_eq!(begin_maintenance(&mut harness, 1), [Action::CloseIdleConnections(BackendId(1))]);
+    assert_eq!(begin_maintenance(&mut harness, 1), [], "the backend is in maintenance already");
 
     assert_eq!(harness.balancer.backends_listed(), 2);
     assert_eq!(harness.balancer.backends_avoided(), 1);
@@ -77,7 +77,7 @@
 fn sends_nothing_to_a_backend_in_maintenance_that_is_listed_later() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(2)]);
 
-    start_maintenance(&mut harness, 1);
+    begin_maintenance(&mut harness, 1);
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(1), endpoint(2)])));
 
     for id in 0..20 {
@@ -110,13 +110,13 @@
         let list = [Endpoint { started_at: started_before, ..endpoint(1) }, endpoint(2)];
         let mut harness = BalancerHarness::new(slow_start_settings(), &list);
         let sent_before = count_sent_to_first_backend(&send_rounds(&mut harness, 0..20));
-        start_maintenance(&mut harness, 1);
+        begin_maintenance(&mut harness, 1);
         let sent_during = count_sent_to_first_backend(&send_rounds(&mut harness, 20..220));
         assert_eq!(sent_during, 0);
         let list = [Endpoint { started_at, ..endpoint(1) }, endpoint(2)];
         harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
 
-        start_maintenance(&mut harness, 1);
+        begin_maintenance(&mut harness, 1);
         end_maintenance(&mut harness, 1);
         end_maintenance(&mut harness, 1);
 
@@ -160,7 +160,7 @@
         for MemberAndRemovedBackend { member, removed } in pairs_of_member_and_removed(&members, &list) {
             let mut harness = BalancerHarness::new(settings.clone(), &list);
             send_rounds(&mut harness, 0..20);
-            start_maintenance(&mut harness, member.0);
+            begin_maintenance(&mut harness, member.0);
             let others: Vec<Endpoint> =
                 list.iter().filter(|endpoint| endpoint.id != removed).cloned().collect();
             harness.handle(Event::Endpoints(EndpointUpdate::Full(&others)));
@@ -204,7 +204,7 @@
     let backends = send_rounds(&mut harness, 40..60);
     let substitute = *backends.iter().find(|backend| !members.contains(backend)).expect("a substitute");
 
-    start_maintenance(&mut harness, substitute.0);
+    begin_maintenance(&mut harness, substitute.0);
     send_rounds(&mut harness, 60..90);
     end_maintenance(&mut harness, substitute.0);
 
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn ignores_the_end_of_a_maintenance_that_never_started() {
+fn ignores_the_end_of_a_maintenance_that_never_began() {
     let mut harness = BalancerHarness::new(slow_start_settings(), &[endpoint(1), endpoint(2)]);
     let mut reference_harness = BalancerHarness::new(slow_start_settings(), &[endpoint(1), endpoint(2)]);
 
--- a/crates/balancer/tests/decisions/placement.rs
+++ b/crates/balancer/tests/decisions/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: the draw of two random members, loads, weights and zones.
+//! Placement: the sampling of two members, loads, weights and zones.
 
 use std::collections::BTreeSet;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn crosses_zones_at_a_cost_only_when_the_own_zone_is_much_busier() {
+fn crosses_zones_only_when_its_own_zone_is_much_busier_if_crossing_has_a_cost() {
     // Guards against attempts in another zone that cost more than they gain, and against sending a zone more
     // traffic than its backends can serve.
     let settings = Settings { cross_zone_cost: 0.2, zone: OWN_ZONE, ..safe_settings() };
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn draws_idle_members_about_equally_often() {
+fn samples_idle_members_about_equally_often() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
 
     let mut sent = [0; 4];
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn draws_no_member_with_more_than_the_mean_load() {
+fn samples_no_member_with_more_than_the_mean_load() {
     for seed in 0..20 {
         let settings = Settings { hedging_allowed: false, ..safe_settings() };
         let mut harness = BalancerHarness::with_seed(seed, settings, &endpoints(1));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn sends_the_first_retry_to_the_other_member_of_the_draw_whatever_the_loads_are_then() {
+fn sends_the_first_retry_to_the_other_sampled_member_whatever_the_loads_are_then() {
     let list = [weighted_endpoint(1, 6.0), weighted_endpoint(2, 3.0), endpoint(3), endpoint(4)];
     for seed in 0..20 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &list);
--- a/crates/balancer/tests/decisions/quotas.rs
+++ b/crates/balancer/tests/decisions/quotas.rs
@@ -51,7 +51,7 @@
 }
 
 /// Serves this number of requests of the limited tenant at once.
-fn use_quota(harness: &mut BalancerHarness, requests: u64) {
+fn consume_quota(harness: &mut BalancerHarness, requests: u64) {
     for id in 1000..1000 + requests {
         let sent = sends(&request_of_tenant(harness, id, LIMITED_TENANT))[0];
         harness.end_attempt(sent, Outcome::Success, 0.05);
@@ -92,41 +92,41 @@
     let settings = settings_with_quota(QUOTA_PER_SECOND);
 
     assert!(!is_over_quota(&settings, LIMITED_TENANT, |_| {}));
-    assert!(!is_over_quota(&settings, LIMITED_TENANT, |harness| use_quota(harness, 3)));
-    assert!(is_over_quota(&settings, LIMITED_TENANT, |harness| use_quota(harness, 4)));
+    assert!(!is_over_quota(&settings, LIMITED_TENANT, |harness| consume_quota(harness, 3)));
+    assert!(is_over_quota(&settings, LIMITED_TENANT, |harness| consume_quota(harness, 4)));
 }
 
 #[test]
 fn a_tenant_is_within_quota_again_when_the_quota_of_one_request_has_been_refilled() {
     let settings = settings_with_quota(QUOTA_PER_SECOND);
-    let spend_and_wait = |seconds: Time| {
+    let consume_and_wait = |seconds: Time| {
         move |harness: &mut BalancerHarness| {
-            use_quota(harness, 4);
+            consume_quota(harness, 4);
             harness.advance_to(harness.now + seconds);
         }
     };
 
-    assert!(is_over_quota(&settings, LIMITED_TENANT, spend_and_wait(0.24)));
-    assert!(!is_over_quota(&settings, LIMITED_TENANT, spend_and_wait(0.26)));
+    assert!(is_over_quota(&settings, LIMITED_TENANT, consume_and_wait(0.24)));
+    assert!(!is_over_quota(&settings, LIMITED_TENANT, consume_and_wait(0.26)));
 }
 
 #[test]
 fn unused_quota_is_kept_for_at_most_one_second() {
     let settings = settings_with_quota(QUOTA_PER_SECOND);
-    let wait_and_spend = |harness: &mut BalancerHarness| {
+    let wait_and_consume = |harness: &mut BalancerHarness| {
         harness.advance_to(harness.now + 10.0);
-        use_quota(harness, 4);
+        consume_quota(harness, 4);
     };
 
-    assert!(is_over_quota(&settings, LIMITED_TENANT, wait_and_spend));
+    assert!(is_over_quota(&settings, LIMITED_TENANT, wait_and_consume));
 }
 
 #[test]
 fn a_quota_is_divided_among_the_balancers() {
     let settings = Settings { instance_count: 2, ..settings_with_quota(QUOTA_PER_SECOND) };
 
-    assert!(!is_over_quota(&settings, LIMITED_TENANT, |harness| use_quota(harness, 1)));
-    assert!(is_over_quota(&settings, LIMITED_TENANT, |harness| use_quota(harness, 2)));
+    assert!(!is_over_quota(&settings, LIMITED_TENANT, |harness| consume_quota(harness, 1)));
+    assert!(is_over_quota(&settings, LIMITED_TENANT, |harness| consume_quota(harness, 2)));
 }
 
 #[test]
@@ -134,11 +134,11 @@
     let settings = settings_with_quota(0.1);
 
     assert!(!is_over_quota(&settings, LIMITED_TENANT, |_| {}));
-    assert!(is_over_quota(&settings, LIMITED_TENANT, |harness| use_quota(harness, 1)));
+    assert!(is_over_quota(&settings, LIMITED_TENANT, |harness| consume_quota(harness, 1)));
 }
 
 #[test]
-fn queued_requests_use_no_quota() {
+fn queued_requests_consume_no_quota() {
     let settings = settings_with_quota(QUOTA_PER_SECOND);
     let queue_requests = |harness: &mut BalancerHarness| {
         let mut in_flight: VecDeque<_> = (2000..2300).flat_map(|id| sends(&harness.request(id))).collect();
@@ -167,11 +167,11 @@
         ],
         ..settings.clone()
     };
-    let spend_and_move = |harness: &mut BalancerHarness| {
-        use_quota(harness, 4);
+    let consume_and_move = |harness: &mut BalancerHarness| {
+        consume_quota(harness, 4);
         harness.handle(Event::Settings(&reordered_settings));
     };
 
-    assert!(is_over_quota(&settings, TenantIndex(2), spend_and_move), "the limited tenant");
-    assert!(!is_over_quota(&settings, LIMITED_TENANT, spend_and_move), "the new tenant");
+    assert!(is_over_quota(&settings, TenantIndex(2), consume_and_move), "the limited tenant");
+    assert!(!is_over_quota(&settings, LIMITED_TENANT, consume_and_move), "the new tenant");
 }
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Passes on an endpoint list in which this backend has just started.
+/// Passes a full endpoint list to the balancer. In this list, the backend has just started.
 fn restart(backend: BackendId, harness: &mut BalancerHarness, list: &mut [Endpoint]) {
     let endpoint = list.iter_mut().find(|endpoint| endpoint.id == backend).unwrap();
     endpoint.started_at = Some(harness.now);
@@ -108,8 +108,8 @@
         }
     }
 
-    // Over 10 s, each backend could get 2.5 requests per second. This one can serve a tenth to a half of
-    // them.
+    // Over 10 s, each backend could get 2.5 requests per second. The backend that is warming up can serve a
+    // tenth to a half of that rate.
     assert!(sent_to_warming <= 12, "{sent_to_warming}");
 }
 
--- a/crates/balancer/tests/endpoint_churn.rs
+++ b/crates/balancer/tests/endpoint_churn.rs
@@ -1,5 +1,5 @@
 //! Guards against unbounded growth of the endpoint table where deployments replace all backends again and
-//! again. The balancer drops a removed backend when the last attempt at the backend has ended.
+//! again. The balancer removes an unlisted backend from the table when the last attempt at the backend has ended.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use common::fixtures::{endpoint, safe_settings};
 
 #[test]
-fn drops_removed_backends_without_attempts_in_flight() {
+fn removes_unlisted_backends_without_attempts_in_flight() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     let first = SentAttempt::new(1, 1);
     assert_eq!(sends(&harness.request(1)), [first]);
--- a/crates/balancer/tests/replay/scenario.rs
+++ b/crates/balancer/tests/replay/scenario.rs
@@ -33,13 +33,13 @@
     DiscoveryFails,
     /// Discovery works again.
     DiscoveryRecovers,
-    /// Operators start or end the maintenance of a backend.
+    /// Operators begin or end the maintenance of a backend.
     Maintenance(BackendId, MaintenanceChange),
     /// A second process begins to run.
     SecondProcessBegins,
-    /// The second process ceases to run.
+    /// The second process ends.
     SecondProcessEnds,
-    /// Other settings are in force.
+    /// Other settings take effect.
     Settings(Box<Settings>),
 }
 
--- a/crates/balancer/tests/replay/simulation.rs
+++ b/crates/balancer/tests/replay/simulation.rs
@@ -183,11 +183,11 @@
         (self.observe)(&HandledEvent { number: self.handled, time: self.now, event, actions: &actions });
         self.handled += 1;
         for action in actions {
-            self.perform(action);
+            self.perform_action(action);
         }
     }
 
-    fn perform(&mut self, action: Action) {
+    fn perform_action(&mut self, action: Action) {
         match action {
             Action::Send { id, backend, timeout, write_within } => {
                 self.send_attempt(id, backend, timeout, write_within);
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -197,8 +197,8 @@
                 moved += subset_before.difference(&subset_of(harness)).count();
             }
             let members: usize = before.iter().map(BTreeSet::len).sum();
-            // No member moves if subsets keep their size. Otherwise the subsets of a round overlap
-            // differently.
+            // No member moves if subsets keep their size. If the size changes, the proposal
+            // rounds may assign other members.
             let same_size = fleet[0].balancer.members().count() == before[0].len();
             assert!(
                 moved * 3 <= members * 2 && (!same_size || moved == 0),
--- a/crates/balancer/tests/subset_cover/main.rs
+++ b/crates/balancer/tests/subset_cover/main.rs
@@ -3,12 +3,12 @@
 //! random fleets, and check the subsets of the whole fleet.
 //!
 //! A balancer that keeps all its members on a change has no room for the backends that the changed list
-//! assigns to it, while the balancers that had these backends before drop them. Each subset then depends on
+//! assigns to it, while the balancers that had these backends before remove them. Each subset then depends on
 //! the history of its balancer, and differs from the subset after a restart with the same list. If crossing
 //! zones has a cost, backends are also left out if a balancer uses its index among all balancers as its index
 //! among the balancers of its zone. With both faults, 1,697 of the 3,600 changes of these tests left a
-//! backend out. A sixth of the backends, at worst a third, were in no subset after a list had changed one
-//! backend at a time.
+//! backend out. After a list had changed one backend at a time, a sixth of the backends were in no subset,
+//! and a third in the worst case.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/balancer/tests/support/backend_map.rs
+++ b/crates/balancer/tests/support/backend_map.rs
@@ -42,7 +42,7 @@
 
 #[test]
 fn finds_an_index_at_each_position_of_a_list_and_no_absent_index() {
-    // The searched list has all indices but the last one: one more than two comparison blocks.
+    // The searched list has 65 indices, one more than two comparison blocks. The last index is absent.
     let map = map_with_values(&[0; 66]);
     let indices: Vec<BackendIndex> = map.indices().collect();
     let (absent, list) = indices.split_last().expect("the map has backends");
