--- a/crates/balancer/tests/common/actions.rs
+++ b/crates/balancer/tests/common/actions.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns the attempts that these actions send.
-pub fn sends(actions: &[Action]) -> Vec<SentAttempt> {
+pub fn sent_attempts(actions: &[Action]) -> Vec<SentAttempt> {
     let sent_attempt = |action: &Action| match *action {
         Action::Send { id, backend, .. } => Some(SentAttempt { request: id, backend }),
         _ => None,
@@ -54,6 +54,6 @@
 }
 
 /// Returns the number of requests that these actions reject.
-pub fn rejections(actions: &[Action]) -> usize {
+pub fn count_rejections(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count()
 }
--- a/crates/balancer/tests/common/balancer_harness.rs
+++ b/crates/balancer/tests/common/balancer_harness.rs
@@ -1,6 +1,6 @@
 //! A balancer with a virtual clock, for tests of the decision module without sockets.
 
-use super::actions::{SentAttempt, TimedAction, sends};
+use super::actions::{SentAttempt, TimedAction, sent_attempts};
 use balancer::{
     Action, AttemptNumber, BackendId, Balancer, EndedAttempt, Endpoint, EndpointUpdate, Event, Outcome,
     Request, RequestId, Settings, Time, TimerToken,
@@ -70,12 +70,12 @@
     }
 
     /// Handles the arrival of a request of the first class.
-    pub fn request(&mut self, id: u64) -> Vec<Action> {
-        self.request_with_timeout(id, DEFAULT_REQUEST_TIMEOUT)
+    pub fn handle_request(&mut self, id: u64) -> Vec<Action> {
+        self.handle_request_with_timeout(id, DEFAULT_REQUEST_TIMEOUT)
     }
 
     /// Handles the arrival of a request of the first class with this timeout in seconds.
-    pub fn request_with_timeout(&mut self, id: u64, timeout: Time) -> Vec<Action> {
+    pub fn handle_request_with_timeout(&mut self, id: u64, timeout: Time) -> Vec<Action> {
         self.handle(Event::Request(Request { id: RequestId(id), timeout, ..Request::default() }))
     }
 
@@ -83,8 +83,8 @@
     ///
     /// # Panics
     /// If the request is not sent at once.
-    pub fn send(&mut self, id: u64) -> SentAttempt {
-        sends(&self.request(id))[0]
+    pub fn send_request(&mut self, id: u64) -> SentAttempt {
+        sent_attempts(&self.handle_request(id))[0]
     }
 
     /// Handles the end of an attempt after `duration` seconds. Success finishes the request.
@@ -132,8 +132,8 @@
     ///
     /// # Panics
     /// If the request is not sent at once.
-    pub fn serve(&mut self, id: u64, duration: Time) -> BackendId {
-        let sent = self.send(id);
+    pub fn serve_request(&mut self, id: u64, duration: Time) -> BackendId {
+        let sent = self.send_request(id);
         self.advance_to(self.now + duration);
         let actions = self.end_attempt(sent, Outcome::Success, duration);
         self.end_cancelled_attempts(&actions);
@@ -160,7 +160,7 @@
 
     /// Advances the clock like [`BalancerHarness::advance_to`], and returns the attempts that are sent.
     pub fn sends_until(&mut self, end: Time) -> Vec<SentAttempt> {
-        sends(&self.actions_until(end))
+        sent_attempts(&self.actions_until(end))
     }
 
     /// Removes and returns the earliest timer, if a timer is due by `end`.
--- a/crates/balancer/tests/concerns/admission.rs
+++ b/crates/balancer/tests/concerns/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: the percentile ranks of requests, and the limits of waits and timeouts.
 
-use super::fixtures::{request, request_class};
+use super::fixtures::{request_class, request_with_id};
 use crate::decisions::admission::{
     Admission, effective_timeout, max_admission_wait, min_time_left, retry_after,
 };
@@ -128,7 +128,7 @@
     let classes = vec![without_late_weight, with_late_weight];
     let settings = Settings { classes, clock_resolution: 0.01, ..Settings::default() };
     let timeout_of_class =
-        |class, timeout| effective_timeout(&Request { class, timeout, ..request(1) }, &settings);
+        |class, timeout| effective_timeout(&Request { class, timeout, ..request_with_id(1) }, &settings);
 
     assert_close(timeout_of_class(ClassIndex(0), 2.0), 1.0);
     assert_close(timeout_of_class(ClassIndex(0), 0.5), 0.48);
--- a/crates/balancer/tests/concerns/attempts.rs
+++ b/crates/balancer/tests/concerns/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: the attempts that the effect of a class permits, and the limits of these attempts.
 
 use super::fixtures::{
-    CALL_TIMEOUT, attempt, backend_indices, call_for_request, request, settings_with_effect,
+    CALL_TIMEOUT, attempt, backend_indices, call_for_request, request_with_id, settings_with_effect,
 };
 use crate::decisions::attempts::{Attempt, PermittedAttempt, is_safe_to_retry, next_attempt};
 use crate::decisions::calls::Call;
@@ -27,7 +27,7 @@
 /// Returns a call of a class with this effect after one attempt at time 0, in cell 3 and zone 4.
 fn call_with_attempt(effect: Effect, outcome: Option<Outcome>) -> Call {
     let [backend] = backend_indices();
-    let mut call = call_for_request(request(1), settings_with_effect(effect));
+    let mut call = call_for_request(request_with_id(1), settings_with_effect(effect));
     call.add_attempt(Attempt { cell: CellId(3), zone: ZoneId(4), ..attempt(backend, outcome) });
     call
 }
@@ -43,7 +43,7 @@
 #[test]
 fn permits_a_first_attempt_at_any_backend_until_the_deadline_for_every_effect() {
     for effect in [Effect::Safe, Effect::Unsafe, idempotent_effect(IdempotencyGroup::Cell)] {
-        let call = call_for_request(request(1), settings_with_effect(effect));
+        let call = call_for_request(request_with_id(1), settings_with_effect(effect));
 
         let permitted_attempt = permitted_attempt(&call, 0.0).expect("an attempt is permitted");
 
@@ -105,7 +105,7 @@
 fn permits_at_most_the_maximum_number_of_attempts() {
     let [backend] = backend_indices();
     let settings = Settings { max_attempts: 2, ..settings_with_effect(Effect::Safe) };
-    let mut call = call_for_request(request(1), settings);
+    let mut call = call_for_request(request_with_id(1), settings);
     let rejected = attempt(backend, Some(Outcome::Rejected));
     call.add_attempt(rejected);
     let is_second_permitted = is_permitted(&call, 0.5);
@@ -121,7 +121,7 @@
     let is_hedge_permitted = |hedging_allowed: bool, streaming_body: bool| {
         let [backend] = backend_indices();
         let settings = Settings { hedging_allowed, ..settings_with_effect(Effect::Safe) };
-        let mut call = call_for_request(Request { streaming_body, ..request(1) }, settings);
+        let mut call = call_for_request(Request { streaming_body, ..request_with_id(1) }, settings);
         call.add_attempt(attempt(backend, None));
         is_permitted(&call, 0.5)
     };
--- a/crates/balancer/tests/concerns/call.rs
+++ b/crates/balancer/tests/concerns/call.rs
@@ -1,7 +1,7 @@
 //! A call: its deadline, its retry timers, its attempts, and its class and tenant when settings change.
 
 use super::fixtures::{
-    CALL_TIMEOUT, T1, attempt, backend_indices, call_for_request, request, request_class, safe_call,
+    CALL_TIMEOUT, T1, attempt, backend_indices, call_for_request, request_class, request_with_id, safe_call,
     settings_with_effect,
 };
 use crate::decisions::calls::{Call, CallStage, CallTable};
@@ -32,7 +32,7 @@
 
 #[test]
 fn timeout_of_a_streamed_request_starts_at_the_end_of_its_body() {
-    let streamed = Request { streaming_body: true, ..request(1) };
+    let streamed = Request { streaming_body: true, ..request_with_id(1) };
     let settings = settings_with_effect(Effect::Safe);
     let mut table = CallTable::default();
     let key = table.insert(call_for_request(streamed, settings), CallStage::Ready);
@@ -71,7 +71,7 @@
 fn schedules_no_retry_timer_if_no_attempt_is_left() {
     let [backend] = backend_indices();
     let settings = Settings { max_attempts: 1, ..settings_with_effect(Effect::Safe) };
-    let mut call = call_for_request(request(1), settings);
+    let mut call = call_for_request(request_with_id(1), settings);
     let before_the_attempt = call.schedule_retry_timer(&mut seeded_random());
 
     call.add_attempt(attempt(backend, None));
@@ -133,7 +133,7 @@
         Settings { classes: classes(&["b", "a"]), tenants: tenants(&["y", "x"]), ..Settings::default() };
     let removed = Settings { classes: classes(&["b"]), tenants: tenants(&["y"]), ..Settings::default() };
     let mut table = CallTable::default();
-    let tenant_request = Request { tenant: Some(TenantIndex(0)), ..request(1) };
+    let tenant_request = Request { tenant: Some(TenantIndex(0)), ..request_with_id(1) };
     let key = table.insert(call_for_request(tenant_request, old.clone()), CallStage::Ready);
 
     table.remap_indices(&old, &reordered);
--- a/crates/balancer/tests/concerns/calls.rs
+++ b/crates/balancer/tests/concerns/calls.rs
@@ -1,12 +1,12 @@
 //! The call table: the calls without a final response, and the number of calls in each state.
 
-use super::fixtures::{call_for_request, request, safe_call, settings_with_effect};
+use super::fixtures::{call_for_request, request_with_id, safe_call, settings_with_effect};
 use crate::decisions::calls::{Call, CallStage, CallTable};
 use crate::interface::{Effect, Request, RequestId};
 
 /// Returns a call whose body is still being received.
 fn streamed_call(id: u64) -> Call {
-    let streamed = Request { streaming_body: true, ..request(id) };
+    let streamed = Request { streaming_body: true, ..request_with_id(id) };
     call_for_request(streamed, settings_with_effect(Effect::Safe))
 }
 
--- a/crates/balancer/tests/concerns/fixtures.rs
+++ b/crates/balancer/tests/concerns/fixtures.rs
@@ -46,7 +46,7 @@
 }
 
 /// Returns a request of the first class with [`CALL_TIMEOUT`].
-pub fn request(id: u64) -> Request {
+pub fn request_with_id(id: u64) -> Request {
     Request { id: RequestId(id), timeout: CALL_TIMEOUT, ..Request::default() }
 }
 
@@ -57,7 +57,7 @@
 
 /// Returns a call of a safe request that arrives at time 0 with [`CALL_TIMEOUT`] and [`T1`].
 pub fn safe_call(id: u64) -> Call {
-    call_for_request(request(id), settings_with_effect(Effect::Safe))
+    call_for_request(request_with_id(id), settings_with_effect(Effect::Safe))
 }
 
 /// Returns the keys of `COUNT` queued calls of safe requests, whose ids start at 0.
--- a/crates/balancer/tests/decision_invariants/main.rs
+++ b/crates/balancer/tests/decision_invariants/main.rs
@@ -86,7 +86,10 @@
     assert_eq!(violations_in(SAFE_CLASS, &[send_at(0.0, 1)]), ["1 has no final response"]);
     assert_eq!(violations_in(SAFE_CLASS, &[fail_at(1.5)]), ["1 has a late final response"]);
     assert_eq!(violations_in(SAFE_CLASS, &[fail_at(0.1), fail_at(0.2)]).len(), 1);
-    assert_eq!(violations_in(SAFE_CLASS, &[fail_at(0.1), send_at(0.2, 1)]), ["sent after the end of the request"]);
+    assert_eq!(
+        violations_in(SAFE_CLASS, &[fail_at(0.1), send_at(0.2, 1)]),
+        ["sent after the end of the request"]
+    );
 }
 
 #[test]
--- a/crates/balancer/tests/decisions/admission.rs
+++ b/crates/balancer/tests/decisions/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::common::actions::{SentAttempt, is_rejected, rejections, sends};
+use crate::common::actions::{SentAttempt, count_rejections, is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
 use balancer::{
@@ -15,13 +15,16 @@
     let rejected_by_tier = [Tier::ENTRY, Tier(1)].map(|tier| {
         let mut harness = BalancerHarness::new(Settings { tier, ..safe_settings() }, &endpoints(4));
         for id in 0..100 {
-            harness.serve(id, 0.05);
+            harness.serve_request(id, 0.05);
         }
 
         let mut rejected = 0;
         for id in 1000..1200 {
-            assert!(!is_rejected(&harness.request(id), id), "the request is queued, not rejected on arrival");
-            rejected += rejections(&harness.actions_until(harness.now + 0.005));
+            assert!(
+                !is_rejected(&harness.handle_request(id), id),
+                "the request is queued, not rejected on arrival"
+            );
+            rejected += count_rejections(&harness.actions_until(harness.now + 0.005));
         }
 
         rejected
@@ -73,7 +76,8 @@
         actions.extend(harness.actions_until(harness.now + 0.005));
         actions.extend(harness.end_cancelled_attempts(&actions.clone()));
         let sent_at = harness.now;
-        in_flight.extend(sends(&actions).into_iter().map(|attempt| AttemptInFlight { attempt, sent_at }));
+        in_flight
+            .extend(sent_attempts(&actions).into_iter().map(|attempt| AttemptInFlight { attempt, sent_at }));
         for action in &actions {
             if let Action::Reject { id, .. } = action {
                 rejected[class_of(*id).0][tenant_of(*id).0] += usize::from(id.0 > 500);
@@ -90,11 +94,11 @@
     // Guards against attempts that serve no client: the client times out before the attempt ends.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
     for id in 0..30 {
-        harness.serve(id, 0.1);
+        harness.serve_request(id, 0.1);
     }
 
-    let actions_far_below = harness.request_with_timeout(100, 0.05);
-    let actions_slightly_below = harness.request_with_timeout(101, 0.09);
+    let actions_far_below = harness.handle_request_with_timeout(100, 0.05);
+    let actions_slightly_below = harness.handle_request_with_timeout(101, 0.09);
 
     assert!(is_rejected(&actions_far_below, 100));
     assert!(!is_rejected(&actions_slightly_below, 101));
--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -1,6 +1,6 @@
 //! Requests of disconnected clients: the balancer sends neither a first attempt nor a retry.
 
-use crate::common::actions::{is_rejected, sends};
+use crate::common::actions::{is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
 use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId, Settings, Tier};
@@ -29,7 +29,7 @@
 #[test]
 fn only_cancels_the_attempt_after_a_disconnect() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
-    harness.request(1);
+    harness.handle_request(1);
 
     let actions = harness.handle(Event::ClientDisconnected(RequestId(1)));
 
@@ -49,7 +49,7 @@
     for (cancellation_allowed, expected) in [true, false].into_iter().zip(expected_actions) {
         let settings = Settings { cancellation_allowed, ..unsafe_settings.clone() };
         let mut harness = harness_with_two_backends(settings);
-        assert_eq!(sends(&harness.request(1)).len(), 1);
+        assert_eq!(sent_attempts(&harness.handle_request(1)).len(), 1);
 
         let actions = actions_after_disconnect(harness);
 
@@ -61,7 +61,7 @@
 fn does_not_retry_a_rejected_attempt_after_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
         let mut harness = harness_with_two_backends(settings);
-        let sent = harness.send(1);
+        let sent = harness.send_request(1);
         assert!(harness.end_attempt(sent, Outcome::Rejected, 0.01).is_empty());
 
         let actions = actions_after_disconnect(harness);
@@ -74,7 +74,7 @@
 fn does_not_retry_after_a_failed_connection_and_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
         let mut harness = harness_with_two_backends(settings);
-        let sent = harness.send(1);
+        let sent = harness.send_request(1);
         assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
         let actions = actions_after_disconnect(harness);
@@ -88,11 +88,11 @@
     for settings in settings_with_and_without_cancellation() {
         let settings = Settings { hedging_allowed: true, ..settings };
         let mut harness = harness_with_two_backends(settings);
-        assert_eq!(sends(&harness.request(1)).len(), 1);
+        assert_eq!(sent_attempts(&harness.handle_request(1)).len(), 1);
 
         let actions = actions_after_disconnect(harness);
 
-        assert!(sends(&actions).is_empty(), "{actions:?}");
+        assert!(sent_attempts(&actions).is_empty(), "{actions:?}");
     }
 }
 
@@ -101,7 +101,7 @@
     for settings in settings_with_and_without_cancellation() {
         let mut harness = harness_with_two_backends(settings);
         let request = Request { id: RequestId(1), timeout: 2.0, streaming_body: true, ..Request::default() };
-        let sent = sends(&harness.handle(Event::Request(request)))[0];
+        let sent = sent_attempts(&harness.handle(Event::Request(request)))[0];
         assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
         let actions = actions_after_disconnect(harness);
@@ -117,12 +117,12 @@
         let mut harness = harness_with_two_backends(settings);
         let keyed_request =
             |id| Request { id: RequestId(id), timeout: 2.0, key: Some(7), ..Request::default() };
-        let sent = sends(&harness.handle(Event::Request(keyed_request(9))))[0];
+        let sent = sent_attempts(&harness.handle(Event::Request(keyed_request(9))))[0];
         assert!(harness.handle(Event::Request(keyed_request(1))).is_empty());
 
         assert!(harness.handle(Event::ClientDisconnected(RequestId(1))).is_empty());
 
-        assert!(sends(&harness.end_attempt(sent, Outcome::Success, 0.1)).is_empty());
+        assert!(sent_attempts(&harness.end_attempt(sent, Outcome::Success, 0.1)).is_empty());
         let actions = actions_after_disconnect(harness);
 
         assert!(actions.is_empty(), "{actions:?}");
@@ -135,12 +135,12 @@
         let settings = Settings { tier: Tier::ENTRY, ..settings };
         let mut harness = harness_with_two_backends(settings);
         for id in 100..200 {
-            harness.serve(id, 0.1);
+            harness.serve_request(id, 0.1);
         }
         let mut queued = Vec::new();
         let mut sent_at_once = Vec::new();
         for id in 1000..1100 {
-            match sends(&harness.request(id)).first() {
+            match sent_attempts(&harness.handle_request(id)).first() {
                 Some(sent) => sent_at_once.push(*sent),
                 None => queued.push(id),
             }
@@ -153,7 +153,9 @@
 
         for sent in sent_at_once {
             let actions = harness.end_attempt(sent, Outcome::Success, 0.1);
-            assert!(sends(&actions).is_empty() && !queued.iter().any(|id| is_rejected(&actions, *id)));
+            assert!(
+                sent_attempts(&actions).is_empty() && !queued.iter().any(|id| is_rejected(&actions, *id))
+            );
         }
         let actions = actions_after_disconnect(harness);
 
--- a/crates/balancer/tests/decisions/edge_cases.rs
+++ b/crates/balancer/tests/decisions/edge_cases.rs
@@ -1,6 +1,6 @@
 //! Settings whose values are zero, and the determinism of the actions.
 
-use crate::common::actions::{is_rejected, sends};
+use crate::common::actions::{is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, request_class, safe_settings, tenant};
 use balancer::{
@@ -61,12 +61,12 @@
     settings.classes[0].late_priority_weight = 0.5;
     let mut harness = BalancerHarness::new(settings, &endpoints(3));
     for id in 0..20 {
-        harness.serve(id, 0.1);
+        harness.serve_request(id, 0.1);
     }
 
-    let actions = harness.request(100);
+    let actions = harness.handle_request(100);
 
-    assert_eq!(sends(&actions).len(), 1);
+    assert_eq!(sent_attempts(&actions).len(), 1);
 }
 
 #[test]
@@ -75,7 +75,7 @@
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(9));
         let mut actions = Vec::new();
         for id in 0..200 {
-            actions.extend(harness.request(id));
+            actions.extend(harness.handle_request(id));
             actions.extend(harness.actions_until(harness.now + 0.03));
         }
         actions
--- a/crates/balancer/tests/decisions/endpoint_list.rs
+++ b/crates/balancer/tests/decisions/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: draining and removed backends, and polling of discovery with its backoff.
 
-use crate::common::actions::{SentAttempt, sends};
+use crate::common::actions::{SentAttempt, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{Action, BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Status, Time};
@@ -9,15 +9,15 @@
 fn sends_nothing_to_a_draining_or_removed_backend() {
     for status in [Status::Draining, Status::Removed] {
         let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
-        let sent = harness.send(1);
+        let sent = harness.send_request(1);
         harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[Endpoint { status, ..endpoint(1) }])));
 
         harness.end_attempt(sent, Outcome::Rejected, 0.1);
 
         // Neither a retry nor a new request is sent, although there is no other backend.
         assert_eq!(harness.sends_until(0.9), []);
-        let actions = harness.request(2);
-        assert_eq!(sends(&actions), []);
+        let actions = harness.handle_request(2);
+        assert_eq!(sent_attempts(&actions), []);
     }
 }
 
@@ -29,7 +29,7 @@
 
     for id in 0..20 {
         assert_eq!(
-            sends(&harness.request(id)),
+            sent_attempts(&harness.handle_request(id)),
             [SentAttempt::new(id, 2)],
             "a backend that is absent from a full list is removed"
         );
@@ -40,7 +40,7 @@
 fn closes_idle_connections_to_a_draining_backend() {
     let settings = Settings { idle_close_limit: Some(0.5), ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(1));
-    let sent = harness.send(1);
+    let sent = harness.send_request(1);
     let draining = Endpoint { status: Status::Draining, ..endpoint(1) };
     let close = Action::CloseIdleConnections(BackendId(1));
 
@@ -92,7 +92,7 @@
             assert!(delay > last_delay * 0.3, "the delay falls only within the range of the jitter");
         }
         last_delay = delay;
-        assert!(harness.send(round).backend <= BackendId(3), "the last list stays in use");
+        assert!(harness.send_request(round).backend <= BackendId(3), "the last list stays in use");
     }
 }
 
--- a/crates/balancer/tests/decisions/final_response.rs
+++ b/crates/balancer/tests/decisions/final_response.rs
@@ -1,6 +1,6 @@
 //! Final responses: each request gets exactly one, before its deadline.
 
-use crate::common::actions::{TimedAction, is_failed, is_rejected, sends};
+use crate::common::actions::{TimedAction, is_failed, is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings, settings_with_effect};
 use balancer::{Action, AttemptNumber, Effect, Event, IdempotencyGroup, Outcome, RequestId, Settings, Time};
@@ -41,7 +41,7 @@
             let retry_allowed = allowed_after.contains(&outcome);
             let settings = Settings { max_attempts: 1, ..settings_with_effect(effect) };
             let mut harness = BalancerHarness::new(settings, &endpoints(3));
-            let sent = harness.send(1);
+            let sent = harness.send_request(1);
             harness.now = 0.1;
 
             let actions = harness.end_attempt(sent, outcome, 0.1);
@@ -59,7 +59,7 @@
     settings.classes[0].late_priority_weight = 0.5;
     let mut harness = BalancerHarness::new(settings, &endpoints(3));
 
-    let sent = sends(&harness.request_with_timeout(1, 1.5))[0];
+    let sent = sent_attempts(&harness.handle_request_with_timeout(1, 1.5))[0];
     let timed_actions = harness.advance_to(3.0);
 
     let response_times: Vec<Time> = timed_actions
@@ -78,7 +78,7 @@
 fn rejects_at_the_latency_objective_a_request_without_late_priority_weight() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(3));
 
-    harness.request_with_timeout(1, 1.9);
+    harness.handle_request_with_timeout(1, 1.9);
     let timed_actions = harness.advance_to(3.0);
 
     let is_rejection_at_objective =
@@ -90,8 +90,8 @@
 fn rejects_a_request_whose_timeout_is_not_positive() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(3));
 
-    let actions_with_zero_timeout = harness.request_with_timeout(1, 0.0);
-    let actions_with_negative_timeout = harness.request_with_timeout(2, -1.0);
+    let actions_with_zero_timeout = harness.handle_request_with_timeout(1, 0.0);
+    let actions_with_negative_timeout = harness.handle_request_with_timeout(2, -1.0);
 
     assert!(is_rejected(&actions_with_zero_timeout, 1));
     assert!(is_rejected(&actions_with_negative_timeout, 2));
@@ -101,11 +101,11 @@
 fn rejects_a_request_when_there_is_no_backend() {
     let mut harness = BalancerHarness::new(safe_settings(), &[]);
 
-    let mut actions = harness.request(3);
+    let mut actions = harness.handle_request(3);
     actions.extend(harness.actions_until(3.0));
 
     assert!(is_rejected(&actions, 3));
-    assert_eq!(sends(&actions), []);
+    assert_eq!(sent_attempts(&actions), []);
 }
 
 #[test]
@@ -113,7 +113,7 @@
     for max_retry_after in [2.0, 0.0] {
         let settings = Settings { max_retry_after, max_attempts: 1, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings, &endpoints(1));
-        let sent = harness.send(1);
+        let sent = harness.send_request(1);
 
         let actions = harness.end_attempt(sent, Outcome::Rejected, 0.01);
 
@@ -140,7 +140,7 @@
     for (cancellation_allowed, expected) in [true, false].into_iter().zip(expected_actions) {
         let settings = Settings { cancellation_allowed, ..safe_settings() };
         let mut harness = BalancerHarness::new(settings, &endpoints(4));
-        harness.request(1);
+        harness.handle_request(1);
         let second = harness.sends_until(0.5)[0];
 
         let actions = harness.end_attempt(second, Outcome::Success, 0.1);
@@ -152,7 +152,7 @@
 #[test]
 fn takes_no_action_after_a_response_has_started() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
-    harness.request(1);
+    harness.handle_request(1);
 
     let actions = harness.handle(Event::ResponseStarted { id: RequestId(1), attempt: AttemptNumber(0) });
 
--- a/crates/balancer/tests/decisions/idle_backends.rs
+++ b/crates/balancer/tests/decisions/idle_backends.rs
@@ -2,8 +2,8 @@
 //!
 //! Guards against one of several idle backends getting nearly all requests: 765 to 770 of 800 requests at
 //! four backends. When a retry timer fired just before the response, the time since the send was recorded as
-//! the latency of the backend, which then appeared slightly faster than the others. Placement excludes backends with more
-//! than the mean load, so that only this backend remained.
+//! the latency of the backend, which then appeared slightly faster than the others. Placement excludes
+//! backends with more than the mean load, so that only this backend remained.
 //!
 //! The counts were the same at latencies of 0.01, 0.05 and 0.2 s, with and without pauses between requests.
 //! The shares were even at 0.5 s, as T1 expires long before the response and hedged attempts reach all
@@ -25,7 +25,7 @@
     let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(BACKEND_COUNT));
     let mut attempts = BTreeMap::new();
     for id in 0..REQUEST_COUNT {
-        *attempts.entry(harness.serve(id, latency)).or_default() += 1;
+        *attempts.entry(harness.serve_request(id, latency)).or_default() += 1;
         harness.advance_to(harness.now + pause);
     }
     attempts
--- a/crates/balancer/tests/decisions/load_reports.rs
+++ b/crates/balancer/tests/decisions/load_reports.rs
@@ -1,9 +1,9 @@
-//! Load reports: backends with short service times are preferred, and health checks bring the reports where
-//! responses do not.
+//! Load reports: backends with short service times are preferred, and health checks obtain the reports where
+//! responses contain none.
 
 use std::collections::BTreeMap;
 
-use crate::common::actions::{SentAttempt, sends};
+use crate::common::actions::{SentAttempt, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings};
 use balancer::{Action, AttemptNumber, BackendId, EndedAttempt, Event, LoadReport, Outcome, Settings, Time};
@@ -16,8 +16,8 @@
     let mut health_checks = 0;
     let mut sent = [0, 0];
     for id in 0..200 {
-        let actions = harness.request(id);
-        let attempt = sends(&actions)[0];
+        let actions = harness.handle_request(id);
+        let attempt = sent_attempts(&actions)[0];
         sent[attempt.backend.0 as usize - 1] += usize::from(id >= 100);
         for action in &actions {
             if let Action::HealthCheck(backend) = action {
@@ -40,7 +40,7 @@
 fn checks_no_backend_when_health_checks_are_not_allowed() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
 
-    let actions: Vec<_> = (0..20).flat_map(|id| harness.request(id)).collect();
+    let actions: Vec<_> = (0..20).flat_map(|id| harness.handle_request(id)).collect();
 
     let is_health_check = |action: &Action| matches!(action, Action::HealthCheck(_));
     assert!(!actions.iter().any(is_health_check), "{actions:?}");
@@ -56,13 +56,13 @@
     LoadReport { service_time: Some(service_time), requests_per_second: None }
 }
 
-/// Serves requests at two backends whose responses report these service times in seconds, where there is one.
+/// Serves requests at two backends whose responses report these service times in seconds, if any.
 /// Returns the number of requests sent to the first backend.
 fn sent_to_first_backend(service_times: [Option<Time>; 2]) -> usize {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
     let mut sent_to_first = 0;
     for id in 0..200 {
-        let SentAttempt { request, backend } = harness.send(id);
+        let SentAttempt { request, backend } = harness.send_request(id);
         sent_to_first += usize::from(backend == BackendId(1));
         let duration = response_time(id);
         harness.advance_to(harness.now + duration);
@@ -114,28 +114,28 @@
     assert_eq!(actions, []);
     assert_eq!(harness.balancer.backends_known(), 2);
     for id in 0..50 {
-        assert_eq!(harness.serve(id, 0.05), reference_harness.serve(id, 0.05));
+        assert_eq!(harness.serve_request(id, 0.05), reference_harness.serve_request(id, 0.05));
     }
 }
 
 #[test]
-fn checks_the_health_of_each_member_equally_often_where_only_health_checks_bring_reports() {
+fn checks_the_health_of_each_member_equally_often_where_only_health_checks_obtain_reports() {
     let settings = Settings { health_checks_for_load_reports: true, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
 
     let mut checks_by_backend = BTreeMap::<BackendId, usize>::new();
     for id in 0..120 {
-        let actions = harness.request(id);
+        let actions = harness.handle_request(id);
         for action in &actions {
             if let Action::HealthCheck(backend) = action {
                 *checks_by_backend.entry(*backend).or_default() += 1;
             }
         }
         harness.advance_to(harness.now + response_time(id));
-        harness.end_attempt(sends(&actions)[0], Outcome::Success, response_time(id));
+        harness.end_attempt(sent_attempts(&actions)[0], Outcome::Success, response_time(id));
     }
 
-    // Every third send triggers a health check. The checks visit the four members in turn.
+    // Every third send triggers a health check. The four members are checked in turn.
     assert_eq!(checks_by_backend, (1..=4).map(|id| (BackendId(id), 10)).collect());
 }
 
@@ -147,7 +147,7 @@
 
     let mut failed_checks = 0;
     for id in 0..200 {
-        let actions = harness_with_failed_checks.request(id);
+        let actions = harness_with_failed_checks.handle_request(id);
         for action in &actions {
             if let Action::HealthCheck(backend) = *action {
                 let outcome = Outcome::Timeout;
@@ -155,11 +155,15 @@
                 failed_checks += 1;
             }
         }
-        let sent = sends(&actions)[0];
+        let sent = sent_attempts(&actions)[0];
         harness_with_failed_checks.advance_to(harness_with_failed_checks.now + response_time(id));
         harness_with_failed_checks.end_attempt(sent, Outcome::Success, response_time(id));
 
-        assert_eq!(sent.backend, harness_with_pending_checks.serve(id, response_time(id)), "request {id}");
+        assert_eq!(
+            sent.backend,
+            harness_with_pending_checks.serve_request(id, response_time(id)),
+            "request {id}"
+        );
     }
     assert!(failed_checks > 50, "{failed_checks}");
 }
--- a/crates/balancer/tests/decisions/maintenance.rs
+++ b/crates/balancer/tests/decisions/maintenance.rs
@@ -1,9 +1,9 @@
-//! Maintenance: a balancer sends no request to a backend in maintenance, and slow start follows the maintenance.
+//! Maintenance: a balancer sends no request to a backend in maintenance. Slow start follows the maintenance.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
 
-use crate::common::actions::{SentAttempt, is_rejected, sends};
+use crate::common::actions::{SentAttempt, is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{
@@ -25,7 +25,7 @@
 }
 
 fn send_ten_requests(harness: &mut BalancerHarness, first_id: u64) -> Vec<BackendId> {
-    let sent: Vec<_> = (first_id..first_id + 10).map(|id| harness.send(id)).collect();
+    let sent: Vec<_> = (first_id..first_id + 10).map(|id| harness.send_request(id)).collect();
     for (index, attempt) in sent.iter().enumerate() {
         if index % 5 == 0 {
             harness.advance_to(harness.now + 0.05);
@@ -43,7 +43,7 @@
 #[test]
 fn sends_nothing_to_a_backend_in_maintenance_whatever_the_endpoint_list_contains() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1), endpoint(2)]);
-    harness.serve(1, 0.01);
+    harness.serve_request(1, 0.01);
 
     assert_eq!(begin_maintenance(&mut harness, 1), [Action::CloseIdleConnections(BackendId(1))]);
     assert_eq!(begin_maintenance(&mut harness, 1), [], "the backend is in maintenance already");
@@ -61,16 +61,16 @@
     for (update, first_id) in updates.into_iter().zip((100..).step_by(100)) {
         harness.handle(Event::Endpoints(update));
         for id in first_id..first_id + 20 {
-            assert_eq!(harness.serve(id, 0.01), BackendId(2), "{update:?}");
+            assert_eq!(harness.serve_request(id, 0.01), BackendId(2), "{update:?}");
         }
     }
     // A retry is not sent to the backend in maintenance either, although there is no other backend.
     let sent = SentAttempt::new(1000, 2);
-    assert_eq!(sends(&harness.request(1000)), [sent]);
+    assert_eq!(sent_attempts(&harness.handle_request(1000)), [sent]);
     let mut actions = harness.end_attempt(sent, Outcome::Reset, 0.01);
     actions.extend(harness.actions_until(harness.now + 3.0));
 
-    assert!(sends(&actions).is_empty() && is_rejected(&actions, 1000), "{actions:?}");
+    assert!(sent_attempts(&actions).is_empty() && is_rejected(&actions, 1000), "{actions:?}");
 }
 
 #[test]
@@ -81,7 +81,7 @@
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(1), endpoint(2)])));
 
     for id in 0..20 {
-        assert_eq!(harness.serve(id, 0.01), BackendId(2));
+        assert_eq!(harness.serve_request(id, 0.01), BackendId(2));
     }
 }
 
--- a/crates/balancer/tests/decisions/ordered_keys.rs
+++ b/crates/balancer/tests/decisions/ordered_keys.rs
@@ -1,6 +1,6 @@
 //! Ordering keys: in a class that is ordered by key, the requests of a key are dispatched one at a time.
 
-use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
+use crate::common::actions::{SentAttempt, is_failed, is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, settings_with_effect};
 use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId};
@@ -20,24 +20,24 @@
     harness.handle(Event::Request(request))
 }
 
-fn request_ids(sends: &[SentAttempt]) -> Vec<RequestId> {
-    sends.iter().map(|sent| sent.request).collect()
+fn request_ids(attempts: &[SentAttempt]) -> Vec<RequestId> {
+    attempts.iter().map(|sent| sent.request).collect()
 }
 
 #[test]
 fn dispatches_requests_of_a_key_one_at_a_time_in_order_of_arrival() {
     let mut harness = harness_with_ordered_class();
-    let first = sends(&request_with_key(&mut harness, 1, 7))[0];
-    assert_eq!(sends(&request_with_key(&mut harness, 2, 7)), []);
-    assert_eq!(sends(&request_with_key(&mut harness, 3, 7)), []);
+    let first = sent_attempts(&request_with_key(&mut harness, 1, 7))[0];
+    assert_eq!(sent_attempts(&request_with_key(&mut harness, 2, 7)), []);
+    assert_eq!(sent_attempts(&request_with_key(&mut harness, 3, 7)), []);
     assert_eq!(
-        sends(&request_with_key(&mut harness, 4, 8)).len(),
+        sent_attempts(&request_with_key(&mut harness, 4, 8)).len(),
         1,
         "a request of another key does not wait"
     );
     harness.advance_to(0.1);
 
-    let next = sends(&harness.end_attempt(first, Outcome::Success, 0.1));
+    let next = sent_attempts(&harness.end_attempt(first, Outcome::Success, 0.1));
 
     assert_eq!(request_ids(&next), [RequestId(2)], "in the order of arrival");
     // The client of request 2 disconnects. The cancelled attempt blocks the key until its end and for 0.2 s
@@ -48,7 +48,7 @@
             .contains(&Action::Cancel { id: RequestId(2), attempt: AttemptNumber(0) })
     );
     assert_eq!(harness.sends_until(0.4), []);
-    assert_eq!(sends(&harness.end_attempt(next[0], Outcome::Cancelled, 0.3)), []);
+    assert_eq!(sent_attempts(&harness.end_attempt(next[0], Outcome::Cancelled, 0.3)), []);
     assert_eq!(harness.sends_until(0.59), [], "the key is still blocked");
     assert_eq!(request_ids(&harness.sends_until(0.62)), [RequestId(3)]);
 }
@@ -57,13 +57,13 @@
 fn responds_to_a_queued_request_before_its_deadline() {
     let mut harness = harness_with_ordered_class();
     request_with_key(&mut harness, 1, 7);
-    assert_eq!(sends(&request_with_key(&mut harness, 2, 7)), []);
+    assert_eq!(sent_attempts(&request_with_key(&mut harness, 2, 7)), []);
 
     let actions = harness.actions_until(3.0);
 
     assert!(is_failed(&actions, 1), "the backend may have processed the first request");
     assert!(is_rejected(&actions, 2), "the queued request was never sent");
-    assert_eq!(sends(&actions), []);
+    assert_eq!(sent_attempts(&actions), []);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     // beyond its deadline.
     let mut harness = harness_with_ordered_class();
     for id in 0..60 {
-        harness.serve(id, 0.2);
+        harness.serve_request(id, 0.2);
     }
 
     let rejections =
--- a/crates/balancer/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -18,7 +18,7 @@
     let mut harness = harness_with_one_attempt();
     let mut sent_to_outlier = 0;
     for id in 0..200 {
-        let sent = harness.send(id);
+        let sent = harness.send_request(id);
         harness.now += 0.02;
         if sent.backend == OUTLIER {
             sent_to_outlier += 1;
@@ -33,7 +33,7 @@
 
     let response_time = |id| 0.01 + 0.02 * (id % 3) as f64;
     let sent_after_recovery =
-        (0..50).filter(|id| harness.serve(1000 + id, response_time(*id)) == OUTLIER).count();
+        (0..50).filter(|id| harness.serve_request(1000 + id, response_time(*id)) == OUTLIER).count();
     assert!(sent_after_recovery > 10, "{sent_after_recovery}");
 }
 
@@ -42,12 +42,12 @@
     // Regression: timeouts of attempts whose request has ended were not counted.
     let mut harness = harness_with_one_attempt();
     for id in 0..20 {
-        harness.serve(id, 0.01 + 0.01 * (id % 3) as f64);
+        harness.serve_request(id, 0.01 + 0.01 * (id % 3) as f64);
     }
 
     let mut sent_to_outlier = 0;
     for id in 1000..1040 {
-        let sent = harness.send(id);
+        let sent = harness.send_request(id);
         if sent.backend == OUTLIER {
             sent_to_outlier += 1;
             harness.advance_to(harness.now + 1.1);
@@ -75,7 +75,7 @@
     harness.handle(Event::Maintenance { backend: returning, change: MaintenanceChange::Begins });
     let response_time = |id| if id < 2 { 0.3 } else { 0.0 };
     for id in 0..10 {
-        harness.serve(id, response_time(id));
+        harness.serve_request(id, response_time(id));
     }
 
     harness.handle(Event::Maintenance { backend: returning, change: MaintenanceChange::Ends });
--- a/crates/balancer/tests/decisions/overload_level.rs
+++ b/crates/balancer/tests/decisions/overload_level.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use crate::common::actions::{SentAttempt, TimedAction, is_rejected, rejections, sends};
+use crate::common::actions::{SentAttempt, TimedAction, count_rejections, is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{BackendId, EndpointUpdate, Event, Outcome, ServingProcesses, Settings, Tier, Time};
@@ -16,7 +16,7 @@
 
 /// Returns the number of these requests that are sent at once, while none gets a response.
 fn admitted_at_once(harness: &mut BalancerHarness, ids: std::ops::Range<u64>) -> usize {
-    ids.map(|id| sends(&harness.request(id)).len()).sum()
+    ids.map(|id| sent_attempts(&harness.handle_request(id)).len()).sum()
 }
 
 /// An attempt in flight, which succeeds at a fixed time.
@@ -39,8 +39,8 @@
     for id in 0..initial_requests + doubled_requests {
         let is_doubled = id >= initial_requests;
         let next = harness.now + if is_doubled { 0.5 / initial_rate } else { 1.0 / initial_rate };
-        let mut actions = harness.request(id);
-        queued += usize::from(is_doubled && sends(&actions).is_empty());
+        let mut actions = harness.handle_request(id);
+        queued += usize::from(is_doubled && sent_attempts(&actions).is_empty());
         while in_flight.front().is_some_and(|attempt| attempt.ends_at <= next) {
             let AttemptInFlight { attempt, ends_at, duration } = in_flight.pop_front().unwrap();
             actions.extend(harness.actions_until(ends_at));
@@ -48,7 +48,7 @@
         }
         actions.extend(harness.actions_until(next));
         let ends_at = harness.now + RESPONSE_TIME;
-        let sent = sends(&actions).into_iter();
+        let sent = sent_attempts(&actions).into_iter();
         in_flight.extend(sent.map(|attempt| AttemptInFlight { attempt, ends_at, duration: RESPONSE_TIME }));
     }
     queued
@@ -75,7 +75,7 @@
 fn counts_requests_at_substitutes_of_warming_members_as_load() {
     let mut list = endpoints(12);
     let mut harness = BalancerHarness::new(long_slow_start_settings(4), &list);
-    let members: BTreeSet<BackendId> = (0..200).map(|id| harness.serve(id, 0.05)).collect();
+    let members: BTreeSet<BackendId> = (0..200).map(|id| harness.serve_request(id, 0.05)).collect();
     assert!(members.len() < 12, "{members:?}");
     // All members are warming up from now on, so that nearly all requests go to substitutes.
     for endpoint in list.iter_mut().filter(|endpoint| members.contains(&endpoint.id)) {
@@ -93,7 +93,7 @@
     let mut list = endpoints(6);
     let mut harness = BalancerHarness::new(long_slow_start_settings(1), &list);
     for id in 0..200 {
-        harness.serve(id, 0.05);
+        harness.serve_request(id, 0.05);
     }
     for endpoint in &mut list[3..] {
         endpoint.started_at = Some(harness.now);
@@ -101,7 +101,7 @@
     harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
     // The half that is not warming up responds sixteen times slower; the other half gets almost no requests.
     for id in 300..315 {
-        harness.serve(id, 0.8);
+        harness.serve_request(id, 0.8);
     }
 
     let sent = admitted_at_once(&mut harness, 1000..1200);
@@ -115,7 +115,7 @@
 fn admitted_after_notifications(notifications: &[ServingProcesses]) -> usize {
     let mut harness = BalancerHarness::new(entry_settings(1), &[endpoint(1), endpoint(2)]);
     for id in 0..100 {
-        harness.serve(id, 0.1);
+        harness.serve_request(id, 0.1);
     }
     for processes in notifications {
         harness.handle(Event::ServingProcesses(*processes));
@@ -144,17 +144,17 @@
     let settings = Settings { tier: Tier::ENTRY, hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(8));
     for id in 0..60 {
-        harness.serve(id, 0.02);
+        harness.serve_request(id, 0.02);
     }
 
     let mut rejected = 0;
     for id in 100..400 {
-        let actions = harness.request(id);
+        let actions = harness.handle_request(id);
         rejected += usize::from(is_rejected(&actions, id));
         let timed_actions = harness.actions_until(harness.now + 0.01);
         harness.end_cancelled_attempts(&timed_actions);
         // Backends 1 to 6 never respond; the others respond as before.
-        if let Some(sent) = sends(&actions).first().filter(|sent| sent.backend > BackendId(6)) {
+        if let Some(sent) = sent_attempts(&actions).first().filter(|sent| sent.backend > BackendId(6)) {
             harness.end_attempt(*sent, Outcome::Success, 0.01);
         }
     }
@@ -169,7 +169,7 @@
     for request in 0..540 {
         let duration = if request % 2 == 0 { 0.05 } else { 0.2 };
         let ends_at = harness.now + duration;
-        let sent = sends(&harness.request(request));
+        let sent = sent_attempts(&harness.handle_request(request));
         in_flight.extend(sent.into_iter().map(|attempt| AttemptInFlight { attempt, ends_at, duration }));
         harness.advance_to(harness.now + 0.01);
         in_flight.make_contiguous().sort_by(|left, right| left.ends_at.total_cmp(&right.ends_at));
@@ -186,7 +186,10 @@
 fn retries_failed_connections_with_the_same_probability_under_overload() {
     let mut harness = BalancerHarness::new(entry_settings(1), &endpoints(3));
     let in_flight = stop_responding_under_load(&mut harness);
-    assert!(sends(&harness.request(1000)).is_empty(), "under overload a request is queued at the entry tier");
+    assert!(
+        sent_attempts(&harness.handle_request(1000)).is_empty(),
+        "under overload a request is queued at the entry tier"
+    );
 
     let unconnected: Vec<_> = in_flight.iter().rev().take(10).map(|in_flight| in_flight.attempt).collect();
     for attempt in &unconnected {
@@ -203,7 +206,7 @@
 fn harness_after_short_responses(backends: u32) -> BalancerHarness {
     let mut harness = BalancerHarness::new(entry_settings(1), &endpoints(backends));
     for id in 0..200 {
-        harness.serve(id, 0.02);
+        harness.serve_request(id, 0.02);
     }
     harness
 }
@@ -227,7 +230,7 @@
 #[test]
 fn sends_queued_requests_when_responses_arrive_again() {
     let mut harness = harness_after_short_responses(2);
-    let sent: Vec<_> = (1000..1200).flat_map(|id| sends(&harness.request(id))).collect();
+    let sent: Vec<_> = (1000..1200).flat_map(|id| sent_attempts(&harness.handle_request(id))).collect();
     let queued = 200 - sent.len();
     assert!(queued > 100, "{queued}");
     harness.advance_to(harness.now + 0.02);
@@ -237,7 +240,7 @@
         actions.extend(harness.end_attempt(*attempt, Outcome::Success, 0.02));
     }
 
-    let admitted = sends(&actions).len();
+    let admitted = sent_attempts(&actions).len();
     assert!(
         admitted > sent.len() / 2,
         "{admitted} of {queued} queued requests after {} responses",
@@ -261,5 +264,5 @@
 
 fn rejections_among(timed_actions: &[TimedAction]) -> usize {
     let actions: Vec<_> = timed_actions.iter().map(|timed| timed.action).collect();
-    rejections(&actions)
+    count_rejections(&actions)
 }
--- a/crates/balancer/tests/decisions/quotas.rs
+++ b/crates/balancer/tests/decisions/quotas.rs
@@ -6,12 +6,12 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-use crate::common::actions::{SentAttempt, sends};
+use crate::common::actions::{SentAttempt, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoints, safe_settings, tenant};
 use balancer::{Action, Event, Outcome, Request, RequestId, Settings, TenantIndex, Tier, Time};
 
-/// The index of the tenant whose quota a test is about.
+/// The index of the tenant whose quota is tested.
 const LIMITED_TENANT: TenantIndex = TenantIndex(0);
 /// The index of a tenant whose quota is never reached.
 const UNLIMITED_TENANT: TenantIndex = TenantIndex(1);
@@ -40,7 +40,7 @@
 fn harness_with_history(seed: u64, settings: Settings) -> BalancerHarness {
     let mut harness = BalancerHarness::with_seed(seed, settings, &endpoints(4));
     for id in 0..200 {
-        harness.serve(id, 0.05);
+        harness.serve_request(id, 0.05);
     }
     harness
 }
@@ -53,17 +53,17 @@
 /// Serves this number of requests of the limited tenant at once.
 fn consume_quota(harness: &mut BalancerHarness, requests: u64) {
     for id in 1000..1000 + requests {
-        let sent = sends(&request_of_tenant(harness, id, LIMITED_TENANT))[0];
+        let sent = sent_attempts(&request_of_tenant(harness, id, LIMITED_TENANT))[0];
         harness.end_attempt(sent, Outcome::Success, 0.05);
     }
 }
 
 /// Returns whether a request of a tenant is sent before a later one of the unlimited tenant, under overload.
 fn is_sent_first(mut harness: BalancerHarness, tenant: TenantIndex) -> bool {
-    let overloading = OVERLOADING_REQUEST_IDS.flat_map(|id| sends(&harness.request(id)));
+    let overloading = OVERLOADING_REQUEST_IDS.flat_map(|id| sent_attempts(&harness.handle_request(id)));
     let mut in_flight: VecDeque<_> = overloading.collect();
-    let mut sent = sends(&request_of_tenant(&mut harness, FIRST_REQUEST.0, tenant));
-    sent.extend(sends(&request_of_tenant(&mut harness, SECOND_REQUEST.0, UNLIMITED_TENANT)));
+    let mut sent = sent_attempts(&request_of_tenant(&mut harness, FIRST_REQUEST.0, tenant));
+    sent.extend(sent_attempts(&request_of_tenant(&mut harness, SECOND_REQUEST.0, UNLIMITED_TENANT)));
     harness.now += 0.05;
     loop {
         let is_compared = |attempt: &&SentAttempt| [FIRST_REQUEST, SECOND_REQUEST].contains(&attempt.request);
@@ -72,7 +72,7 @@
         }
         in_flight.extend(sent);
         let ended = in_flight.pop_front().expect("one of the two is sent before the overload ends");
-        sent = sends(&harness.end_attempt(ended, Outcome::Success, 0.05));
+        sent = sent_attempts(&harness.end_attempt(ended, Outcome::Success, 0.05));
     }
 }
 
@@ -141,14 +141,15 @@
 fn queued_requests_consume_no_quota() {
     let settings = settings_with_quota(QUOTA_PER_SECOND);
     let queue_requests = |harness: &mut BalancerHarness| {
-        let mut in_flight: VecDeque<_> = (2000..2300).flat_map(|id| sends(&harness.request(id))).collect();
+        let mut in_flight: VecDeque<_> =
+            (2000..2300).flat_map(|id| sent_attempts(&harness.handle_request(id))).collect();
         for id in 3000..3010 {
             let actions = request_of_tenant(harness, id, LIMITED_TENANT);
-            assert!(sends(&actions).is_empty(), "the request is queued");
+            assert!(sent_attempts(&actions).is_empty(), "the request is queued");
             harness.handle(Event::ClientDisconnected(RequestId(id)));
         }
         while let Some(ended) = in_flight.pop_front() {
-            in_flight.extend(sends(&harness.end_attempt(ended, Outcome::Success, 0.05)));
+            in_flight.extend(sent_attempts(&harness.end_attempt(ended, Outcome::Success, 0.05)));
         }
         assert_eq!(harness.balancer.open_requests(), 0);
     };
--- a/crates/balancer/tests/decisions/retransmission.rs
+++ b/crates/balancer/tests/decisions/retransmission.rs
@@ -15,7 +15,7 @@
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(4));
         harness.advance_to(0.5);
 
-        harness.request(1);
+        harness.handle_request(1);
 
         assert_eq!(harness.sends_until(0.96).len(), 1, "seed {seed}");
     }
@@ -29,7 +29,7 @@
     for seed in 0..200 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(4));
         for id in 0..40 {
-            harness.request_with_timeout(id, 100.0);
+            harness.handle_request_with_timeout(id, 100.0);
             harness.now += 0.1;
         }
         // When these timers fire, 40 requests are unanswered at a send rate of 10 per second. The mean wait
@@ -49,7 +49,7 @@
     // With a latency objective of 1 s, T1 is 0.4 s, with a jitter of 10%.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(8));
 
-    harness.request(1);
+    harness.handle_request(1);
     let times = send_times(&harness.advance_to(2.0), 0.0);
 
     assert_eq!(times.len(), 1, "the second timer, at 3 T1, is beyond the latency objective: {times:?}");
@@ -61,12 +61,12 @@
     // Short response times make T1 short.
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(8));
     for id in 0..50 {
-        harness.serve(100 + id, 0.05);
+        harness.serve_request(100 + id, 0.05);
     }
     harness.advance_to(60.0);
     let start = harness.now;
 
-    harness.request(1);
+    harness.handle_request(1);
     let times = send_times(&harness.advance_to(start + 1.0), start);
 
     assert_eq!(times.len(), 3, "{times:?}");
@@ -80,7 +80,7 @@
     for seed in 0..20 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(6));
 
-        let first = harness.send(1);
+        let first = harness.send_request(1);
         let second = harness.sends_until(0.5)[0];
 
         assert_ne!(first.backend, second.backend);
@@ -91,9 +91,9 @@
 fn does_not_hedge_at_the_first_timer_when_the_backend_has_responded_to_a_later_request() {
     // Guards against doubling the work of requests that merely take long.
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
-    harness.request(1);
+    harness.handle_request(1);
     harness.now = 0.1;
-    let later = harness.send(2);
+    let later = harness.send_request(2);
     harness.now = 0.2;
     harness.end_attempt(later, Outcome::Success, 0.1);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[endpoint(2)])));
@@ -104,7 +104,7 @@
 #[test]
 fn hedges_while_the_backend_does_not_respond() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
-    harness.request(1);
+    harness.handle_request(1);
     harness.handle(Event::Endpoints(EndpointUpdate::Changes(&[endpoint(2)])));
 
     let hedged = harness.sends_until(0.5);
@@ -113,16 +113,16 @@
 }
 
 #[test]
-fn hedges_at_the_second_timer_a_request_overtaken_by_a_later_response() {
+fn hedges_at_the_second_timer_when_the_backend_has_responded_to_a_later_request() {
     // Guards against requests that wait for their whole timeout at a backend that sent one more response and
     // then hung, or on a connection that is stalled.
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     for id in 100..200 {
-        harness.serve(id, 0.05);
+        harness.serve_request(id, 0.05);
     }
     let sent_at = harness.now;
-    harness.request(1);
-    let later = harness.send(2);
+    harness.handle_request(1);
+    let later = harness.send_request(2);
     harness.advance_to(sent_at + 0.03);
 
     harness.end_attempt(later, Outcome::Success, 0.03);
@@ -138,7 +138,7 @@
     let settings = Settings { max_attempts: 1, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
 
-    harness.request(1);
+    harness.handle_request(1);
 
     assert_eq!(harness.sends_until(0.9), []);
 }
@@ -148,7 +148,7 @@
     let settings = Settings { max_attempts: 0, hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
 
-    let actions = harness.request(1);
+    let actions = harness.handle_request(1);
 
     assert!(is_rejected(&actions, 1));
 }
@@ -157,7 +157,7 @@
 fn retries_only_failed_attempts_when_hedging_is_not_allowed() {
     let settings = Settings { hedging_allowed: false, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &endpoints(4));
-    let sent = harness.send(1);
+    let sent = harness.send_request(1);
     assert_eq!(harness.sends_until(0.2), []);
 
     harness.end_attempt(sent, Outcome::Error, 0.2);
@@ -171,7 +171,7 @@
         [(Outcome::Rejected, 1), (Outcome::NoConnection, 1), (Outcome::Error, 0), (Outcome::Reset, 0)]
     {
         let mut harness = BalancerHarness::new(settings_with_effect(Effect::Unsafe), &endpoints(4));
-        let sent = harness.send(1);
+        let sent = harness.send_request(1);
         harness.now = 0.1;
 
         let actions = harness.end_attempt(sent, outcome, 0.1);
@@ -189,7 +189,7 @@
 fn does_not_hedge_an_unsafe_request() {
     let mut harness = BalancerHarness::new(settings_with_effect(Effect::Unsafe), &endpoints(4));
 
-    harness.request(1);
+    harness.handle_request(1);
 
     assert_eq!(harness.sends_until(0.9), [], "the backend may be processing the first attempt");
 }
@@ -218,7 +218,7 @@
     for seed in 0..30 {
         let mut harness = idempotent_harness(seed, IdempotencyGroup::Cell, 5.0);
 
-        let first = harness.send(1);
+        let first = harness.send_request(1);
         let retries = harness.sends_until(0.5);
 
         assert_eq!(
@@ -235,7 +235,7 @@
     for seed in 0..30 {
         let mut harness = idempotent_harness(seed, IdempotencyGroup::Cell, 0.2);
 
-        harness.request(1);
+        harness.handle_request(1);
 
         assert_eq!(harness.sends_until(0.9), [], "the backends of the cell no longer detect a repeat");
     }
@@ -246,7 +246,7 @@
     for seed in 0..30 {
         let mut harness = idempotent_harness(seed, IdempotencyGroup::Zone, 5.0);
 
-        let first = harness.send(1);
+        let first = harness.send_request(1);
         let retries = harness.sends_until(0.5);
 
         assert!(retries.iter().all(|retry| zone_of(retry.backend) == zone_of(first.backend)));
@@ -261,11 +261,11 @@
     for seed in 0..100 {
         let mut harness = BalancerHarness::with_seed(seed, safe_settings(), &endpoints(8));
         for id in 0..50 {
-            harness.serve(100 + id, 0.05);
+            harness.serve_request(100 + id, 0.05);
         }
         harness.advance_to(60.0);
 
-        harness.request(1);
+        harness.handle_request(1);
 
         requests_with_three_retries += usize::from(harness.sends_until(60.5).len() == 3);
     }
--- a/crates/balancer/tests/decisions/slow_start.rs
+++ b/crates/balancer/tests/decisions/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: the requests that a single balancer sends to backends that are warming up.
 
-use crate::common::actions::sends;
+use crate::common::actions::sent_attempts;
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Status};
@@ -32,13 +32,13 @@
     for seed in 0..100 {
         let mut harness = BalancerHarness::with_seed(seed, settings.clone(), &endpoints(4));
         for id in 0..40 {
-            harness.serve(id, 0.01);
+            harness.serve_request(id, 0.01);
             harness.advance_to(harness.now + 0.24);
         }
         let warming = harness.balancer.members().next().unwrap();
         restart(warming, &mut harness, &mut list);
         for id in 100..108 {
-            if harness.serve(id, 0.01) == warming {
+            if harness.serve_request(id, 0.01) == warming {
                 sent_to_warming += 1;
             } else {
                 sent_to_others += 1;
@@ -60,7 +60,7 @@
     let mut list = endpoints(3);
     let mut harness = BalancerHarness::new(slow_start_settings(1, 0.1), &list);
     for id in 0..200 {
-        harness.serve(id, 0.05);
+        harness.serve_request(id, 0.05);
     }
     for endpoint in &mut list {
         endpoint.started_at = Some(harness.now);
@@ -69,8 +69,8 @@
 
     let mut sent = 0;
     for id in 1000..1020 {
-        let actions = harness.request(id);
-        for attempt in sends(&actions) {
+        let actions = harness.handle_request(id);
+        for attempt in sent_attempts(&actions) {
             sent += 1;
             harness.end_attempt(attempt, Outcome::Success, 0.05);
         }
@@ -92,7 +92,7 @@
 
     let mut sent_to_warming = 0;
     for id in 0..2000 {
-        let sent_on_arrival = sends(&harness.request(id));
+        let sent_on_arrival = sent_attempts(&harness.handle_request(id));
         if id == 1000 {
             restart(BackendId(1), &mut harness, &mut list);
         }
@@ -103,7 +103,7 @@
         let actions = harness.actions_until(harness.now + 0.01);
         harness.end_cancelled_attempts(&actions);
         if id > 1000 {
-            let sent = sent_on_arrival.into_iter().chain(sends(&actions));
+            let sent = sent_on_arrival.into_iter().chain(sent_attempts(&actions));
             sent_to_warming += sent.filter(|attempt| attempt.backend == BackendId(1)).count();
         }
     }
@@ -123,7 +123,7 @@
     for seed in 0..200 {
         let mut harness = BalancerHarness::with_seed(seed, settings.clone(), &endpoints(4));
         for id in 0..40 {
-            harness.serve(id, 0.01);
+            harness.serve_request(id, 0.01);
             harness.advance_to(harness.now + 0.49);
         }
         let mut list = endpoints(4);
@@ -136,7 +136,7 @@
         }
         harness.handle(Event::Endpoints(EndpointUpdate::Full(&list)));
 
-        sent_at_once += sends(&harness.request(1000)).len();
+        sent_at_once += sent_attempts(&harness.handle_request(1000)).len();
     }
 
     // Each balancer sends 2 requests per second to a few members. The backend has half of its capacity, and
@@ -170,7 +170,7 @@
     };
     let mut harness = BalancerHarness::with_seed(instance_index as u64, settings, &endpoints(16));
     for id in 0..100 {
-        harness.serve(id, 0.08);
+        harness.serve_request(id, 0.08);
     }
     let mut list = endpoints(UNCHANGED_BACKEND_COUNT as u32);
     list.extend((101..=110).map(|id| Endpoint { started_at: Some(harness.now), ..endpoint(id) }));
@@ -178,7 +178,7 @@
 
     let mut distribution = Distribution { sent_to_unchanged: vec![0; UNCHANGED_BACKEND_COUNT], unsent: 0 };
     for id in 200..200 + REQUEST_COUNT_AFTER_REPLACEMENT {
-        match sends(&harness.request(id)).first() {
+        match sent_attempts(&harness.handle_request(id)).first() {
             Some(attempt) => {
                 if let Some(sent) = distribution.sent_to_unchanged.get_mut(attempt.backend.0 as usize - 1) {
                     *sent += 1;
--- a/crates/balancer/tests/decisions/streamed_bodies.rs
+++ b/crates/balancer/tests/decisions/streamed_bodies.rs
@@ -1,6 +1,6 @@
 //! Requests whose bodies are streamed: their timers, retries and load.
 
-use crate::common::actions::{SentAttempt, is_failed, is_rejected, sends};
+use crate::common::actions::{SentAttempt, is_failed, is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, safe_settings, settings_with_effect};
 use balancer::{Effect, Event, Outcome, Request, RequestId, Settings, Tier};
@@ -8,7 +8,7 @@
 /// Handles the arrival of a request with a streamed body, and returns the first attempt.
 fn send_streamed_request(harness: &mut BalancerHarness, id: u64) -> SentAttempt {
     let request = Request { id: RequestId(id), timeout: 2.0, streaming_body: true, ..Request::default() };
-    sends(&harness.handle(Event::Request(request)))[0]
+    sent_attempts(&harness.handle(Event::Request(request)))[0]
 }
 
 #[test]
@@ -54,7 +54,7 @@
             "a request whose body is consumed is rejected at once"
         );
         actions.extend(harness.actions_until(3.0));
-        assert_eq!(sends(&actions).len(), usize::from(!body_consumed));
+        assert_eq!(sent_attempts(&actions).len(), usize::from(!body_consumed));
         assert!(!is_failed(&actions, 1));
     }
 }
@@ -65,12 +65,12 @@
     let settings = Settings { tier: Tier::ENTRY, ..safe_settings() };
     let mut harness = BalancerHarness::new(settings, &[endpoint(1), endpoint(2)]);
     for id in 0..100 {
-        harness.serve(id, 0.1);
+        harness.serve_request(id, 0.1);
     }
     let streamed: Vec<_> = (1000..1040).map(|id| send_streamed_request(&mut harness, id)).collect();
 
     for id in 100..200 {
-        harness.serve(id, 0.1); // panics if the request is not sent at once
+        harness.serve_request(id, 0.1); // panics if the request is not sent at once
     }
 
     for sent in streamed {
@@ -79,6 +79,6 @@
     }
     assert_eq!(harness.balancer.open_requests(), 0);
     for id in 200..300 {
-        harness.serve(id, 0.1);
+        harness.serve_request(id, 0.1);
     }
 }
--- a/crates/balancer/tests/decisions/subset_assignment.rs
+++ b/crates/balancer/tests/decisions/subset_assignment.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::common::actions::{SentAttempt, sends};
+use crate::common::actions::{SentAttempt, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings};
 use balancer::{BackendId, Endpoint, EndpointUpdate, Event, Outcome, Settings, Tier, Time};
 
 /// Sends 60 requests with the ids from `first_id` on, and returns their backends. No request gets a response.
 fn backends_used(harness: &mut BalancerHarness, first_id: u64) -> BTreeSet<BackendId> {
-    let sent = (first_id..first_id + 60).flat_map(|id| sends(&harness.request(id)));
+    let sent = (first_id..first_id + 60).flat_map(|id| sent_attempts(&harness.handle_request(id)));
     sent.map(|attempt| attempt.backend).collect()
 }
 
@@ -48,7 +48,7 @@
     let mut in_flight = VecDeque::new();
     for id in 0..600 {
         let sent_at = harness.now;
-        let sent = sends(&harness.request(id));
+        let sent = sent_attempts(&harness.handle_request(id));
         in_flight.extend(sent.into_iter().map(|attempt| AttemptInFlight { attempt, sent_at }));
         if in_flight.len() > 8 {
             let AttemptInFlight { attempt, sent_at } = in_flight.pop_front().unwrap();
--- a/crates/balancer/tests/endpoint_churn.rs
+++ b/crates/balancer/tests/endpoint_churn.rs
@@ -1,10 +1,11 @@
 //! Guards against unbounded growth of the endpoint table where deployments replace all backends again and
-//! again. The balancer removes an unlisted backend from the table when the last attempt at the backend has ended.
+//! again. The balancer removes an unlisted backend from the table when the last attempt at the backend has
+//! ended.
 
 mod common;
 
 use balancer::{BackendId, EndpointUpdate, Event, Outcome};
-use common::actions::{SentAttempt, is_rejected, sends};
+use common::actions::{SentAttempt, is_rejected, sent_attempts};
 use common::balancer_harness::BalancerHarness;
 use common::fixtures::{endpoint, safe_settings};
 
@@ -12,14 +13,14 @@
 fn removes_unlisted_backends_without_attempts_in_flight() {
     let mut harness = BalancerHarness::new(safe_settings(), &[endpoint(1)]);
     let first = SentAttempt::new(1, 1);
-    assert_eq!(sends(&harness.request(1)), [first]);
+    assert_eq!(sent_attempts(&harness.handle_request(1)), [first]);
 
     for id in 2..500 {
         harness.handle(Event::Endpoints(EndpointUpdate::Full(&[endpoint(id), endpoint(1000 + id)])));
         // Requests go to the listed backends only.
         harness.now += 0.01;
         let request = u64::from(id);
-        let sent = harness.send(request);
+        let sent = harness.send_request(request);
         let BackendId(backend) = sent.backend;
         assert!(backend == id || backend == 1000 + id, "{backend} at {id}");
         let actions = harness.end_attempt(sent, Outcome::Success, 0.01);
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -7,7 +7,7 @@
     Action, BackendId, ClassIndex, Effect, Event, IdempotencyGroup, Outcome, Request, RequestClass,
     RequestId, Settings, TenantIndex, Tier, Time,
 };
-use common::actions::{send_times, sends};
+use common::actions::{send_times, sent_attempts};
 use common::balancer_harness::BalancerHarness;
 use common::fixtures::{endpoint, request_class, safe_settings, tenant};
 use std::collections::BTreeSet;
@@ -37,7 +37,7 @@
     let before = Settings { classes: classes.clone(), ..safe_settings() };
     let mut harness = BalancerHarness::new(before.clone(), &[endpoint(1), endpoint(2)]);
     for id in 0..50 {
-        harness.serve(id, 0.05);
+        harness.serve_request(id, 0.05);
     }
     // The first retry follows soon after the expected latency of 0.05 s. In a class without observations, it
     // follows after 0.4 of the latency objective of 1 s, with a jitter of up to a tenth.
@@ -113,13 +113,13 @@
 fn applies_the_settings_in_force_on_arrival_until_a_request_ends() {
     for SettingsChange { on_arrival, afterwards, outcome, is_retried } in settings_changes() {
         let mut harness = BalancerHarness::new(on_arrival, &[endpoint(1), endpoint(2)]);
-        let sent = sends(&harness.handle(Event::Request(request_of_class(1, ClassIndex(0)))))[0];
+        let sent = sent_attempts(&harness.handle(Event::Request(request_of_class(1, ClassIndex(0)))))[0];
 
         harness.handle(Event::Settings(&afterwards));
         let mut actions = harness.end_attempt(sent, outcome, 0.1);
         actions.extend(harness.actions_until(5.0));
 
-        assert_eq!(!sends(&actions).is_empty(), is_retried, "{afterwards:?}");
+        assert_eq!(!sent_attempts(&actions).is_empty(), is_retried, "{afterwards:?}");
         let is_final = |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
         assert_eq!(actions.iter().filter(is_final).count(), 1);
         assert_eq!(harness.balancer.open_requests(), 0);
@@ -139,12 +139,12 @@
         harness
             .handle(Event::Request(Request { tenant: Some(tenant), ..request_of_class(id, ClassIndex(0)) }))
     };
-    assert_eq!(sends(&send_for_tenant(&mut harness, 1, TenantIndex(0))).len(), 1);
+    assert_eq!(sent_attempts(&send_for_tenant(&mut harness, 1, TenantIndex(0))).len(), 1);
 
     // Open requests end like all others even if their tenant is removed or has another index.
     settings.tenants = vec![tenant("z", 1.0), tenant("x", 1.0)];
     harness.handle(Event::Settings(&settings));
-    assert_eq!(sends(&send_for_tenant(&mut harness, 2, TenantIndex(1))).len(), 1);
+    assert_eq!(sent_attempts(&send_for_tenant(&mut harness, 2, TenantIndex(1))).len(), 1);
     settings.tenants.clear();
     harness.handle(Event::Settings(&settings));
     harness.advance_to(5.0);
@@ -216,7 +216,7 @@
     let mut reloaded = BalancerHarness::new(settings.clone(), &list);
 
     for id in 0..200 {
-        assert_eq!(unchanged.serve(id, 0.05), reloaded.serve(id, 0.05));
+        assert_eq!(unchanged.serve_request(id, 0.05), reloaded.serve_request(id, 0.05));
         assert!(reloaded.handle(Event::Settings(&settings)).is_empty());
         assert_eq!(subset_of(&unchanged), subset_of(&reloaded));
     }
