--- a/crates/balancer/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -61,13 +61,13 @@
     assert!(sent_to_outlier <= 5, "{sent_to_outlier} of 40 were sent to the backend that never responds");
 }
 
-/// Guards against an ejected backend in `stats` although no backend is slow or in maintenance.
+/// Guards against `stats` reporting an ejected backend although no backend is slow or in maintenance.
 ///
 /// A backend that has returned from maintenance counts as having the expected latency. When only the first
 /// responses of the other backend were slow, the relative latency of that backend fell below 0.4, and the
-/// expected latency was more than 2.5 times as high. The first responses are slow on a busy machine: a test
-/// of the proxy's maintenance record failed once at a load of 15, and always when the first two responses
-/// took 0.3 s.
+/// expected latency was more than 2.5 times as high. The first responses may be slow on a busy machine: a
+/// test of the proxy's maintenance record failed at a load of 15. In this test, the first two responses take
+/// 0.3 s, which always caused the failure.
 #[test]
 fn a_backend_with_the_expected_latency_is_no_outlier_however_fast_the_best_backend_is() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
