--- a/crates/balancer/tests/decisions/client_disconnects.rs
+++ b/crates/balancer/tests/decisions/client_disconnects.rs
@@ -1,6 +1,6 @@
 //! Requests of disconnected clients: the balancer sends neither a first attempt nor a retry.
 
-use crate::common::actions::{is_rejected, sends};
+use crate::common::actions::{is_rejected, sent_attempts};
 use crate::common::balancer_harness::BalancerHarness;
 use crate::common::fixtures::{endpoint, endpoints, safe_settings, settings_with_effect};
 use balancer::{Action, AttemptNumber, Effect, Event, Outcome, Request, RequestId, Settings, Tier};
@@ -10,7 +10,7 @@
     BalancerHarness::new(settings, &[endpoint(1), endpoint(2)])
 }
 
-/// Returns settings of safe requests where attempts may be cancelled, and settings where they may not.
+/// Returns settings of safe requests with cancellation allowed, and settings with cancellation not allowed.
 fn settings_with_and_without_cancellation() -> [Settings; 2] {
     [true, false].map(|cancellation_allowed| Settings { cancellation_allowed, ..safe_settings() })
 }
@@ -29,7 +29,7 @@
 #[test]
 fn only_cancels_the_attempt_after_a_disconnect() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(4));
-    harness.request(1);
+    harness.handle_request(1);
 
     let actions = harness.handle(Event::ClientDisconnected(RequestId(1)));
 
@@ -49,7 +49,7 @@
     for (cancellation_allowed, expected) in [true, false].into_iter().zip(expected_actions) {
         let settings = Settings { cancellation_allowed, ..unsafe_settings.clone() };
         let mut harness = harness_with_two_backends(settings);
-        assert_eq!(sends(&harness.request(1)).len(), 1);
+        assert_eq!(sent_attempts(&harness.handle_request(1)).len(), 1);
 
         let actions = actions_after_disconnect(harness);
 
@@ -61,7 +61,7 @@
 fn does_not_retry_a_rejected_attempt_after_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
         let mut harness = harness_with_two_backends(settings);
-        let sent = harness.send(1);
+        let sent = harness.send_request(1);
         assert!(harness.end_attempt(sent, Outcome::Rejected, 0.01).is_empty());
 
         let actions = actions_after_disconnect(harness);
@@ -74,7 +74,7 @@
 fn does_not_retry_after_a_failed_connection_and_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
         let mut harness = harness_with_two_backends(settings);
-        let sent = harness.send(1);
+        let sent = harness.send_request(1);
         assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
         let actions = actions_after_disconnect(harness);
@@ -88,11 +88,11 @@
     for settings in settings_with_and_without_cancellation() {
         let settings = Settings { hedging_allowed: true, ..settings };
         let mut harness = harness_with_two_backends(settings);
-        assert_eq!(sends(&harness.request(1)).len(), 1);
+        assert_eq!(sent_attempts(&harness.handle_request(1)).len(), 1);
 
         let actions = actions_after_disconnect(harness);
 
-        assert!(sends(&actions).is_empty(), "{actions:?}");
+        assert!(sent_attempts(&actions).is_empty(), "{actions:?}");
     }
 }
 
@@ -101,7 +101,7 @@
     for settings in settings_with_and_without_cancellation() {
         let mut harness = harness_with_two_backends(settings);
         let request = Request { id: RequestId(1), timeout: 2.0, streaming_body: true, ..Request::default() };
-        let sent = sends(&harness.handle(Event::Request(request)))[0];
+        let sent = sent_attempts(&harness.handle(Event::Request(request)))[0];
         assert!(harness.end_attempt(sent, Outcome::NoConnection, 0.01).is_empty());
 
         let actions = actions_after_disconnect(harness);
@@ -111,18 +111,18 @@
 }
 
 #[test]
-fn does_not_forward_a_request_queued_for_its_key_after_a_disconnect() {
+fn does_not_send_a_request_queued_for_its_key_after_a_disconnect() {
     for mut settings in settings_with_and_without_cancellation() {
         settings.classes[0].ordered_by_key = true;
         let mut harness = harness_with_two_backends(settings);
         let keyed_request =
             |id| Request { id: RequestId(id), timeout: 2.0, key: Some(7), ..Request::default() };
-        let sent = sends(&harness.handle(Event::Request(keyed_request(9))))[0];
+        let sent = sent_attempts(&harness.handle(Event::Request(keyed_request(9))))[0];
         assert!(harness.handle(Event::Request(keyed_request(1))).is_empty());
 
         assert!(harness.handle(Event::ClientDisconnected(RequestId(1))).is_empty());
 
-        assert!(sends(&harness.end_attempt(sent, Outcome::Success, 0.1)).is_empty());
+        assert!(sent_attempts(&harness.end_attempt(sent, Outcome::Success, 0.1)).is_empty());
         let actions = actions_after_disconnect(harness);
 
         assert!(actions.is_empty(), "{actions:?}");
@@ -130,18 +130,18 @@
 }
 
 #[test]
-fn does_not_forward_a_request_queued_at_the_entry_tier_after_a_disconnect() {
+fn does_not_send_a_request_queued_at_the_entry_tier_after_a_disconnect() {
     for settings in settings_with_and_without_cancellation() {
         let settings = Settings { tier: Tier::ENTRY, ..settings };
         let mut harness = harness_with_two_backends(settings);
         for id in 100..200 {
-            harness.serve(id, 0.1);
+            harness.serve_request(id, 0.1);
         }
         let mut queued = Vec::new();
-        let mut forwarded = Vec::new();
+        let mut sent_at_once = Vec::new();
         for id in 1000..1100 {
-            match sends(&harness.request(id)).first() {
-                Some(sent) => forwarded.push(*sent),
+            match sent_attempts(&harness.handle_request(id)).first() {
+                Some(sent) => sent_at_once.push(*sent),
                 None => queued.push(id),
             }
         }
@@ -151,9 +151,11 @@
             assert!(harness.handle(Event::ClientDisconnected(RequestId(*id))).is_empty());
         }
 
-        for sent in forwarded {
+        for sent in sent_at_once {
             let actions = harness.end_attempt(sent, Outcome::Success, 0.1);
-            assert!(sends(&actions).is_empty() && !queued.iter().any(|id| is_rejected(&actions, *id)));
+            assert!(
+                sent_attempts(&actions).is_empty() && !queued.iter().any(|id| is_rejected(&actions, *id))
+            );
         }
         let actions = actions_after_disconnect(harness);
 
--- a/crates/balancer/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -18,7 +18,7 @@
     let mut harness = harness_with_one_attempt();
     let mut sent_to_outlier = 0;
     for id in 0..200 {
-        let sent = harness.send(id);
+        let sent = harness.send_request(id);
         harness.now += 0.02;
         if sent.backend == OUTLIER {
             sent_to_outlier += 1;
@@ -33,7 +33,7 @@
 
     let response_time = |id| 0.01 + 0.02 * (id % 3) as f64;
     let sent_after_recovery =
-        (0..50).filter(|id| harness.serve(1000 + id, response_time(*id)) == OUTLIER).count();
+        (0..50).filter(|id| harness.serve_request(1000 + id, response_time(*id)) == OUTLIER).count();
     assert!(sent_after_recovery > 10, "{sent_after_recovery}");
 }
 
@@ -42,12 +42,12 @@
     // Regression: timeouts of attempts whose request has ended were not counted.
     let mut harness = harness_with_one_attempt();
     for id in 0..20 {
-        harness.serve(id, 0.01 + 0.01 * (id % 3) as f64);
+        harness.serve_request(id, 0.01 + 0.01 * (id % 3) as f64);
     }
 
     let mut sent_to_outlier = 0;
     for id in 1000..1040 {
-        let sent = harness.send(id);
+        let sent = harness.send_request(id);
         if sent.backend == OUTLIER {
             sent_to_outlier += 1;
             harness.advance_to(harness.now + 1.1);
@@ -61,13 +61,13 @@
     assert!(sent_to_outlier <= 5, "{sent_to_outlier} of 40 were sent to the backend that never responds");
 }
 
-/// Guards against an ejected backend in `stats` although no backend is slow or in maintenance.
+/// Guards against `stats` reporting an ejected backend although no backend is slow or in maintenance.
 ///
 /// A backend that has returned from maintenance counts as having the expected latency. When only the first
 /// responses of the other backend were slow, the relative latency of that backend fell below 0.4, and the
-/// expected latency was more than 2.5 times as high. The first responses are slow on a busy machine: a test
-/// of the proxy's maintenance record failed once at a load of 15, and always when the first two responses
-/// took 0.3 s.
+/// expected latency was more than 2.5 times as high. The first responses may be slow on a busy machine: a
+/// test of the proxy's maintenance record failed at a load of 15. In this test, the first two responses take
+/// 0.3 s, which always caused the failure.
 #[test]
 fn a_backend_with_the_expected_latency_is_no_outlier_however_fast_the_best_backend_is() {
     let mut harness = BalancerHarness::new(safe_settings(), &endpoints(2));
@@ -75,7 +75,7 @@
     harness.handle(Event::Maintenance { backend: returning, change: MaintenanceChange::Begins });
     let response_time = |id| if id < 2 { 0.3 } else { 0.0 };
     for id in 0..10 {
-        harness.serve(id, response_time(id));
+        harness.serve_request(id, response_time(id));
     }
 
     harness.handle(Event::Maintenance { backend: returning, change: MaintenanceChange::Ends });
