--- a/crates/balancer-proxy/tests/client_disconnects.rs
+++ b/crates/balancer-proxy/tests/client_disconnects.rs
@@ -174,7 +174,8 @@
     assert_eq!(read_message(&mut first_client).expect("no complete response").status(), 200);
     std::thread::sleep(POOL_RETURN_TIME);
     backend.fill_backlog();
-    // The next request starts on the pooled connection. Its first bytes are still buffered when that ends.
+    // The next request starts on the pooled connection. Its first bytes are still buffered when that
+    // connection ends.
     let head = request_with_framing("order", "Content-Length: 200000\r\n\r\n");
     let mut stream = proxy.begin_request(&head);
     let port = stream.get_ref().local_addr().unwrap().port();
@@ -184,7 +185,7 @@
     wait_for("a second connection attempt", || backend.has_pending_connection());
 
     let readable_stream = disconnect.disconnect(stream);
-    wait_for("the proxy to close the connection", || sockets_to_port(port, TCP_CLOSE_WAIT) == 0);
+    wait_for("the close of the client connection", || sockets_to_port(port, TCP_CLOSE_WAIT) == 0);
     let received = backend.accept_all();
 
     assert!(received.is_empty(), "{disconnect:?}, cancel {cancel}: {received:?}");
--- a/crates/balancer-proxy/tests/common/proxy_process.rs
+++ b/crates/balancer-proxy/tests/common/proxy_process.rs
@@ -157,7 +157,7 @@
 
     /// Waits until the management call `status` reports that the proxy is ready.
     pub fn wait_until_ready(&self) {
-        wait_for("readiness of the proxy", || self.management_call("status\n").starts_with("OK"));
+        wait_for("the readiness of the proxy", || self.management_call("status\n").starts_with("OK"));
     }
 
     /// Returns the metrics that the management call `stats` reports.
@@ -194,7 +194,7 @@
     pub fn while_stopped<T>(&self, function: impl FnOnce() -> T) -> T {
         self.signal("-STOP");
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
-        wait_for("the process to stop", || {
+        wait_for("the stop of the process", || {
             state().rsplit_once(") ").is_some_and(|(_, fields)| fields.starts_with('T'))
         });
         let result = function();
--- a/crates/balancer-proxy/tests/connection_limits.rs
+++ b/crates/balancer-proxy/tests/connection_limits.rs
@@ -32,7 +32,7 @@
     let backend = StubServer::responding_with("hello");
     let proxy = proxy_with_64_sockets(&backend);
     let idle = open_connections(&proxy, 60);
-    std::thread::sleep(Duration::from_millis(1600)); // until the proxy may close them as idle
+    std::thread::sleep(Duration::from_millis(1600)); // until the proxy may close idle connections
 
     for _ in 0..10 {
         assert_eq!(proxy.exchange(&request("order", 9000)).status(), 200);
@@ -45,7 +45,8 @@
 fn responds_to_a_request_that_arrives_as_its_idle_connection_is_chosen_for_closing() {
     let backend = StubServer::responding_with("hello");
     let proxy = proxy_with_64_sockets(&backend);
-    // The number of connections is near the limit, so that the proxy may close those idle for 2 s.
+    // The number of connections is near the limit, so that the proxy may close connections
+    // that have been idle for 2 s.
     let mut idle: Vec<_> = (0..10)
         .map(|_| {
             let mut stream = proxy.connect();
@@ -69,7 +70,8 @@
     drop(new);
 }
 
-/// A connection with only readiness requests belongs to a health checker, which sends further ones on it.
+/// A connection with only readiness requests belongs to a health checker, which sends further requests on that
+/// connection.
 #[test]
 fn keeps_a_health_check_connection_open_while_closing_silent_ones() {
     let backend = StubServer::responding_with("hello");
@@ -164,7 +166,7 @@
 /// Uses up the file descriptors with idle connections, then opens many more at the moment when discovery
 /// returns, also to the management address if the proxy has one. Asserts that the proxy receives the list
 /// within 6 s and logs no lack of descriptors.
-fn check_discovery_reached_as_it_returns(load: DescriptorLoad) {
+fn check_returning_discovery_is_reached(load: DescriptorLoad) {
     let DescriptorLoad { idle_clients_had_request, management_connections } = load;
     let (old, new) = (StubServer::responding_with("old"), StubServer::responding_with("new"));
     let endpoints =
@@ -182,7 +184,7 @@
         let _ = stream.get_mut().write_all(request("look", 9000).as_bytes());
         let _ = read_message(stream); // the request may be rejected for lack of capacity
     }
-    std::thread::sleep(Duration::from_millis(2200)); // until the proxy may close them
+    std::thread::sleep(Duration::from_millis(2200)); // until the proxy may close idle connections
 
     proxy.signal("-STOP");
     let new_connections = open_connections(&proxy, 100);
@@ -207,21 +209,21 @@
 }
 
 #[test]
-fn reaches_discovery_as_it_returns_while_clients_fill_all_descriptors() {
+fn reaches_returning_discovery_while_clients_fill_all_descriptors() {
     std::thread::scope(|scope| {
         for idle_clients_had_request in [false, true] {
             let load = DescriptorLoad { idle_clients_had_request, management_connections: None };
-            scope.spawn(move || check_discovery_reached_as_it_returns(load));
+            scope.spawn(move || check_returning_discovery_is_reached(load));
         }
     });
 }
 
 #[test]
-fn reaches_discovery_as_it_returns_while_clients_and_management_calls_fill_all_descriptors() {
+fn reaches_returning_discovery_while_clients_and_management_calls_fill_all_descriptors() {
     std::thread::scope(|scope| {
         for idle_clients_had_request in [false, true] {
             let load = DescriptorLoad { idle_clients_had_request, management_connections: Some(60) };
-            scope.spawn(move || check_discovery_reached_as_it_returns(load));
+            scope.spawn(move || check_returning_discovery_is_reached(load));
         }
     });
 }
--- a/crates/balancer-proxy/tests/discovery_return.rs
+++ b/crates/balancer-proxy/tests/discovery_return.rs
@@ -90,8 +90,8 @@
         assert_eq!(proxy.exchange(&request("look", 9000)).body, b"new", "{case}");
     }
     assert!(discovery.call(closed_calls + 4).request_line.contains("since=2&"), "{case}");
-    // Failed calls are not repeated without a pause. The last pause is checked, as a poll comes between two
-    // calls once after the start.
+    // Failed calls are not repeated without a pause. Only the last pause is checked, because
+    // after the start, a poll comes once between two of the calls.
     if closed_calls > 0 && registry_mode == "automatic" {
         let last_pause = time_of_call(closed_calls + 1) - time_of_call(closed_calls);
         assert!(last_pause > Duration::from_millis(400), "{case}: {last_pause:?}");
--- a/crates/balancer-proxy/tests/endpoint_updates.rs
+++ b/crates/balancer-proxy/tests/endpoint_updates.rs
@@ -1,6 +1,6 @@
 //! Updates of the endpoint list. The proxy must apply changes also after discovery has restarted or failed,
 //! and keep the cached list until then. A drain must also apply to requests that were assigned to the backend
-//! before: none is sent after the grace period.
+//! before the drain: none is sent after the grace period.
 
 mod common;
 
--- a/crates/balancer-proxy/tests/faulty_backends.rs
+++ b/crates/balancer-proxy/tests/faulty_backends.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn skips_interim_responses_long_before_the_final_one() {
+fn skips_interim_responses_sent_long_before_the_final_one() {
     let backend = StubServer::new(move |_, _| {
         let interim = "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n";
         Reply::RespondInParts {
--- a/crates/balancer-proxy/tests/full_log.rs
+++ b/crates/balancer-proxy/tests/full_log.rs
@@ -1,6 +1,6 @@
 //! A log pipe that is open, but that nobody reads. Once the pipe is full, a write to it blocks. If the only
 //! thread of the proxy wrote the log itself, the proxy would serve no request and handle no signal until the
-//! pipe is read. With a pipe that is full from the start it would not even listen.
+//! pipe is read. With a pipe that is full from the start, the proxy would not even listen.
 
 mod common;
 
@@ -42,8 +42,8 @@
     (proxy, reader)
 }
 
-/// Lets the proxy reject a configuration, and sends a request to wait until it has. The proxy serves requests
-/// in turn with reloads.
+/// Triggers a reload that the proxy rejects, and sends a request to wait for the rejection. The proxy serves
+/// requests in turn with reloads.
 fn reload_rejected_configuration(proxy: &ProxyProcess) {
     proxy.signal("-HUP");
     assert_eq!(proxy.exchange(&request("look", 9000)).status(), 200);
--- a/crates/balancer-proxy/tests/http_forms.rs
+++ b/crates/balancer-proxy/tests/http_forms.rs
@@ -31,7 +31,7 @@
     let head =
         request("look", 9000).replace("GET ", "HEAD ").replace("Content-Length: 4\r\n\r\nbody", "\r\n");
     stream.get_mut().write_all(head.as_bytes()).unwrap();
-    let reply = read_head(&mut stream).expect("no complete response");
+    let reply = read_head(&mut stream).expect("no complete head");
     assert_eq!((reply.status(), reply.header("content-length")), (200, Some("5")));
 
     // Pipelining: the responses come in the order of the requests.
--- a/crates/balancer-proxy/tests/listener_handover.rs
+++ b/crates/balancer-proxy/tests/listener_handover.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn the_successor_serves_queued_connections_when_the_old_process_is_killed() {
-    let service = TakeoverFixture::new();
-    let mut old = service.start();
-    let next = service.start();
+    let fixture = TakeoverFixture::new();
+    let mut old = fixture.start();
+    let next = fixture.start();
     next.wait_until_ready();
 
     old.signal("-STOP");
@@ -36,14 +36,14 @@
     next.signal("-CONT");
 
     assert_all_served(clients);
-    assert_eq!(service.backend.request_count(), 30);
+    assert_eq!(fixture.backend.request_count(), 30);
 }
 
 #[test]
 fn the_successor_accepts_connections_while_the_old_process_is_stopped() {
-    let service = TakeoverFixture::new();
-    let old = service.start();
-    let next = service.start();
+    let fixture = TakeoverFixture::new();
+    let old = fixture.start();
+    let next = fixture.start();
     next.wait_until_ready();
 
     old.signal("-STOP");
@@ -53,9 +53,9 @@
 
 #[test]
 fn the_old_process_serves_queued_connections_when_its_successor_is_killed() {
-    let service = TakeoverFixture::new();
-    let old = service.start();
-    let mut next = service.start();
+    let fixture = TakeoverFixture::new();
+    let old = fixture.start();
+    let mut next = fixture.start();
 
     old.signal("-STOP");
     next.signal("-STOP");
@@ -65,22 +65,22 @@
     old.signal("-CONT");
 
     assert_all_served(clients);
-    let another = service.start();
+    let another = fixture.start();
     another.wait_until_ready();
     assert_eq!(another.exchange(&request("look", 9000)).status(), 200);
 }
 
 #[test]
 fn a_successor_that_ends_before_it_reads_the_descriptor_leaves_the_offer_usable() {
-    let service = TakeoverFixture::new();
-    let old = service.start();
+    let fixture = TakeoverFixture::new();
+    let old = fixture.start();
 
     // Each connection ends before the descriptor has been read from it.
     for _ in 0..20 {
-        drop(UnixStream::connect(service.first_offer_path()).unwrap());
+        drop(UnixStream::connect(fixture.first_offer_path()).unwrap());
     }
 
-    let next = service.start();
+    let next = fixture.start();
     next.wait_until_ready();
     drop(old);
     assert_all_served(begin_requests(&next, 5));
@@ -88,11 +88,11 @@
 
 #[test]
 fn two_successors_started_at_once_accept_from_the_same_queue() {
-    let service = TakeoverFixture::new();
-    let mut old = service.start();
+    let fixture = TakeoverFixture::new();
+    let mut old = fixture.start();
     let (mut second, third) = std::thread::scope(|scope| {
-        let second = scope.spawn(|| service.start());
-        let third = scope.spawn(|| service.start());
+        let second = scope.spawn(|| fixture.start());
+        let third = scope.spawn(|| fixture.start());
         (second.join().unwrap(), third.join().unwrap())
     });
     third.wait_until_ready();
@@ -112,10 +112,10 @@
 
 #[test]
 fn three_successive_takeovers_succeed() {
-    let service = TakeoverFixture::new();
-    let mut running = service.start();
+    let fixture = TakeoverFixture::new();
+    let mut running = fixture.start();
     for _ in 0..3 {
-        let next = service.start();
+        let next = fixture.start();
         next.wait_until_ready();
 
         running.signal("-TERM");
@@ -128,11 +128,11 @@
 
 #[test]
 fn binds_a_listener_beside_an_older_version_that_offers_no_listener() {
-    let service = TakeoverFixture::new();
-    let mut old = service.start();
-    std::fs::remove_file(service.first_offer_path()).unwrap();
+    let fixture = TakeoverFixture::new();
+    let mut old = fixture.start();
+    std::fs::remove_file(fixture.first_offer_path()).unwrap();
 
-    let next = service.start();
+    let next = fixture.start();
     next.wait_until_ready();
     old.signal("-TERM");
 
@@ -142,10 +142,10 @@
 
 #[test]
 fn shares_the_address_with_an_older_version_that_asks_for_no_listener() {
-    let service = TakeoverFixture::new();
-    let mut old = service.start();
+    let fixture = TakeoverFixture::new();
+    let mut old = fixture.start();
     // An older version has a lock and a listener of its own.
-    let lock = File::create(service.address.state_file("seat-1")).unwrap();
+    let lock = File::create(fixture.address.state_file("seat-1")).unwrap();
     lock.lock().unwrap();
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_reuse_port(true).unwrap();
@@ -164,10 +164,10 @@
 
 #[test]
 fn only_the_successor_logs_the_handover_of_the_listener() {
-    let service = TakeoverFixture::new();
-    let old = service.start();
+    let fixture = TakeoverFixture::new();
+    let old = fixture.start();
 
-    let next = service.start();
+    let next = fixture.start();
 
     let logged_handover =
         |process: &ProxyProcess| process.starting_log.iter().any(|line| line == HANDOVER_LOG_LINE);
--- a/crates/balancer-proxy/tests/listener_offer.rs
+++ b/crates/balancer-proxy/tests/listener_offer.rs
@@ -26,41 +26,41 @@
 
 #[test]
 fn replaces_the_socket_of_a_process_that_was_killed() {
-    let service = TakeoverFixture::new();
-    let mut killed = service.start();
+    let fixture = TakeoverFixture::new();
+    let mut killed = fixture.start();
     killed.child.kill().unwrap();
     killed.child.wait().unwrap();
-    assert!(service.first_offer_path().exists(), "the socket of the killed process has been removed");
+    assert!(fixture.first_offer_path().exists(), "the socket of the killed process has been removed");
 
-    let restarted = service.start();
+    let restarted = fixture.start();
 
     assert_eq!(restarted.exchange(&request("look", 9000)).status(), 200);
-    let next = service.start();
+    let next = fixture.start();
     drop(restarted);
     assert_all_served(begin_requests(&next, 5));
 }
 
 #[test]
 fn removes_the_socket_when_the_process_exits() {
-    let service = TakeoverFixture::new();
-    let mut process = service.start();
-    assert!(service.first_offer_path().exists());
+    let fixture = TakeoverFixture::new();
+    let mut process = fixture.start();
+    assert!(fixture.first_offer_path().exists());
 
     process.signal("-TERM");
 
     assert_eq!(exit_code(&mut process.child), Some(0));
-    assert!(!service.first_offer_path().exists());
+    assert!(!fixture.first_offer_path().exists());
 }
 
 #[test]
 fn binds_a_listener_when_the_offer_sends_no_descriptor() {
-    let service = TakeoverFixture::new();
-    let old = service.start();
-    std::fs::remove_file(service.first_offer_path()).unwrap();
+    let fixture = TakeoverFixture::new();
+    let old = fixture.start();
+    std::fs::remove_file(fixture.first_offer_path()).unwrap();
     // No process accepts connections on this socket, so the successor receives no descriptor.
-    let _hanging = UnixListener::bind(service.first_offer_path()).unwrap();
+    let _hanging = UnixListener::bind(fixture.first_offer_path()).unwrap();
 
-    let next = service.start();
+    let next = fixture.start();
 
     next.wait_until_ready();
     drop(old);
@@ -69,11 +69,11 @@
 
 #[test]
 fn starts_and_takes_over_when_the_path_is_too_long_for_a_socket() {
-    let service = TakeoverFixture::with_address(SharedAddress::in_folder_with_long_name());
-    let mut old = service.start();
-    assert!(!service.first_offer_path().exists());
+    let fixture = TakeoverFixture::with_address(SharedAddress::in_folder_with_long_name());
+    let mut old = fixture.start();
+    assert!(!fixture.first_offer_path().exists());
 
-    let next = service.start();
+    let next = fixture.start();
     next.wait_until_ready();
     old.signal("-TERM");
 
@@ -84,26 +84,26 @@
 
 #[test]
 fn a_process_without_a_management_address_offers_no_listener_and_shares_no_address() {
-    let service = TakeoverFixture::new();
-    let old = service.address.start_without_management(&service.configuration);
+    let fixture = TakeoverFixture::new();
+    let old = fixture.address.start_without_management(&fixture.configuration);
 
-    let mut second = service.address.spawn(&service.configuration, silent_discovery().address);
+    let mut second = fixture.address.spawn(&fixture.configuration, silent_discovery().address);
 
     assert_eq!(
         exit_code(&mut second),
         Some(1),
         "the second process did not fail although the address is in use"
     );
-    assert!(!service.first_offer_path().exists());
+    assert!(!fixture.first_offer_path().exists());
     assert_eq!(old.exchange(&request("look", 9000)).status(), 200);
 }
 
 #[test]
 fn other_users_cannot_connect_to_the_socket() {
-    let service = TakeoverFixture::new();
-    let _process = service.start();
+    let fixture = TakeoverFixture::new();
+    let _process = fixture.start();
 
-    let mode = service.first_offer_path().metadata().unwrap().permissions().mode();
+    let mode = fixture.first_offer_path().metadata().unwrap().permissions().mode();
 
     assert_eq!(mode & 0o777, 0o600);
 }
@@ -141,16 +141,16 @@
     if std::fs::metadata("/proc/self").unwrap().uid() != 0 {
         return; // only root can run a program as another user
     }
-    let service = TakeoverFixture::new();
-    let process = service.start();
-    std::fs::set_permissions(service.first_offer_path(), PermissionsExt::from_mode(0o666)).unwrap();
+    let fixture = TakeoverFixture::new();
+    let process = fixture.start();
+    std::fs::set_permissions(fixture.first_offer_path(), PermissionsExt::from_mode(0o666)).unwrap();
     // The other user may have no access to the parent folders of the program and of the socket.
     let open_folder = tempfile::tempdir_in("/tmp").unwrap();
     std::fs::set_permissions(open_folder.path(), PermissionsExt::from_mode(0o755)).unwrap();
     let program = open_folder.path().join("test");
     link_file(&std::env::current_exe().unwrap(), &program);
     let socket = open_folder.path().join("socket");
-    link_file(&service.first_offer_path(), &socket);
+    link_file(&fixture.first_offer_path(), &socket);
 
     let status = Command::new(&program)
         .args(["--exact", "a_child_process_of_another_user_receives_no_descriptor"])
@@ -160,7 +160,7 @@
         .unwrap();
 
     assert!(status.success());
-    wait_for("log line", || {
+    wait_for("the log line about another user", || {
         let log = process.log.lock().unwrap();
         log.iter().any(|line| line.contains("the process belongs to another user"))
     });
--- a/crates/balancer-proxy/tests/load_shedding.rs
+++ b/crates/balancer-proxy/tests/load_shedding.rs
@@ -90,7 +90,7 @@
     }
     std::thread::scope(|scope| {
         scope.spawn(send);
-        wait_for("request", || next_receiver().is_some());
+        wait_for("a request at a stalled backend", || next_receiver().is_some());
         let outlier = next_receiver().unwrap();
         backends[1 - outlier].set_stalled(false);
 
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn rejects_no_request_with_few_in_flight_at_each_backend_far_above_the_usual_load() {
+fn rejects_no_request_with_few_in_flight_at_each_backend_even_far_above_the_usual_load() {
     let is_stalled = Arc::new(AtomicBool::new(false));
     let backends: [StubServer; 4] = start_stalling_backends(&is_stalled, Duration::ZERO);
     let mut settings = entry_tier_settings(6.0);
@@ -123,7 +123,7 @@
     std::thread::scope(|scope| {
         for stalled_requests in 1..=4 {
             scope.spawn(send);
-            wait_for("request", || total_requests(&backends) == 30 + stalled_requests);
+            wait_for("a request at a stalled backend", || total_requests(&backends) == 30 + stalled_requests);
         }
         // Four requests in flight for 3 s are a lasting excess over the usual load.
         std::thread::sleep(Duration::from_secs(3));
@@ -152,10 +152,10 @@
     is_stalled.store(true, Ordering::SeqCst);
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..30).map(|_| scope.spawn(send)).collect();
-        wait_for("requests", || total_requests(&backends) > 32);
-        // All requests arrive within this time, which is far less than they may be queued.
+        wait_for("the first requests at the stalled backend", || total_requests(&backends) > 32);
+        // All requests arrive within this time, which is far shorter than the time that they may spend queued.
         std::thread::sleep(Duration::from_millis(500));
-        // The proxy does not send all of them to the overloaded backend.
+        // The proxy does not send all requests to the overloaded backend.
         assert!(total_requests(&backends) < 55, "{}", total_requests(&backends));
         is_stalled.store(false, Ordering::SeqCst);
 
--- a/crates/balancer-proxy/tests/maintenance.rs
+++ b/crates/balancer-proxy/tests/maintenance.rs
@@ -35,7 +35,7 @@
         assert!(proxy.management_call("maint-off s-0\n").starts_with("OK"));
     }
     assert_eq!(proxy.stats()["ejected"], json!(0));
-    wait_for("request at the backend after its maintenance", || {
+    wait_for("a request at the backend after its maintenance", || {
         proxy.exchange(&request("look", 9000)).body == b"zero"
     });
 }
@@ -52,7 +52,7 @@
     let cached_list = serving_list(&[&backends[0], &backends[1]]);
     let configuration = configuration_with_management(&default_settings(), &cached_list);
     let proxy = ProxyProcess::with_configuration(&configuration, discovery.address);
-    wait_for("endpoint list from discovery", || proxy.stats()["discovered"] == json!(1));
+    wait_for("the endpoint list from discovery", || proxy.stats()["discovered"] == json!(1));
 
     assert!(proxy.management_call("maint-on s-0\n").starts_with("OK"));
     assert!(proxy.management_call("maint-off s-0\n").starts_with("OK"));
@@ -67,7 +67,7 @@
     let configuration = configuration_with_management(&settings, &cached_list);
     let proxy = ProxyProcess::with_configuration(&configuration, silent_discovery().address);
     let mut stream = proxy.begin_request(&request("order", 9000));
-    wait_for("connection attempt", || backend.has_pending_connection());
+    wait_for("a connection attempt", || backend.has_pending_connection());
 
     assert!(proxy.management_call("maint-on s-0\n").starts_with("OK"));
     // The grace period is 1 s.
@@ -75,6 +75,6 @@
     let received = backend.accept_all();
 
     assert!(received.is_empty(), "{received:?}");
-    assert_eq!(read_message(&mut stream).expect("a response").status(), 503);
+    assert_eq!(read_message(&mut stream).expect("no complete response").status(), 503);
     assert_eq!(proxy.stats()["forwards"], 0);
 }
--- a/crates/balancer-proxy/tests/maintenance_record_format.rs
+++ b/crates/balancer-proxy/tests/maintenance_record_format.rs
@@ -1,8 +1,8 @@
 //! The name, content and lock of the maintenance record, which two versions of the program share during an
 //! upgrade. The tests cover records and locks of the old version and those of this version.
 //!
-//! All names and contents here are literals, as the version at commit 36aad31 wrote and read them. They
-//! must not be derived from the constants of the program.
+//! All names and contents in this file are literals, as the version at commit 36aad31 wrote and read them.
+//! They must not be derived from the constants of the program.
 
 mod common;
 
@@ -30,9 +30,9 @@
     let shared_address = SharedAddress::new();
     std::fs::write(shared_address.state_file("book"), OLD_VERSION_RECORD).unwrap();
     let backends = ["zero", "one"].map(StubServer::responding_with);
-    let config = default_configuration(&backends.each_ref());
+    let configuration = default_configuration(&backends.each_ref());
 
-    let proxy = shared_address.start(&config);
+    let proxy = shared_address.start(&configuration);
 
     assert_eq!(proxy.stats()["ejected"], json!(1));
     for _ in 0..10 {
@@ -48,8 +48,8 @@
 fn a_maintenance_record_replaced_by_the_old_version_comes_into_force() {
     let shared_address = SharedAddress::new();
     let backends = ["zero", "one"].map(StubServer::responding_with);
-    let config = default_configuration(&backends.each_ref());
-    let proxy = shared_address.start(&config);
+    let configuration = default_configuration(&backends.each_ref());
+    let proxy = shared_address.start(&configuration);
     assert_eq!(proxy.stats()["ejected"], json!(0));
 
     // The old version writes a file of its own and renames it.
@@ -57,7 +57,7 @@
     std::fs::write(&staging, OLD_VERSION_RECORD).unwrap();
     std::fs::rename(&staging, shared_address.state_file("book")).unwrap();
 
-    wait_for("maintenance", || proxy.stats()["ejected"] == json!(1));
+    wait_for("the maintenance of a backend", || proxy.stats()["ejected"] == json!(1));
     let saved = r#"{"listed":["s-0","s-1","s-9"],"out":["s-0","s-9"]}"#;
     assert_eq!(std::fs::read_to_string(shared_address.state_file("book")).unwrap(), saved);
 }
@@ -66,11 +66,11 @@
 fn the_maintenance_record_is_written_byte_for_byte_as_the_old_version_reads_it() {
     let shared_address = SharedAddress::new();
     let backends = ["zero", "one"].map(StubServer::responding_with);
-    let config = default_configuration(&backends.each_ref());
-    let proxy = shared_address.start(&config);
+    let configuration = default_configuration(&backends.each_ref());
+    let proxy = shared_address.start(&configuration);
     let record = || std::fs::read_to_string(shared_address.state_file("book")).unwrap_or_default();
 
-    wait_for("record", || record() == r#"{"listed":["s-0","s-1"],"out":[]}"#);
+    wait_for("the maintenance record", || record() == r#"{"listed":["s-0","s-1"],"out":[]}"#);
     assert_eq!(proxy.management_call("maint-on s-1\n"), "OK s-1 is out\n");
     assert_eq!(record(), r#"{"listed":["s-0","s-1"],"out":["s-1"]}"#);
     assert_eq!(proxy.management_call("maint-on s-0\n"), "OK s-0 is out\n");
@@ -85,12 +85,12 @@
     let shared_address = SharedAddress::new();
     std::fs::write(shared_address.state_file("book"), r#"{"listed":["s-9"],"out":["s-9"]}"#).unwrap();
     let backends = ["zero", "one"].map(StubServer::responding_with);
-    let config = default_configuration(&backends.each_ref());
+    let configuration = default_configuration(&backends.each_ref());
 
-    let _proxy = shared_address.start(&config);
+    let _proxy = shared_address.start(&configuration);
 
     let merged = r#"{"listed":["s-0","s-1","s-9"],"out":["s-9"]}"#;
-    wait_for("record", || {
+    wait_for("the maintenance record", || {
         std::fs::read_to_string(shared_address.state_file("book")).is_ok_and(|text| text == merged)
     });
 }
@@ -98,12 +98,12 @@
 #[test]
 fn the_next_maintenance_record_is_staged_under_the_old_name() {
     let shared_address = SharedAddress::new();
-    // A folder in the record's place can't be replaced, so that the staged file stays.
+    // A folder in the record's place cannot be replaced, so that the staged file stays.
     std::fs::create_dir(shared_address.state_file("book")).unwrap();
     let backends = ["zero", "one"].map(StubServer::responding_with);
-    let config = default_configuration(&backends.each_ref());
+    let configuration = default_configuration(&backends.each_ref());
 
-    let proxy = shared_address.start(&config);
+    let proxy = shared_address.start(&configuration);
     assert_eq!(proxy.management_call("maint-on s-1\n"), "OK s-1 is out\n");
 
     let staging = shared_address.state_file(&format!("book.new-{}", proxy.child.id()));
@@ -115,10 +115,10 @@
     const RECORD_LOCK_TIMEOUT: Duration = Duration::from_millis(300);
     let shared_address = SharedAddress::new();
     let backends = ["zero", "one"].map(StubServer::responding_with);
-    let config = default_configuration(&backends.each_ref());
-    let proxy = shared_address.start(&config);
+    let configuration = default_configuration(&backends.each_ref());
+    let proxy = shared_address.start(&configuration);
     let record = || std::fs::read_to_string(shared_address.state_file("book")).unwrap_or_default();
-    wait_for("record", || record() == r#"{"listed":["s-0","s-1"],"out":[]}"#);
+    wait_for("the maintenance record", || record() == r#"{"listed":["s-0","s-1"],"out":[]}"#);
     let lock = File::options().write(true).open(shared_address.state_file("book.lock")).unwrap();
     lock.lock().unwrap();
 
--- a/crates/balancer-proxy/tests/malformed_clients.rs
+++ b/crates/balancer-proxy/tests/malformed_clients.rs
@@ -21,8 +21,8 @@
     status
 }
 
-/// Starts a proxy with capacity for some twenty client connections.
-fn proxy_with_few_sockets(backend: &StubServer) -> ProxyProcess {
+/// Starts a proxy whose limit of 64 sockets leaves capacity for about 20 client connections.
+fn proxy_with_64_sockets(backend: &StubServer) -> ProxyProcess {
     ProxyProcess::with_socket_limit(&[backend], 64)
 }
 
@@ -30,7 +30,7 @@
 /// request for lack of capacity. Returns the connection on which the request is served.
 fn connect_until_served(proxy: &ProxyProcess) -> BufReader<TcpStream> {
     let mut stream = proxy.connect();
-    wait_for("response", || {
+    wait_for("a response", || {
         let written = stream.get_mut().write_all(request("look", 9000).as_bytes());
         let is_served = written.is_ok() && read_message(&mut stream).is_some_and(|m| m.status() == 200);
         if !is_served {
@@ -45,7 +45,7 @@
 #[test]
 fn closes_connections_without_a_request_to_serve_other_clients() {
     let backend = StubServer::responding_with("hello");
-    let proxy = proxy_with_few_sockets(&backend);
+    let proxy = proxy_with_64_sockets(&backend);
     // The idle connections alone exceed the descriptors of the proxy, and so do those without a request.
     let idle: Vec<_> = (0..70).map(|_| connect_until_served(&proxy)).collect();
     let without_request: Vec<_> = (0..70).map(|_| proxy.connect()).collect();
@@ -58,9 +58,9 @@
 #[test]
 fn does_not_close_a_connection_with_an_open_request_at_the_connection_limit() {
     let (backend, release) = StubServer::holding_first_response("hello");
-    let proxy = proxy_with_few_sockets(&backend);
+    let proxy = proxy_with_64_sockets(&backend);
     let mut busy = proxy.begin_request(&request("order", 20_000));
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
 
     let without_request: Vec<_> = (0..60).map(|_| proxy.connect()).collect();
 
@@ -69,7 +69,7 @@
         assert_eq!(wait_for_error(&mut stream), None);
     }
     release.send(()).unwrap();
-    assert_eq!(read_message(&mut busy).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut busy).expect("no complete response").status(), 200);
 }
 
 #[test]
@@ -143,7 +143,7 @@
     let mut stream = proxy.begin_request(&text);
 
     // The proxy responds although no byte of the body has been sent, and then closes the connection.
-    let reply = read_message(&mut stream).expect("a response");
+    let reply = read_message(&mut stream).expect("no complete response");
 
     assert_eq!((reply.status(), reply.header("connection")), (413, Some("close")));
     assert_eq!(stream.read(&mut [0]).unwrap_or(0), 0);
@@ -241,12 +241,12 @@
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let text = request("order", 20_000);
     let mut first = proxy.begin_request(&text);
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
 
     assert_eq!(proxy.exchange(&text).status(), 400);
 
     release.send(()).unwrap();
-    assert_eq!(read_message(&mut first).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut first).expect("no complete response").status(), 200);
     assert_eq!(backend.request_count(), 1);
 }
 
@@ -258,7 +258,7 @@
     let (mut first, mut second) = (proxy.connect(), proxy.connect());
     assert_eq!(exchange(&mut second, READINESS_REQUEST).status(), 200);
     first.get_mut().write_all(text.as_bytes()).unwrap();
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
 
     // The second request and then the reset of the first connection arrive before the process continues.
     proxy.signal("-STOP");
@@ -267,7 +267,7 @@
     drop(first);
     proxy.signal("-CONT");
 
-    assert_eq!(read_message(&mut second).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut second).expect("no complete response").status(), 200);
     assert_eq!(backend.request_count(), 2);
 }
 
--- a/crates/balancer-proxy/tests/management.rs
+++ b/crates/balancer-proxy/tests/management.rs
@@ -20,7 +20,9 @@
 
 /// Returns the numbers of requests of a class that succeeded, were rejected and failed.
 fn outcome_counts(stats: &Value, class: &str) -> Vec<u64> {
-    ["succeeded", "declined", "aborted"].map(|end| stats["results"][class][end].as_u64().unwrap()).to_vec()
+    ["succeeded", "declined", "aborted"]
+        .map(|outcome| stats["results"][class][outcome].as_u64().unwrap())
+        .to_vec()
 }
 
 fn metric(stats: &Value, name: &str) -> u64 {
@@ -62,7 +64,7 @@
 }
 
 #[test]
-fn closes_connections_without_a_complete_call_and_answers_others_meanwhile() {
+fn closes_connections_without_a_complete_call_and_answers_other_calls_meanwhile() {
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::with_management_address(&[&backend]);
     let start = Instant::now();
@@ -117,12 +119,12 @@
     let invalid = request("order", 9000).replace("X-Lane: order", "X-Lane: no");
     assert_eq!(proxy.exchange(&invalid).status(), 400);
     let disconnecting = proxy.begin_request(&request("order", 9000));
-    wait_for("attempt", || backend.request_count() == 4);
-    wait_for("fourth forwarded request in the metrics", || metric(&proxy.stats(), "forwards") == 4);
+    wait_for("the fourth request at the backend", || backend.request_count() == 4);
+    wait_for("the fourth forwarded request in the metrics", || metric(&proxy.stats(), "forwards") == 4);
     assert_eq!(metric(&proxy.stats(), "outstanding"), 1);
     drop(disconnecting);
     wait_for_disconnect(&disconnected);
-    wait_for("end of the request", || metric(&proxy.stats(), "outstanding") == 0);
+    wait_for("the end of the request", || metric(&proxy.stats(), "outstanding") == 0);
 
     // The client that disconnected got no response, so its request has no result.
     let stats = proxy.stats();
--- a/crates/balancer-proxy/tests/queued_client_disconnects.rs
+++ b/crates/balancer-proxy/tests/queued_client_disconnects.rs
@@ -99,7 +99,7 @@
         configuration["limits"]["sockets"] = json!(socket_limit);
         let proxy = ProxyProcess::with_configuration(&configuration, silent_discovery().address);
         let first_client = proxy.begin_request(&request("look", 20_000));
-        wait_for("attempt", || backend.request_count() == 1);
+        wait_for("an attempt", || backend.request_count() == 1);
         Self { proxy, backend, first_client, first_response }
     }
 }
@@ -143,7 +143,7 @@
                 assert_eq!(
                     request_count_of_class(&backend, "order"),
                     0,
-                    "{disconnect:?}, cancel {cancel}, {response_first}"
+                    "{disconnect:?}, cancel {cancel}, response first: {response_first}"
                 );
                 drop(readable_stream);
             }
@@ -159,15 +159,15 @@
     let OccupiedOrderingKey { proxy, backend, mut first_client, first_response } =
         OccupiedOrderingKey::new(cancel, AMPLE_SOCKET_LIMIT);
     let second_client = proxy.begin_request(&disconnect.written_text(&request("look", 20_000)));
-    wait_for("second request", || proxy.stats()["outstanding"] == 2);
+    wait_for("the second request", || proxy.stats()["outstanding"] == 2);
 
     let readable_stream = proxy.while_stopped(|| {
         first_response.write_around_disconnect(response_first, || disconnect.disconnect(second_client))
     });
 
-    assert_eq!(read_message(&mut first_client).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut first_client).expect("no complete response").status(), 200);
     wait_until_input_is_handled(&proxy);
-    let case = format!("{disconnect:?}, cancel {cancel}, {response_first}");
+    let case = format!("{disconnect:?}, cancel {cancel}, response first: {response_first}");
     assert_eq!(request_count_of_class(&backend, "look"), 1, "{case}");
     assert_eq!(request_count_of_class(&backend, "order"), 0, "{case}");
     // The ordering key is available to the next request.
@@ -197,7 +197,7 @@
             let own_id = text.split_once("X-Txn: ").unwrap().1.split_once('\r').unwrap().0;
             let text = disconnect.written_text(&text.replace(own_id, &id_in_use));
             let second_client = proxy.begin_request(&text);
-            wait_for("second request", || {
+            wait_for("the second request", || {
                 let stats = proxy.stats();
                 stats["outstanding"] == 2 || stats["results"]["order"]["aborted"] == 1
             });
@@ -207,9 +207,13 @@
                     .write_around_disconnect(response_first, || disconnect.disconnect(second_client))
             });
 
-            assert_eq!(read_message(&mut first_client).expect("a response").status(), 200);
+            assert_eq!(read_message(&mut first_client).expect("no complete response").status(), 200);
             wait_until_input_is_handled(&proxy);
-            assert_eq!(request_count_of_class(&backend, "order"), 0, "{disconnect:?}, {response_first}");
+            assert_eq!(
+                request_count_of_class(&backend, "order"),
+                0,
+                "{disconnect:?}, response first: {response_first}"
+            );
             drop(readable_stream);
         }
     }
@@ -225,7 +229,7 @@
     let is_full = || proxy.stats()["results"]["look"]["declined"] == 1;
     while !is_full() {
         waiting.push(proxy.begin_request(&request("look", 20_000)));
-        wait_for("admitted request", || proxy.stats()["outstanding"] == waiting.len() || is_full());
+        wait_for("an admitted request", || proxy.stats()["outstanding"] == waiting.len() || is_full());
     }
     let rejected = waiting.pop().unwrap();
     (waiting, rejected)
@@ -239,23 +243,27 @@
     let without_request: Vec<_> = (0..waiting.len() / 7 + 2).map(|_| proxy.connect()).collect();
     let awaits_close = |port| sockets_to_port(port, TCP_CLOSE_WAIT) == 1;
 
-    let (readable_stream, mut remaining_client) = proxy.while_stopped(|| {
+    let (readable_stream, mut other_client) = proxy.while_stopped(|| {
         // Two clients connect, and one of them disconnects. Capacity for both becomes available afterwards:
         // other clients disconnect, and the connections without a request exceed their idle time.
-        let (mut stream, mut remaining_client) = (proxy.connect(), proxy.connect());
+        let (mut stream, mut other_client) = (proxy.connect(), proxy.connect());
         let port = stream.get_ref().local_addr().unwrap().port();
         stream.get_mut().write_all(disconnect.written_text(&request("order", 20_000)).as_bytes()).unwrap();
-        remaining_client.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
+        other_client.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
         let readable_stream = disconnect.disconnect(stream);
         assert!(disconnect.resets() || awaits_close(port));
         std::thread::sleep(Duration::from_millis(700));
         waiting.truncate(1);
-        (readable_stream, remaining_client)
+        (readable_stream, other_client)
     });
 
-    assert_eq!(read_message(&mut remaining_client).expect("a response").status(), 200, "{disconnect:?}");
+    assert_eq!(
+        read_message(&mut other_client).expect("no complete response").status(),
+        200,
+        "{disconnect:?}"
+    );
     first_response.write();
-    assert_eq!(read_message(&mut waiting[0]).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut waiting[0]).expect("no complete response").status(), 200);
     drop((rejected, without_request));
     wait_for_no_open_request(&proxy);
     assert_eq!(request_count_of_class(&backend, "order"), 1, "{disconnect:?}");
@@ -276,7 +284,7 @@
         let cached_list = endpoint_list(1, true, &[listed_endpoint("s-0", backend.address, "SERVING")]);
         let mut proxy = proxy_with_cancellation(false, &cached_list);
         let connecting = proxy.begin_request(&request("order", 20_000));
-        wait_for("connection attempt", || backend.has_pending_connection());
+        wait_for("a connection attempt", || backend.has_pending_connection());
 
         // When SIGTERM arrives, the listener's backlog holds another request, whose client has disconnected.
         let readable_streams = proxy.while_stopped(|| {
--- a/crates/balancer-proxy/tests/race_conditions.rs
+++ b/crates/balancer-proxy/tests/race_conditions.rs
@@ -47,7 +47,7 @@
         });
         let proxy = ProxyProcess::with_management_address(&[&backend]);
         let client = proxy.begin_request(&request("order", remaining_ms));
-        wait_for("attempt", || proxy.stats()["forwards"] == 1);
+        wait_for("an attempt", || proxy.stats()["forwards"] == 1);
         Self { proxy, client: Some(client), release_response, response_written }
     }
 
@@ -67,12 +67,13 @@
         events(&mut self);
         self.proxy.signal("-CONT");
         let Self { proxy, mut client, release_response, .. } = self;
-        let status = client.as_mut().map(|stream| read_message(stream).expect("a response").status());
-        wait_for("end of the request", || proxy.stats()["outstanding"] == 0);
+        let status =
+            client.as_mut().map(|stream| read_message(stream).expect("no complete response").status());
+        wait_for("the end of the request", || proxy.stats()["outstanding"] == 0);
 
         let results = proxy.stats()["results"]["order"].clone();
         let counts: Vec<_> =
-            ["succeeded", "declined", "aborted"].map(|kind| results[kind].as_u64().unwrap()).into();
+            ["succeeded", "declined", "aborted"].map(|outcome| results[outcome].as_u64().unwrap()).into();
         match status {
             Some(200) => assert_eq!(counts, [1, 0, 0]),
             Some(429 | 503) => assert_eq!(counts, [0, 1, 0]),
@@ -138,15 +139,15 @@
         [listed_endpoint("s-0", late.address, "SERVING"), listed_endpoint("s-1", failing.address, "SERVING")];
     let cached_list = endpoint_list(1, true, &endpoints);
     let mut retries_seen = 0;
-    // The proxy draws the member for the first attempt at random. It is very improbable that it draws the
-    // late one in all 20 runs.
+    // The proxy draws the member for the first attempt at random. It is very improbable that the
+    // late server is drawn in all 20 runs.
     for _ in 0..20 {
         let proxy = ProxyProcess::start(&settings, &cached_list, silent_discovery().address);
         let failed_before = failing.request_count();
         let mut stream = proxy.connect();
         // T1 expires 1.6 s after the arrival, within the window of 2 s. The request has a deadline of 4 s.
         stream.get_mut().write_all(request("save", 4000).as_bytes()).unwrap();
-        wait_for("connection attempt", || late.has_pending_connection());
+        wait_for("a connection attempt", || late.has_pending_connection());
         if failing.request_count() == failed_before {
             continue; // the first attempt went to the late server, where it is still written in time
         }
@@ -154,7 +155,7 @@
 
         // The proxy cancels the retry at the end of the window, before the deadline of the request.
         let start = Instant::now();
-        let status = read_message(&mut stream).expect("a response").status();
+        let status = read_message(&mut stream).expect("no complete response").status();
 
         assert_eq!(status, 503, "the status does not tell the client that it may safely retry");
         assert!(start.elapsed() < Duration::from_millis(1200), "{:?}", start.elapsed());
--- a/crates/balancer-proxy/tests/readiness.rs
+++ b/crates/balancer-proxy/tests/readiness.rs
@@ -53,7 +53,7 @@
                 barrier.wait();
                 let start_time = Instant::now();
                 let proxy = start();
-                wait_for("readiness", || is_ready(&proxy));
+                wait_for("the readiness of the proxy", || is_ready(&proxy));
                 let time_to_readiness = start_time.elapsed();
                 started.lock().unwrap().push(StartedProxy { proxy, time_to_readiness });
             });
@@ -79,7 +79,7 @@
     let old_proxies: Vec<_> =
         shared_addresses.iter().map(|shared_address| shared_address.start(&without_management)).collect();
     for old in &old_proxies {
-        wait_for("readiness", || is_ready(old));
+        wait_for("the readiness of the proxy", || is_ready(old));
     }
     for (index, mut old) in old_proxies.into_iter().enumerate() {
         let shared_address = shared_addresses[index].clone();
@@ -132,12 +132,12 @@
         settings["rules"]["ask-within"] = json!(2.0);
         let configuration = configuration_with_management(&settings, &endpoint_list(0, true, &[]));
         let proxy = ProxyProcess::with_configuration(&configuration, discovery.address);
-        wait_for("three calls of discovery", || discovery.request_count() >= 3);
+        wait_for("three calls to discovery", || discovery.request_count() >= 3);
         assert!(!is_ready(&proxy) && proxy.management_call("status\n").starts_with("ERR"), "{registry_mode}");
 
         let returned = Instant::now();
         is_up.store(true, Ordering::SeqCst);
-        wait_for("readiness", || is_ready(&proxy));
+        wait_for("the readiness of the proxy", || is_ready(&proxy));
 
         assert!(returned.elapsed() < Duration::from_secs(6), "{registry_mode}: {:?}", returned.elapsed());
         assert_eq!(proxy.exchange(&request("look", 9000)).body, b"hello", "{registry_mode}");
--- a/crates/balancer-proxy/tests/request_streaming.rs
+++ b/crates/balancer-proxy/tests/request_streaming.rs
@@ -27,7 +27,7 @@
         let head = request_with_framing("order", &framing).into_bytes();
 
         let writer = write_in_background(&stream, vec![head, bytes]);
-        let reply = read_message(&mut stream).expect("a response");
+        let reply = read_message(&mut stream).expect("no complete response");
 
         assert_eq!((reply.status(), reply.body.as_slice()), (200, b"hello".as_slice()), "{framing}");
         writer.join().unwrap();
@@ -56,7 +56,7 @@
     stream.get_mut().write_all(format!("{head}Transfer-Encoding: chunked\r\n\r\n").as_bytes()).unwrap();
     stream.get_mut().write_all(&encode_chunked(&body, 999)).unwrap();
 
-    assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
+    assert_eq!(read_message(&mut stream).expect("no complete response").status(), 200);
     for backend in &backends {
         assert_eq!(backend.request_count(), 1);
         assert!(backend.requests.lock().unwrap()[0].body == body);
@@ -132,7 +132,7 @@
                 stream.get_mut().write_all(&bytes).unwrap();
                 std::thread::sleep(pause);
             }
-            read_message(&mut stream).expect("a response").status()
+            read_message(&mut stream).expect("no complete response").status()
         })
     });
 
--- a/crates/balancer-proxy/tests/response_streaming.rs
+++ b/crates/balancer-proxy/tests/response_streaming.rs
@@ -48,14 +48,14 @@
         for _ in 0..2 {
             stream.get_mut().write_all(request("look", 9000).as_bytes()).unwrap();
 
-            let head = read_head(&mut stream).expect("a head");
+            let head = read_head(&mut stream).expect("no complete head");
 
             assert_eq!((head.status(), head.header("content-type")), (200, Some("text/x")), "{framing}");
             assert_eq!(head.header("x-other"), Some("y"), "{framing}");
             // The first part of the body arrives while the backend still pauses.
             assert!(!stream.fill_buf().unwrap().is_empty());
             release.send(()).unwrap();
-            assert!(read_body(&mut stream, &head).expect("a body") == body, "{framing}");
+            assert!(read_body(&mut stream, &head).expect("no complete body") == body, "{framing}");
             std::thread::sleep(Duration::from_millis(100)); // until the connection is in the pool
         }
         assert_eq!(backend.connection_count(), 1, "{framing}");
@@ -72,14 +72,14 @@
         let (backend, release) = start_pausing_backend(framing, encoded_body);
         let proxy = ProxyProcess::with_management_address(&[&backend]);
         let mut stream = proxy.begin_request(&request("order", 9000));
-        let head = read_head(&mut stream).expect("a head");
+        let head = read_head(&mut stream).expect("no complete head");
         assert!(!stream.fill_buf().unwrap().is_empty());
 
         drop(release);
 
         assert!(read_body(&mut stream, &head).is_none());
         // The request counts as failed and is not retried.
-        wait_for("failed request in the metrics", || proxy.stats()["results"]["order"]["aborted"] == 1);
+        wait_for("the failed request in the metrics", || proxy.stats()["results"]["order"]["aborted"] == 1);
         assert_eq!(proxy.stats()["outstanding"], 0);
         assert_eq!(proxy.stats()["forwards"], 1);
     }
--- a/crates/balancer-proxy/tests/settings_rejection.rs
+++ b/crates/balancer-proxy/tests/settings_rejection.rs
@@ -83,8 +83,12 @@
         proxy.replace_configuration_text(&text);
         proxy.signal("-HUP");
         rejected += 1;
-        wait_for(expected, || settings_metrics(&proxy)[2] == Some(rejected));
-        wait_for(expected, || proxy.log.lock().unwrap().last().is_some_and(|line| line.contains(expected)));
+        wait_for(&format!("the rejection of the file for {expected:?}"), || {
+            settings_metrics(&proxy)[2] == Some(rejected)
+        });
+        wait_for(&format!("the log line with {expected:?}"), || {
+            proxy.log.lock().unwrap().last().is_some_and(|line| line.contains(expected))
+        });
         assert_eq!(settings_metrics(&proxy)[..2], [Some(7), Some(0)], "{expected}");
         assert_eq!(proxy.exchange(&request("save", 9000)).status(), 200, "{expected}");
     }
@@ -94,5 +98,5 @@
     proxy.signal("-HUP");
     proxy.replace_configuration_text(&version_8_text(&valid, "/settings/caps/max-open", json!(10)));
     proxy.signal("-HUP");
-    wait_for("change", || settings_metrics(&proxy) == [Some(8), Some(1), Some(rejected)]);
+    wait_for("the change of the settings", || settings_metrics(&proxy) == [Some(8), Some(1), Some(rejected)]);
 }
--- a/crates/balancer-proxy/tests/settings_reload.rs
+++ b/crates/balancer-proxy/tests/settings_reload.rs
@@ -61,14 +61,14 @@
     });
     // The next request waits for its response.
     let mut waiting = proxy.begin_request(&request("order", 9000).replace("body", "held"));
-    wait_for("attempt", || connections() == 1);
+    wait_for("an attempt", || connections() == 1);
     // The body of the next request is still being streamed.
     let mut streamed = proxy.begin_request(&request_with_framing("order", "Content-Length: 200000\r\n\r\n"));
     streamed.get_mut().write_all(&[b'x'; 100_000]).unwrap();
-    wait_for("attempt", || connections() == 2);
+    wait_for("a second attempt", || connections() == 2);
     // The next request waits for its retry.
     let mut failed = proxy.begin_request(&request("look", 4000));
-    wait_for("failed attempt", || has_failed.load(Ordering::SeqCst));
+    wait_for("a failed attempt", || has_failed.load(Ordering::SeqCst));
 
     configuration["settings"]["version"] = json!(2);
     configuration["settings"]["classes"] =
@@ -136,7 +136,7 @@
             proxy.replace_configuration_text(if is_truncated { &text[..text.len() / 2] } else { &text });
             proxy.signal("-HUP");
         }
-        wait_for("last version", || settings_metrics(&proxy)[0] == Some(200));
+        wait_for("the last version of the settings", || settings_metrics(&proxy)[0] == Some(200));
         is_done.store(true, Ordering::SeqCst);
 
         let requests: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
@@ -152,7 +152,7 @@
     let mut configuration = versioned_configuration(1, &[&backend]);
     let proxy = start_proxy(&configuration);
     let mut waiting = proxy.begin_request(&request("order", 20_000));
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
     let mut idle: Vec<_> = (0..80).map(|_| proxy.connect()).collect();
     for stream in &mut idle {
         assert_eq!(exchange(stream, &request("look", 9000)).status(), 200);
@@ -164,7 +164,7 @@
     proxy.signal("-HUP");
 
     // Only the limit has changed, so the settings count as unchanged.
-    wait_for("decrease of the open descriptors", || {
+    wait_for("a decrease of the open descriptors", || {
         proxy.open_descriptors() <= 70 && settings_metrics(&proxy) == [Some(1), Some(0), Some(0)]
     });
     release.send(()).unwrap();
@@ -172,7 +172,8 @@
 }
 
 /// Sends 20 requests, checks that more than half get one of these response bodies, and returns all bodies.
-/// Not all do: a member of the proxy's own zone that was slow once may get no request for some time.
+/// The others may come from another zone: a member of the proxy's own zone that was slow once may get no request
+/// for some time.
 fn check_most_responses(proxy: &ProxyProcess, expected: &[&[u8]]) -> Vec<Vec<u8>> {
     let bodies: Vec<_> = (0..20).map(|_| proxy.exchange(&request("order", 9000)).body).collect();
     assert!(bodies.iter().filter(|body| expected.contains(&&***body)).count() > 10, "{bodies:?}");
@@ -219,7 +220,7 @@
     configuration["settings"]["registry-mode"] = json!("automatic");
     configuration["settings"]["version"] = json!(2);
     reload_configuration(&proxy, &configuration);
-    wait_for("watch", || discovery.request_count() == 1);
+    wait_for("a watch", || discovery.request_count() == 1);
 
     configuration["settings"]["registry-mode"] = json!("subscribe");
     configuration["settings"]["rules"]["ask-within"] = json!(0.05);
@@ -227,7 +228,7 @@
     reload_configuration(&proxy, &configuration);
     assert_eq!(discovery.request_count(), 1, "the reload did not keep the watch in progress");
     let is_poll = |call: &HttpMessage| call.start_line.contains("timeout_ms=50 ");
-    wait_for("poll", || discovery.requests.lock().unwrap().iter().any(is_poll));
+    wait_for("a poll", || discovery.requests.lock().unwrap().iter().any(is_poll));
 }
 
 #[test]
@@ -236,16 +237,16 @@
     let mut configuration = versioned_configuration(1, &[&backend]);
     let mut proxy = start_proxy(&configuration);
     let mut waiting = proxy.begin_request(&request("order", 20_000));
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
     configuration["settings"]["classes"] = json!([{"name": "look", "effect": "free", "hard-limit": 0.2}]);
     configuration["settings"]["version"] = json!(2);
     reload_configuration(&proxy, &configuration);
 
     proxy.signal("-TERM");
-    wait_for("graceful shutdown", || proxy.management_call("status\n").starts_with("ERR"));
-    std::thread::sleep(Duration::from_millis(1500)); // 0.2 + 0.7 s have passed, 3 + 0.7 s have not
+    wait_for("the start of the graceful shutdown", || proxy.management_call("status\n").starts_with("ERR"));
+    std::thread::sleep(Duration::from_millis(1500)); // beyond 0.2 + 0.7 s (new settings), within 3 + 0.7 s
     release.send(()).unwrap();
 
     assert_eq!(read_message(&mut waiting).unwrap().status(), 200);
-    wait_for("exit", || proxy.child.try_wait().unwrap().is_some());
+    wait_for("the exit of the process", || proxy.child.try_wait().unwrap().is_some());
 }
--- a/crates/balancer-proxy/tests/settings_reload_by_two_processes.rs
+++ b/crates/balancer-proxy/tests/settings_reload_by_two_processes.rs
@@ -12,7 +12,9 @@
 /// Waits until this version is in force at each of the proxies, and checks that this takes less than 1 s.
 fn check_version_in_force(proxies: &[&ProxyProcess], version: u64) {
     let start = Instant::now();
-    wait_for("version in force", || proxies.iter().all(|proxy| settings_metrics(proxy)[0] == Some(version)));
+    wait_for("the new version in force at each process", || {
+        proxies.iter().all(|proxy| settings_metrics(proxy)[0] == Some(version))
+    });
     assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
 }
 
@@ -40,7 +42,7 @@
         check_version_in_force(&[&old], 4);
         old.replace_configuration_text("{");
     });
-    wait_for("rejection", || settings_metrics(&new) == [Some(3), Some(2), Some(1)]);
+    wait_for("the rejection of the truncated file", || settings_metrics(&new) == [Some(3), Some(2), Some(1)]);
     // Within this time, the process polls the invalid file three times.
     std::thread::sleep(Duration::from_millis(350));
     assert_eq!(settings_metrics(&new), [Some(3), Some(2), Some(1)]);
--- a/crates/balancer-proxy/tests/soak/main.rs
+++ b/crates/balancer-proxy/tests/soak/main.rs
@@ -12,12 +12,12 @@
 mod backends;
 mod client;
 mod discovery;
-mod play;
+mod rule_checks;
 mod scenario;
-mod verdict;
+mod scenario_run;
 
-use play::run_scenario;
 use scenario::Scenario;
+use scenario_run::run_scenario;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/balancer-proxy/tests/soak/play.rs
+++ b/crates/balancer-proxy/tests/soak/scenario_run.rs
@@ -3,8 +3,8 @@
 use super::backends::{self, Arrivals};
 use super::client::{self, ClientParameters, Exchange};
 use super::discovery::DiscoveryStub;
+use super::rule_checks::{Observations, ScenarioTimes, rule_violations};
 use super::scenario::{Scenario, TimedSignal};
-use super::verdict::{Observations, ScenarioTimes, rule_violations};
 use crate::common::configuration::{configuration, default_settings, serving_list};
 use crate::common::proxy_process::ProxyProcess;
 use crate::common::shared_address::SharedAddress;
@@ -20,8 +20,8 @@
 
 /// The number of clients.
 const CLIENT_COUNT: u64 = 6;
-/// The time after which idle connections to backends are closed, in seconds. The descriptors of the successor
-/// decrease to their initial number only after that.
+/// The time after which idle connections to backends are closed, in seconds. The number of descriptors of the
+/// successor decreases to its initial value only after that time.
 const IDLE_CLOSE_S: f64 = 1.0;
 /// The interval at which the test checks whether the process has ended.
 const PROCESS_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -59,7 +59,7 @@
     drop(unfinished_heads);
     let mut violations = Vec::new();
     if let (Some(successor), Some(initial_descriptors)) = (&successor, initial_descriptors) {
-        wait_for("decrease of the successor's descriptors", || {
+        wait_for("a decrease of the successor's descriptors", || {
             successor.open_descriptors() <= initial_descriptors
         });
         violations.extend(
--- a/crates/balancer-proxy/tests/state_file_names.rs
+++ b/crates/balancer-proxy/tests/state_file_names.rs
@@ -1,7 +1,7 @@
 //! The names of the files that two versions of the program share during an upgrade.
 //!
-//! All names and contents here are literals, as the version at commit 36aad31 wrote and read them. They
-//! must not be derived from the constants of the program.
+//! All names and contents in this file are literals, as the version at commit 36aad31 wrote and read them.
+//! They must not be derived from the constants of the program.
 
 use balancer_proxy::control::state_files;
 use std::net::SocketAddr;
--- a/crates/balancer-proxy/tests/streaming_memory.rs
+++ b/crates/balancer-proxy/tests/streaming_memory.rs
@@ -43,7 +43,7 @@
     let mut readers = Vec::new();
     for _ in 0..20 {
         let mut stream = proxy.begin_request(&request("look", 9000));
-        let head = read_head(&mut stream).expect("a head");
+        let head = read_head(&mut stream).expect("no complete head");
         readers.push((stream, head)); // the body is read after the first measurement
     }
     let mut writers = Vec::new();
@@ -54,7 +54,7 @@
         writers.push(stream);
     }
 
-    wait_for("attempts", || backend.connection_count() == 40);
+    wait_for("all attempts", || backend.connection_count() == 40);
 
     // The bodies that are being streamed have 1.3 GB in total.
     assert!(memory_kb(&proxy) < MAX_MEMORY_KB, "{} kB", memory_kb(&proxy));
--- a/crates/balancer-proxy/tests/upgrade.rs
+++ b/crates/balancer-proxy/tests/upgrade.rs
@@ -66,18 +66,18 @@
     let mut old = shared_address.start(&configuration);
     let mut idle = old.connect();
     let mut busy = old.begin_request(&request("order", 20_000));
-    wait_for("attempt", || backend.request_count() == 1);
+    wait_for("an attempt", || backend.request_count() == 1);
 
     let next = shared_address.start(&configuration);
     next.wait_until_ready();
     old.signal("-TERM");
-    wait_for("graceful shutdown", || old.management_call("status\n").starts_with("ERR"));
+    wait_for("the start of the graceful shutdown", || old.management_call("status\n").starts_with("ERR"));
 
     let reply = exchange(&mut idle, &request("look", 9000));
     assert_eq!((reply.status(), reply.header("connection")), (200, Some("close")));
     release.send(()).unwrap();
-    assert_eq!(read_message(&mut busy).expect("a response").status(), 200);
-    wait_for("exit", || old.child.try_wait().unwrap().is_some());
+    assert_eq!(read_message(&mut busy).expect("no complete response").status(), 200);
+    wait_for("the exit of the process", || old.child.try_wait().unwrap().is_some());
     assert_eq!(next.exchange(&request("look", 9000)).status(), 200);
 }
 
@@ -97,7 +97,7 @@
     old.signal("-CONT");
 
     for mut stream in clients {
-        assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
+        assert_eq!(read_message(&mut stream).expect("no complete response").status(), 200);
     }
     assert_eq!(exit_code(&mut old.child), Some(0));
     assert_eq!(backend.request_count(), 30);
@@ -152,7 +152,7 @@
         .map(|_| {
             let mut stream = old.connect();
             let _ = stream.get_mut().write_all(request("look", 9000).as_bytes());
-            let _ = read_message(&mut stream); // some may be rejected for lack of capacity
+            let _ = read_message(&mut stream); // some requests may be rejected for lack of capacity
             stream
         })
         .collect();
@@ -162,7 +162,7 @@
     let next = shared_address.start(&configuration);
     next.wait_until_ready();
 
-    wait_for("decrease of the open descriptors", || {
+    wait_for("a decrease of the open descriptors", || {
         old.open_descriptors() + next.open_descriptors() <= 160 && old.open_descriptors() <= 80
     });
     drop(clients);
--- a/crates/balancer-proxy/tests/upgrade_maintenance.rs
+++ b/crates/balancer-proxy/tests/upgrade_maintenance.rs
@@ -1,5 +1,5 @@
 //! Maintenance of backends while one process replaces another on one address. The two processes share the
-//! maintenance in state files.
+//! maintenance record.
 
 mod common;
 
@@ -22,9 +22,9 @@
 
     // A management call to one process takes effect in the other process too.
     assert!(next.management_call("maint-off s-0\n").starts_with("OK"));
-    wait_for("end of maintenance", || old.stats()["ejected"] == json!(0));
+    wait_for("the end of maintenance", || old.stats()["ejected"] == json!(0));
     assert!(old.management_call("maint-on s-1\n").starts_with("OK"));
-    wait_for("maintenance", || next.stats()["ejected"] == json!(1));
+    wait_for("the maintenance of a backend", || next.stats()["ejected"] == json!(1));
     old.child.kill().unwrap();
     old.child.wait().unwrap();
 
@@ -38,7 +38,7 @@
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let shared_address = SharedAddress::new();
     let old = shared_address.start(&default_configuration(&[&backends[0], &backends[1]]));
-    wait_for("maintenance store", || old.management_call("maint-on s-1\n").starts_with("OK"));
+    wait_for("the maintenance of a backend", || old.management_call("maint-on s-1\n").starts_with("OK"));
 
     let next = shared_address.start(&default_configuration(&[&backends[0]]));
 
@@ -47,21 +47,23 @@
 }
 
 #[test]
-fn a_truncated_maintenance_store_is_restored_by_a_running_process_and_allows_a_start() {
+fn a_truncated_maintenance_record_is_restored_by_a_running_process_and_allows_a_start() {
     let backends = ["zero", "one"].map(StubServer::responding_with);
     let shared_address = SharedAddress::new();
     let configuration = default_configuration(&[&backends[0], &backends[1]]);
     let old = shared_address.start(&configuration);
     assert!(old.management_call("maint-on s-0\n").starts_with("OK"));
-    let store = shared_address.state_file("book");
-    let complete = std::fs::read(&store).unwrap();
+    let record_path = shared_address.state_file("book");
+    let complete = std::fs::read(&record_path).unwrap();
 
-    std::fs::write(&store, &complete[..complete.len() / 2]).unwrap();
+    std::fs::write(&record_path, &complete[..complete.len() / 2]).unwrap();
 
-    // The running process still holds the maintenance records in memory, and writes the store again.
-    wait_for("maintenance store", || std::fs::read(&store).is_ok_and(|bytes| bytes == complete));
+    // The running process still holds the maintenance in memory, and writes the record again.
+    wait_for("the restored maintenance record", || {
+        std::fs::read(&record_path).is_ok_and(|bytes| bytes == complete)
+    });
     drop(old);
-    std::fs::write(&store, &complete[..complete.len() / 2]).unwrap();
+    std::fs::write(&record_path, &complete[..complete.len() / 2]).unwrap();
     let next = shared_address.start(&configuration);
     next.wait_until_ready();
     assert_eq!(next.exchange(&request("look", 9000)).status(), 200);
--- a/crates/balancer-proxy/tests/withheld_last_byte.rs
+++ b/crates/balancer-proxy/tests/withheld_last_byte.rs
@@ -52,7 +52,7 @@
             metrics: metrics.clone(),
         });
         let mut attempted = std::pin::pin!(attempted);
-        // The attempt proceeds only where the test polls it.
+        // The attempt proceeds only when the test polls it.
         let mut poll_attempt = async || {
             std::future::poll_fn(|cx| std::task::Poll::Ready(attempted.as_mut().poll(cx).is_ready())).await
         };
