--- a/crates/balancer-proxy/tests/connection_limits.rs
+++ b/crates/balancer-proxy/tests/connection_limits.rs
@@ -70,8 +70,8 @@
     drop(new);
 }
 
-/// A connection with only readiness requests belongs to a health checker, which sends further requests on that
-/// connection.
+/// A connection with only readiness requests belongs to a health checker, which sends further requests on
+/// that connection.
 #[test]
 fn keeps_a_health_check_connection_open_while_closing_silent_ones() {
     let backend = StubServer::responding_with("hello");
--- a/crates/balancer-proxy/tests/graceful_shutdown.rs
+++ b/crates/balancer-proxy/tests/graceful_shutdown.rs
@@ -63,7 +63,7 @@
 
 #[test]
 fn keeps_idle_connections_open_for_at_least_2_2_s_after_sigterm() {
-    // In a rolling restart, a restarted proxy may serve again as late as 2.2 s after SIGTERM to the next proxy.
+    // In a rolling restart, a proxy may serve again as late as 2.2 s after SIGTERM to the next proxy.
     let backend = StubServer::responding_with("hello");
     let proxy = ProxyProcess::in_front_of(&[&backend]);
     let mut idle = proxy.connect();
--- a/crates/balancer-proxy/tests/load_shedding.rs
+++ b/crates/balancer-proxy/tests/load_shedding.rs
@@ -153,7 +153,7 @@
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..30).map(|_| scope.spawn(send)).collect();
         wait_for("the first requests at the stalled backend", || total_requests(&backends) > 32);
-        // All requests arrive within this time, which is far shorter than the time that they may spend queued.
+        // All requests arrive within this time, which is far shorter than their longest time in a queue.
         std::thread::sleep(Duration::from_millis(500));
         // The proxy does not send all requests to the overloaded backend.
         assert!(total_requests(&backends) < 55, "{}", total_requests(&backends));
--- a/crates/balancer-proxy/tests/queued_client_disconnects.rs
+++ b/crates/balancer-proxy/tests/queued_client_disconnects.rs
@@ -1,6 +1,5 @@
-//! Clients that disconnect while their request is queued in the proxy: behind another request with the same
-//! connection, ordering key or id, or until the proxy has capacity. The proxy must never forward such a
-//! request.
+//! Clients that disconnect while their request is queued: behind another request with the same connection,
+//! ordering key or id, or until the proxy has capacity. The proxy must never forward such a request.
 
 mod common;
 
@@ -243,22 +242,22 @@
     let without_request: Vec<_> = (0..waiting.len() / 7 + 2).map(|_| proxy.connect()).collect();
     let awaits_close = |port| sockets_to_port(port, TCP_CLOSE_WAIT) == 1;
 
-    let (readable_stream, mut other_client) = proxy.while_stopped(|| {
+    let (readable_stream, mut remaining_client) = proxy.while_stopped(|| {
         // Two clients connect, and one of them disconnects. Capacity for both becomes available afterwards:
         // other clients disconnect, and the connections without a request exceed their idle time.
-        let (mut stream, mut other_client) = (proxy.connect(), proxy.connect());
+        let (mut stream, mut remaining_client) = (proxy.connect(), proxy.connect());
         let port = stream.get_ref().local_addr().unwrap().port();
         stream.get_mut().write_all(disconnect.written_text(&request("order", 20_000)).as_bytes()).unwrap();
-        other_client.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
+        remaining_client.get_mut().write_all(request("order", 20_000).as_bytes()).unwrap();
         let readable_stream = disconnect.disconnect(stream);
         assert!(disconnect.resets() || awaits_close(port));
         std::thread::sleep(Duration::from_millis(700));
         waiting.truncate(1);
-        (readable_stream, other_client)
+        (readable_stream, remaining_client)
     });
 
     assert_eq!(
-        read_message(&mut other_client).expect("no complete response").status(),
+        read_message(&mut remaining_client).expect("no complete response").status(),
         200,
         "{disconnect:?}"
     );
--- a/crates/balancer-proxy/tests/settings_reload.rs
+++ b/crates/balancer-proxy/tests/settings_reload.rs
@@ -172,8 +172,8 @@
 }
 
 /// Sends 20 requests, checks that more than half get one of these response bodies, and returns all bodies.
-/// The others may come from another zone: a member of the proxy's own zone that was slow once may get no request
-/// for some time.
+/// The others may come from another zone: a member of the proxy's own zone that was slow once may get no
+/// request for some time.
 fn check_most_responses(proxy: &ProxyProcess, expected: &[&[u8]]) -> Vec<Vec<u8>> {
     let bodies: Vec<_> = (0..20).map(|_| proxy.exchange(&request("order", 9000)).body).collect();
     assert!(bodies.iter().filter(|body| expected.contains(&&***body)).count() > 10, "{bodies:?}");
@@ -244,7 +244,7 @@
 
     proxy.signal("-TERM");
     wait_for("the start of the graceful shutdown", || proxy.management_call("status\n").starts_with("ERR"));
-    std::thread::sleep(Duration::from_millis(1500)); // beyond 0.2 + 0.7 s (new settings), within 3 + 0.7 s
+    std::thread::sleep(Duration::from_millis(1500)); // beyond 0.2 + 0.7 s (new), within 3 + 0.7 s (old)
     release.send(()).unwrap();
 
     assert_eq!(read_message(&mut waiting).unwrap().status(), 200);
