--- a/crates/balancer-proxy/tests/settings_reload.rs
+++ b/crates/balancer-proxy/tests/settings_reload.rs
@@ -244,8 +244,8 @@
 
     proxy.signal("-TERM");
     wait_for("the start of the graceful shutdown", || proxy.management_call("status\n").starts_with("ERR"));
-    // The process has 3 + 0.7 s from SIGTERM to SIGKILL under the settings of the request's arrival, and would
-    // have only 0.2 + 0.7 s under the new settings.
+    // The process has 3 + 0.7 s from SIGTERM to SIGKILL under the settings of the request's arrival, and
+    // would have only 0.2 + 0.7 s under the new settings.
     std::thread::sleep(Duration::from_millis(1500));
     release.send(()).unwrap();
 
