--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Returns the costs at a change rate below that of `other`, by linear interpolation between `self`, the
-    /// costs without changes, and `other`.
+    /// Returns the costs at `rate` changes per second, by linear interpolation between `self`, which has the
+    /// costs without changes, and `other`, which has the costs at a higher rate.
     fn interpolate(&self, other: &Self, rate: f64) -> Self {
         let fraction = (rate / other.changes_per_second).min(1.0);
         let between = |idle: f64, other: f64| idle + fraction * (other - idle);
--- a/crates/fleet-bench/src/control/list_changes.rs
+++ b/crates/fleet-bench/src/control/list_changes.rs
@@ -60,7 +60,7 @@
         Self { rng: SmallRng::seed_from_u64(seed), draining: None }
     }
 
-    /// Samples the times of the changes in a window of `window` seconds from a Poisson process of `rate`
+    /// Draws the times of the changes in a window of `window` seconds from a Poisson process of `rate`
     /// changes per second. If the rate is above 0, there are at least [`MIN_CHANGES_PER_WINDOW`] changes.
     pub fn change_times(&mut self, rate: f64, window: f64) -> Vec<Duration> {
         let mut times = poisson_arrivals(&mut self.rng, rate, window);
--- a/crates/fleet-bench/src/control/plan.rs
+++ b/crates/fleet-bench/src/control/plan.rs
@@ -34,7 +34,7 @@
     /// Duration of the measurement of each rate, in seconds
     #[arg(long, value_name = "SECONDS")]
     pub window: Option<f64>,
-    /// Outages of discovery, one after another; without a value there is no outage
+    /// Outages of discovery to simulate, one after another; without a value no outage is simulated
     #[arg(long, alias = "absences", value_delimiter = ',', value_name = "KIND,...", num_args = 0..)]
     pub outages: Option<Vec<Outage>>,
     /// Arguments of the settings rollouts
--- a/crates/fleet-bench/src/discovery/list.rs
+++ b/crates/fleet-bench/src/discovery/list.rs
@@ -109,7 +109,8 @@
         self.instances.iter().filter(|entry| entry.lifecycle != Lifecycle::Deleted).count()
     }
 
-    /// Returns the HTTP response to a poll that names this version; `None` for a poll without a version.
+    /// Returns the HTTP response to a poll that names the version `since`. A poll without a version has no
+    /// `since`.
     ///
     /// # Errors
     ///
@@ -125,7 +126,7 @@
         Ok(response)
     }
 
-    /// Returns the entries that changed after a version; `None` returns the full list.
+    /// Returns the entries that changed after the version `since`, or the full list if `since` is `None`.
     fn entries_since(&self, since: Option<u64>) -> InstanceList<'_> {
         let entries = self.instances.iter().zip(&self.changed_in);
         let selected = entries.filter(|(entry, changed_in)| match since {
--- a/crates/fleet-bench/src/fleet.rs
+++ b/crates/fleet-bench/src/fleet.rs
@@ -1,14 +1,14 @@
 //! A simulated fleet on virtual time: thousands of balancers in one process.
 //!
 //! Each proxy is a [`balancer::Balancer`] on one machine of a service, and calls one service of a lower
-//! layer, as the program's proxies have one endpoint list each. Backends, network and discovery are
-//! modelled: service times have no queues, and endpoint updates have random delays. The requests of a
-//! proxy do not change how a backend responds. The callers are therefore simulated independently, in
-//! parallel, and the attempts that they send to the same backend are combined afterwards. The same seed
-//! gives the same figures with any number of threads, except for processor times and memory.
+//! layer, as the program's proxies have one endpoint list each. Backends, network and discovery are modelled:
+//! service times have no queues, and endpoint updates have random delays. The calls of a proxy do not change
+//! how a backend responds. The callers are therefore simulated independently, in parallel, and the attempts
+//! that they send to the same backend are combined afterwards. The same seed gives the same figures with any
+//! number of threads, except for processor times and memory.
 //!
-//! Two rules are checked for every request: the request gets exactly one final response before its
-//! deadline, and an unsafe request is never sent again once it may have run.
+//! Two rules are checked for every call: the call gets exactly one final response before its deadline, and an
+//! unsafe call is never sent again once it may have run.
 //!
 //! All modules read the plan and the topology. A phase injects its faults, simulates the callers
 //! of each service, and combines the callers' observations into results, from which the tables are made.
--- a/crates/fleet-bench/src/fleet/caller/calls.rs
+++ b/crates/fleet-bench/src/fleet/caller/calls.rs
@@ -20,7 +20,7 @@
     pub request: RequestId,
     /// The backend to which the attempt is sent.
     pub backend: BackendId,
-    /// The time after which the attempt times out, in seconds.
+    /// The time from the send until the attempt times out, in seconds.
     pub timeout: Time,
 }
 
--- a/crates/fleet-bench/src/fleet/caller/discovery_client.rs
+++ b/crates/fleet-bench/src/fleet/caller/discovery_client.rs
@@ -70,7 +70,7 @@
     }
 
     /// Delivers the changes before the index `end_of_changes`. Returns `None` if the process is down or
-    /// starting, or already has the changes from a complete list.
+    /// starting, or already has the changes from a full list.
     pub fn deliver(&mut self, end_of_changes: usize, now: Time) -> Option<ReceivedChanges> {
         let changes = self.endpoints.applied_count()..end_of_changes;
         if changes.is_empty() {
@@ -85,7 +85,7 @@
     }
 
     /// Returns a message with changes that have been applied. If there are more changes than backends, as
-    /// after a long partition, the message has the complete list instead.
+    /// after a long partition, the message has the full list instead.
     fn message(&self, changes: Range<usize>) -> Message {
         if changes.len() > self.endpoints.len() {
             return Message::Full(self.endpoints.listed());
--- a/crates/fleet-bench/src/fleet/caller/environment.rs
+++ b/crates/fleet-bench/src/fleet/caller/environment.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Calls and their attempts.
+/// Methods for the calls and their attempts.
 impl Environment<'_> {
     /// Schedules the next call, unless the process stops making calls or the phase ends first.
     pub fn schedule_next_call(&mut self) {
@@ -182,7 +182,7 @@
     }
 }
 
-/// Endpoint updates, and the stop and start of the process.
+/// Methods for endpoint updates, and for the stop and start of the process.
 impl Environment<'_> {
     /// Receives the endpoint changes before the index `end_of_changes`. Returns `None` if the process is
     /// down or starting, or already has the changes.
@@ -228,7 +228,7 @@
     }
 }
 
-/// Recording of observations.
+/// Methods that record observations.
 impl Environment<'_> {
     /// Counts a message from discovery.
     pub fn count_message(&mut self, message: &Message) {
--- a/crates/fleet-bench/src/fleet/caller/message.rs
+++ b/crates/fleet-bench/src/fleet/caller/message.rs
@@ -7,7 +7,7 @@
 pub enum Message {
     /// Changed endpoints.
     Changes(Vec<Endpoint>),
-    /// The complete endpoint list.
+    /// The full endpoint list.
     Full(Vec<Endpoint>),
 }
 
--- a/crates/fleet-bench/src/fleet/caller/network.rs
+++ b/crates/fleet-bench/src/fleet/caller/network.rs
@@ -20,7 +20,7 @@
     pub unavailable: bool,
 }
 
-/// Start and deadline of an attempt.
+/// Start and timeout of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTimes {
     /// Time of the send, in seconds.
--- a/crates/fleet-bench/src/fleet/plan.rs
+++ b/crates/fleet-bench/src/fleet/plan.rs
@@ -20,13 +20,14 @@
 pub enum Phase {
     /// The graceful restarts and machine failures of a day, compressed into the window
     Ordinary,
-    /// A rack of a zone fails at once, and is back after the outage, warming up
+    /// All machines of a rack fail at once; after the outage their backends are in slow start
     Rack,
-    /// A complete zone fails at once, and is back after the outage, warming up
+    /// All machines of a zone fail at once; after the outage their backends are in slow start
     Zone,
-    /// A region is partitioned from the other regions and from discovery: an hour, compressed
+    /// A region is partitioned from the other regions and from discovery for an hour, compressed into the
+    /// partition duration
     Region,
-    /// Half of the largest and of the most called service restart at once
+    /// Half of the machines of the largest service and of the most called service restart at once
     Half,
 }
 
--- a/crates/fleet-bench/src/fleet/recording.rs
+++ b/crates/fleet-bench/src/fleet/recording.rs
@@ -18,7 +18,7 @@
     WithoutEndpoints(Event<'static>),
     /// Changes of the endpoint list.
     Changes(Vec<Endpoint>),
-    /// The complete endpoint list.
+    /// The full endpoint list.
     Full(Vec<Endpoint>),
     /// The cached endpoint list after a start.
     Cached(Vec<Endpoint>),
--- a/crates/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -236,7 +236,7 @@
 fn draw_service_layers(services: usize, depth: usize, rng: &mut SmallRng) -> Vec<usize> {
     let mut layers: Vec<usize> = (1..=depth.min(services)).collect();
     while layers.len() < services {
-        // The minimum of two uniform samples has a linearly falling density.
+        // The minimum of two uniform draws has a linearly falling density.
         let first = rng.random_range(1..=depth);
         let second = rng.random_range(1..=depth);
         layers.push(first.min(second));
--- a/crates/fleet-bench/src/instance.rs
+++ b/crates/fleet-bench/src/instance.rs
@@ -1,4 +1,5 @@
-//! The instance list, in the format of discovery responses and of a proxy's configuration file.
+//! The instance list: the endpoint list in the format of discovery responses and of a proxy's configuration
+//! file.
 
 use serde::Serialize;
 use std::net::SocketAddr;
--- a/crates/fleet-bench/src/latency_overhead.rs
+++ b/crates/fleet-bench/src/latency_overhead.rs
@@ -1,10 +1,10 @@
 //! Measures the latency that the real proxy adds to a call, compared with direct calls in the same run.
 //!
-//! The load is open-loop: the start times of all calls are sampled from a Poisson process in advance. The
-//! latency of a call is measured from its scheduled start, so that a slow response does not hide the delay
-//! of later calls. Direct and proxied calls are interleaved at random, and go over persistent connections
-//! to the same backends, which respond at once. The added latency at a percentile is the percentile of
-//! the proxied calls minus that of the direct calls.
+//! The load is open-loop: the start times of all calls are drawn from a Poisson process in advance. The
+//! latency of a call is measured from its scheduled start, so that a slow response does not hide the delay of
+//! later calls. Direct and proxied calls are interleaved at random, and go over persistent connections to the
+//! same backends, which respond at once. The added latency at a percentile is the percentile of the proxied
+//! calls minus that of the direct calls.
 
 mod analysis;
 mod connection;
--- a/crates/fleet-bench/src/latency_overhead/load.rs
+++ b/crates/fleet-bench/src/latency_overhead/load.rs
@@ -52,7 +52,7 @@
     pub route: Route,
 }
 
-/// Samples the start times of calls from a Poisson process with a mean of `rate` calls per second on each
+/// Draws the start times of calls from a Poisson process with a mean of `rate` calls per second on each
 /// route.
 pub fn poisson_calls(rng: &mut SmallRng, rate: f64, seconds: f64) -> Vec<ScheduledCall> {
     let times = poisson_arrivals(rng, Route::ALL.len() as f64 * rate, seconds);
--- a/crates/fleet-bench/src/lib.rs
+++ b/crates/fleet-bench/src/lib.rs
@@ -43,12 +43,12 @@
 //!
 //! # `added`: the latency that a proxy adds
 //!
-//! The command sends an open-loop load through one real proxy, and direct calls at the same mean rate, to
-//! the same stub backends, which respond at once. The start times of the calls are sampled from a Poisson
-//! process in advance, and the latency of a call is measured from its scheduled start. The added latency at
-//! a percentile is the difference between the percentiles of the two routes. The verdict against the budget
-//! is inconclusive if the load generator was late or direct calls were slow, because the machine was too
-//! busy then.
+//! The command sends an open-loop load through one real proxy, and direct calls at the same mean rate, to the
+//! same stub backends, which respond at once. The start times of the calls are drawn from a Poisson process
+//! in advance, and the latency of a call is measured from its scheduled start. The added latency at a
+//! percentile is the difference between the percentiles of the two routes. The verdict against the budget is
+//! inconclusive if the load generator was late or direct calls were slow, because the machine was too busy
+//! then.
 //!
 //! # Example
 //!
--- a/crates/fleet-bench/src/proxy/config.rs
+++ b/crates/fleet-bench/src/proxy/config.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-/// Mode in which a proxy obtains its instance list.
+/// Mode in which a proxy obtains its endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistryMode {
     /// The proxy is started with the list, and watches discovery for changes.
@@ -34,7 +34,7 @@
     pub tier_size: usize,
     /// Seed of the proxy's random number generator.
     pub seed: u64,
-    /// Mode in which the proxy obtains its instance list.
+    /// Mode in which the proxy obtains its endpoint list.
     pub registry_mode: RegistryMode,
     /// The list with which the proxy is started.
     pub instances: &'a InstanceList<'a>,
--- a/crates/fleet-bench/src/request_head.rs
+++ b/crates/fleet-bench/src/request_head.rs
@@ -1,4 +1,4 @@
-//! Parses those parts of HTTP/1.1 request heads that the stub servers use.
+//! Parses the parts of HTTP/1.1 request heads that the stub servers use.
 
 use std::io;
 use tokio::io::AsyncReadExt;
--- a/crates/fleet-bench/src/rollout/plan.rs
+++ b/crates/fleet-bench/src/rollout/plan.rs
@@ -7,7 +7,7 @@
 /// Arguments of settings rollouts.
 #[derive(clap::Args, Debug)]
 pub struct RolloutArgs {
-    /// Number of settings changes; above 0 the rollouts are measured in place of the lists
+    /// Number of settings changes; if above 0, settings rollouts are measured instead of endpoint lists
     #[arg(long, value_name = "N")]
     pub settings_changes: Option<usize>,
     /// Number of proxies whose settings change
--- a/crates/fleet-bench/src/sampling.rs
+++ b/crates/fleet-bench/src/sampling.rs
@@ -1,4 +1,4 @@
-//! Seeds and random samples that several commands share.
+//! Seeds and random arrival times that several commands share.
 
 use rand::Rng;
 use std::time::Duration;
@@ -12,8 +12,8 @@
     seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(number)
 }
 
-/// Samples the arrival times of a Poisson process with a mean of `rate` arrivals per second over `seconds`.
-/// A rate of 0 gives no arrivals.
+/// Draws the arrival times of a Poisson process with a mean of `rate` arrivals per second over `seconds`. A
+/// rate of 0 gives no arrivals.
 pub fn poisson_arrivals(rng: &mut impl Rng, rate: f64, seconds: f64) -> Vec<Duration> {
     if rate <= 0.0 {
         return Vec::new();
--- a/crates/fleet-bench/src/shutdown.rs
+++ b/crates/fleet-bench/src/shutdown.rs
@@ -9,8 +9,8 @@
 /// Interval at which a sleep checks for a signal.
 const SIGNAL_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A flag that Ctrl-C and SIGTERM set. A run that reads the set flag returns an error. The child processes of
-/// the run are killed when their owners are dropped.
+/// A flag that Ctrl-C and SIGTERM set. A run returns an error once it finds the flag set. The child processes
+/// of the run are killed when their owners are dropped.
 #[derive(Clone, Debug)]
 pub struct ShutdownSignal(Arc<AtomicBool>);
 
--- a/crates/fleet-bench/src/slopes/deployment_case.rs
+++ b/crates/fleet-bench/src/slopes/deployment_case.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the complete endpoint list.
+    /// Returns the full endpoint list.
     #[must_use]
     pub fn endpoints(&self) -> Vec<Endpoint> {
         let endpoint = |i: u32| Endpoint {
--- a/crates/fleet-bench/tests/added.rs
+++ b/crates/fleet-bench/tests/added.rs
@@ -1,4 +1,4 @@
-//! Tests of `fleet-bench added`: a small run with a real proxy, the verdict, the sampled load and the stub
+//! Tests of `fleet-bench added`: a small run with a real proxy, the verdict, the drawn load and the stub
 //! backends. They guard against a report whose added latency does not follow from its calls, a load that
 //! differs between runs with the same seed, and a verdict about the proxy where the machine was too busy.
 
@@ -17,7 +17,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-const VERDICTS: [&str; 4] =
+const VERDICT_TEXTS: [&str; 4] =
     ["within budget", "over budget", "over budget: calls piled up", "inconclusive: machine too busy"];
 
 /// Runs a small measurement with this seed, and returns the report as JSON and as text.
@@ -61,7 +61,7 @@
     for (row, calls) in added.iter().zip(calls.chunks(2)) {
         let difference = number(&calls[1], "50%, ms") - number(&calls[0], "50%, ms");
         assert!((number(row, "50%, ms") - difference).abs() < 1e-9, "{text}");
-        assert!(VERDICTS.contains(&row["verdict"].as_str().unwrap()));
+        assert!(VERDICT_TEXTS.contains(&row["verdict"].as_str().unwrap()));
     }
     // The calls depend on the seed only.
     assert_eq!(call_counts(&report), call_counts(&run_small_measurement("7").report));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn verdict_is_inconclusive_if_the_machine_is_too_busy() {
+fn verdict_is_inconclusive_only_if_the_machine_is_too_busy() {
     let quiet =
         LatencyObservation { generator_delay_ms: 0.05, queued_fraction: 0.0, direct_ms: 0.3, added_ms: 0.1 };
     let slow_proxy = LatencyObservation { added_ms: 0.73, ..quiet };
@@ -85,7 +85,7 @@
     assert_eq!(queued_calls.verdict(), Verdict::CallsQueued);
     let texts = [Verdict::WithinBudget, Verdict::OverBudget, Verdict::CallsQueued, Verdict::MachineTooBusy]
         .map(Verdict::text);
-    assert_eq!(texts, VERDICTS);
+    assert_eq!(texts, VERDICT_TEXTS);
 }
 
 #[test]
--- a/crates/fleet-bench/tests/slopes.rs
+++ b/crates/fleet-bench/tests/slopes.rs
@@ -11,8 +11,8 @@
 /// Runs the command with an experiment file of this content, and reads the JSON report if the command wrote
 /// one.
 fn run_slopes(plan: &str, arguments: &[&str]) -> (Output, Option<Report>) {
-    let folder = tempfile::tempdir().unwrap();
-    let (experiment, json) = (folder.path().join("plan.toml"), folder.path().join("report.json"));
+    let directory = tempfile::tempdir().unwrap();
+    let (experiment, json) = (directory.path().join("plan.toml"), directory.path().join("report.json"));
     std::fs::write(&experiment, plan).unwrap();
     let mut command = Command::new(env!("CARGO_BIN_EXE_fleet-bench"));
     command.arg("--json").arg(&json).args(["slopes", "--experiment"]).arg(&experiment).args(arguments);
--- a/crates/repository-checks/tests/common/manifest.rs
+++ b/crates/repository-checks/tests/common/manifest.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
-/// Returns the names of the dependencies of a crate, without those that only its tests need.
+/// Returns the names of the dependencies of a crate, without its dev-dependencies.
 pub fn build_dependencies_of(crate_name: &str) -> BTreeSet<String> {
     let path = Path::new("crates").join(crate_name).join("Cargo.toml");
     dependencies_in(&files::read(&path))
--- a/crates/repository-checks/tests/decision_files.rs
+++ b/crates/repository-checks/tests/decision_files.rs
@@ -13,7 +13,7 @@
 /// The longest line of a decision file, in characters.
 const MAX_LINE_CHARACTERS: usize = 110;
 /// The file that re-exports the types of the decision module's interface.
-const INTERFACE: &str = "crates/balancer/src/interface/mod.rs";
+const INTERFACE_FILE: &str = "crates/balancer/src/interface/mod.rs";
 
 fn decision_files() -> BTreeSet<PathBuf> {
     files_below(Path::new("crates/balancer/src/decisions"))
@@ -108,7 +108,7 @@
 
 #[test]
 fn decision_files_import_interface_types_by_name_from_the_interface() {
-    let interface = interface_names(&read(Path::new(INTERFACE)));
+    let interface = interface_names(&read(Path::new(INTERFACE_FILE)));
     assert!(interface.contains("Event") && interface.contains("Action"), "{interface:?}");
 
     let mut importing_files = 0;
--- a/crates/repository-checks/tests/documentation.rs
+++ b/crates/repository-checks/tests/documentation.rs
@@ -5,15 +5,15 @@
 use std::path::Path;
 
 /// The page that lists the concerns of the decision module.
-const CONTRIBUTING: &str = "CONTRIBUTING.md";
+const CONTRIBUTING_PAGE: &str = "CONTRIBUTING.md";
 /// The text before the list of concerns.
 const CONCERNS_BEGIN: &str = "in a module named after it, with private fields:";
 /// The text after the list of concerns.
 const CONCERNS_END: &str = ". ";
 /// The folder of the modules that are named after the concerns.
-const DECISIONS: &str = "crates/balancer/src/decisions";
+const DECISIONS_FOLDER: &str = "crates/balancer/src/decisions";
 /// The pages whose paths are checked.
-const PAGES: [&str; 10] = [
+const CHECKED_PAGES: [&str; 10] = [
     "README.md",
     "CONTRIBUTING.md",
     "deploy/example/README.md",
@@ -25,10 +25,10 @@
     "docs/open.md",
     "docs/runbook.md",
 ];
-/// The folders at the beginning of a word that mark it as a path of the repository.
-const FOLDERS: [&str; 6] = ["crates/", "src/", "tests/", "docs/", "deploy/", ".ci/"];
-/// The endings of a word that mark it as a path of the repository.
-const ENDINGS: [&str; 4] = [".rs", ".md", ".toml", ".json"];
+/// The beginnings of a word that is checked as a path of the repository.
+const PATH_PREFIXES: [&str; 6] = ["crates/", "src/", "tests/", "docs/", "deploy/", ".ci/"];
+/// The endings of a word that is checked as a path of the repository.
+const PATH_SUFFIXES: [&str; 4] = [".rs", ".md", ".toml", ".json"];
 /// The beginnings of paths outside the repository: files of the operators' kit, and files on production
 /// machines.
 const OUTSIDE_PREFIXES: [&str; 5] = ["more/", "sites/", "bin/", "KIT/", "/"];
@@ -38,8 +38,8 @@
 }
 
 fn looks_like_a_path(word: &str) -> bool {
-    FOLDERS.iter().any(|folder| word.starts_with(folder))
-        || ENDINGS.iter().any(|ending| word.ends_with(ending))
+    PATH_PREFIXES.iter().any(|folder| word.starts_with(folder))
+        || PATH_SUFFIXES.iter().any(|ending| word.ends_with(ending))
 }
 
 /// Returns all words of a page that look like paths of the repository, without punctuation. Paths in links
@@ -64,7 +64,7 @@
 
 #[test]
 fn every_path_that_the_pages_name_exists() {
-    for page in PAGES {
+    for page in CHECKED_PAGES {
         let text = fs::read_to_string(in_repository(page)).unwrap();
         let paths = paths_in(page, &text);
 
@@ -93,13 +93,13 @@
 
 /// Returns whether a module is named after the concern.
 fn is_module(concern: &str) -> bool {
-    let folder = in_repository(DECISIONS);
+    let folder = in_repository(DECISIONS_FOLDER);
     folder.join(format!("{concern}.rs")).exists() || folder.join(concern).join("mod.rs").exists()
 }
 
 #[test]
 fn every_concern_that_the_contributing_page_names_is_a_module() {
-    let text = fs::read_to_string(in_repository(CONTRIBUTING)).unwrap();
+    let text = fs::read_to_string(in_repository(CONTRIBUTING_PAGE)).unwrap();
 
     let concerns = concerns_in(&text);
     let unknown: Vec<_> = concerns.iter().filter(|concern| !is_module(concern)).collect();
--- a/crates/repository-checks/tests/file_length.rs
+++ b/crates/repository-checks/tests/file_length.rs
@@ -5,7 +5,7 @@
 use common::files::{read, rust_files};
 
 /// The largest number of lines of a Rust file, comments and blank lines included.
-const MAX_LINES: usize = 300;
+const MAX_FILE_LINES: usize = 300;
 
 /// A Rust file with its text.
 struct RustFile {
@@ -18,7 +18,7 @@
     let mut violations = Vec::new();
     for RustFile { path, text } in files {
         let lines = text.lines().count();
-        if lines > MAX_LINES {
+        if lines > MAX_FILE_LINES {
             violations.push(format!("{path}: {lines} lines"));
         }
     }
@@ -40,7 +40,7 @@
 #[test]
 fn finds_a_file_with_one_line_more_than_allowed() {
     let with_lines = |path: &str, lines| RustFile { path: path.to_string(), text: "//\n".repeat(lines) };
-    let files = [with_lines("allowed.rs", MAX_LINES), with_lines("planted.rs", MAX_LINES + 1)];
+    let files = [with_lines("allowed.rs", MAX_FILE_LINES), with_lines("planted.rs", MAX_FILE_LINES + 1)];
 
     let violations = files_over_the_limit(&files);
 
--- a/crates/repository-checks/tests/imports.rs
+++ b/crates/repository-checks/tests/imports.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn allows_a_test_the_prelude_of_a_crate_and_no_other_glob() {
+fn a_test_may_import_only_the_prelude_of_a_crate_by_glob() {
     let text = "use proptest::prelude::*;\nuse balancer::*;\nuse prelude::Strategy;\n";
 
     let globs = forbidden_globs(Path::new("crates/planted/tests/random.rs"), text);
--- a/crates/repository-checks/tests/layers.rs
+++ b/crates/repository-checks/tests/layers.rs
@@ -128,7 +128,7 @@
 /// A crate whose imports are checked.
 struct CheckedCrate {
     name: &'static str,
-    /// The check fails if it finds no more modules than this number, because it has then not read all
+    /// The number of modules that the check must exceed. A check that does not exceed it has not read all
     /// sources.
     module_count_floor: usize,
 }
--- a/crates/repository-checks/tests/log_lines/main.rs
+++ b/crates/repository-checks/tests/log_lines/main.rs
@@ -22,7 +22,7 @@
 use std::path::Path;
 
 /// The page with the tables.
-const RUNBOOK: &str = "docs/runbook.md";
+const RUNBOOK_PAGE: &str = "docs/runbook.md";
 /// The heading of the table of log lines.
 const LOG_LINES_HEADING: &str = "## Log lines";
 /// The heading of the table of error texts.
@@ -45,7 +45,7 @@
 
 #[test]
 fn the_runbook_has_each_log_line_of_the_proxy_and_no_other() {
-    let runbook = read(Path::new(RUNBOOK));
+    let runbook = read(Path::new(RUNBOOK_PAGE));
 
     let logged = log_lines_of(&source_files());
     let rows = table_rows(&runbook, LOG_LINES_HEADING);
@@ -56,7 +56,7 @@
 
 #[test]
 fn the_runbook_has_each_error_text_of_log_lines_and_no_other() {
-    let runbook = read(Path::new(RUNBOOK));
+    let runbook = read(Path::new(RUNBOOK_PAGE));
     let files = source_files();
 
     let texts = error_texts_of(&files);
--- a/crates/simulator-adapter/src/batch.rs
+++ b/crates/simulator-adapter/src/batch.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the line is invalid or does not start a batch.
+    /// Returns [`WireError`] if the line is invalid or does not start a batch.
     pub(super) fn start(state: &mut AdapterState, text: &str) -> Result<Self, WireError> {
         match wire::parse_line(text, &mut state.zones, None)? {
             Line::BatchStart { now, sequence } => {
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// [`WireError`] if the line is invalid or not allowed after the previous lines.
+    /// Returns [`WireError`] if the line is invalid or not allowed after the previous lines.
     pub(super) fn handle_line(
         &mut self,
         state: &mut AdapterState,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -117,7 +117,7 @@
 ///
 /// # Errors
 ///
-/// [`AdapterError`] if the input cannot be read or is invalid, or a reply cannot be written.
+/// Returns [`AdapterError`] if the input cannot be read or is invalid, or a reply cannot be written.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut state = AdapterState::default();
     let mut batch: Option<Batch> = None;
--- a/crates/simulator-adapter/src/wire/error.rs
+++ b/crates/simulator-adapter/src/wire/error.rs
@@ -1,4 +1,4 @@
-//! Errors of lines.
+//! The errors of lines that violate the protocol.
 
 use thiserror::Error;
 
--- a/crates/simulator-adapter/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -65,8 +65,8 @@
 ///
 /// # Errors
 ///
-/// [`WireError`] if the first word of the line is unknown, a value is missing or invalid, or a request
-/// arrives before the selected instance has started.
+/// Returns [`WireError`] if the first word of the line is unknown, a value is missing or invalid, or a
+/// request arrives before the selected instance has started.
 pub fn parse_line<'a>(
     line: &'a str,
     zones: &mut ZoneIds,
--- a/crates/simulator-adapter/src/wire/settings.rs
+++ b/crates/simulator-adapter/src/wire/settings.rs
@@ -4,8 +4,8 @@
 //! file is, and translated there. The two syntaxes differ as follows. Each difference has a test in
 //! `tests/settings_syntaxes`:
 //!
-//! - **Negative quantities.** Pairs with a negative number are rejected. The file is checked for most of its
-//!   quantities at a reload only, as a start has no earlier settings to fall back to.
+//! - **Negative quantities.** Pairs with a negative number are rejected. Most quantities of the file are
+//!   checked only at a reload, as a start has no earlier settings to fall back to.
 //! - **Keys without effect.** A pair is read only where it has an effect: the window of an idempotent class,
 //!   the longest `Retry-After` where clients honour it, health checks where load reports come with them.
 //!   The file is deserialized as a whole, so that a value of the wrong type is an error in any case.
@@ -88,7 +88,8 @@
 ///
 /// # Errors
 ///
-/// [`WireError`] if a part of the text is not a pair, a required pair is absent, or a value is invalid.
+/// Returns [`WireError`] if a part of the text is not a pair, a required pair is absent, or a value is
+/// invalid.
 pub(super) fn parse_settings(text: &str, zones: &mut ZoneIds) -> Result<(Settings, InstanceNames)> {
     let pairs = Pairs::parse(text)?;
     let raw = parse_raw_settings(&pairs)?;
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The replies of the simulator adapter to hand-written input, and its errors for invalid input.
+//! Tests of the replies of the simulator adapter to hand-written input, and of its errors for invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
--- a/crates/simulator-adapter/tests/settings_syntaxes/main.rs
+++ b/crates/simulator-adapter/tests/settings_syntaxes/main.rs
@@ -1,5 +1,5 @@
-//! The two syntaxes of settings, pairs and JSON. Equal settings have equal translations, except for the
-//! differences that the module `wire::settings` lists.
+//! Tests of the two syntaxes of settings, pairs and JSON. Equal settings have equal translations, except for
+//! the differences that the module `wire::settings` lists.
 
 mod samples;
 mod translations;
