--- a/crates/fleet-bench/src/control.rs
+++ b/crates/fleet-bench/src/control.rs
@@ -61,7 +61,7 @@
         let mut group = ProxyGroup::start(size, plan.seed, program, shutdown)?;
         cost::measure_rates(&mut group, plan, &mut costs, &mut report.notes)?;
         for &outage in &plan.outages {
-            recoveries.row(recovery::measure_recovery(&mut group, outage, plan.outage_seconds)?);
+            recoveries.add_row(recovery::measure_recovery(&mut group, outage, plan.outage_seconds)?);
         }
         report.notes.extend(group.check_listed()?);
     }
@@ -86,7 +86,7 @@
     );
     for &listed in listed {
         let rates = ListChangeRates::of(listed);
-        table.row([
+        table.add_row([
             listed.into(),
             rates.restarts_per_day.into(),
             rates.configuration_changes_per_day.into(),
--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -66,7 +66,7 @@
         rows.push((rate.to_string(), measure_window(group, rate, plan.window, notes)?));
     }
     for (name, costs) in rows {
-        table.row(group.group_cells().into_iter().chain([name.into()]).chain(costs.cells()));
+        table.add_row(group.group_cells().into_iter().chain([name.into()]).chain(costs.cells()));
     }
     Ok(())
 }
--- a/crates/fleet-bench/src/fleet/memory.rs
+++ b/crates/fleet-bench/src/fleet/memory.rs
@@ -36,7 +36,7 @@
             balancers.push(balancer);
         }
         let growth = resident_bytes()?.saturating_sub(bytes_before);
-        table.row([
+        table.add_row([
             Value::from(role.name),
             Value::from(endpoints.len()),
             Value::from(service.callers.len()),
--- a/crates/fleet-bench/src/fleet/processor_time.rs
+++ b/crates/fleet-bench/src/fleet/processor_time.rs
@@ -143,7 +143,7 @@
             let callers = service_result.recordings.len() as f64;
             let percent_of_core = |seconds: f64| 100.0 * seconds / (callers * plan.window);
             let service = &topology.services[role.service];
-            table.row([
+            table.add_row([
                 Value::from(result.phase.name()),
                 Value::from(role.name),
                 Value::from(service.call_rate / service.callers.len() as f64),
--- a/crates/fleet-bench/src/fleet/tables.rs
+++ b/crates/fleet-bench/src/fleet/tables.rs
@@ -36,7 +36,7 @@
     let mut table = Table::new("Simulated services and faults", &columns);
     for result in results {
         let callers = result.services.iter().map(|s| topology.services[s.service].callers.len());
-        table.row([
+        table.add_row([
             Value::from(result.phase.name()),
             Value::from(result.services.len()),
             Value::from(callers.sum::<usize>()),
--- a/crates/fleet-bench/src/fleet/tables/calls.rs
+++ b/crates/fleet-bench/src/fleet/tables/calls.rs
@@ -26,7 +26,7 @@
         let counts = result.total_counts();
         let calls = counts.calls;
         let attempts = counts.attempts;
-        table.row([
+        table.add_row([
             Value::from(result.phase.name()),
             count(calls.total),
             percent(calls.succeeded as f64, calls.total as f64),
--- a/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
+++ b/crates/fleet-bench/src/fleet/tables/endpoint_lists.rs
@@ -34,7 +34,7 @@
         let percent_99 = sorted_times(changes.iter().map(|change| change.percent_99_notified));
         let all = sorted_times(changes.iter().map(|change| change.all_notified));
         let value_at = |times: &[f64], fraction| Value::from(quantile(times, fraction).copied());
-        table.row([
+        table.add_row([
             Value::from(result.phase.name()),
             Value::from(changes.len()),
             value_at(&half, 0.5),
@@ -83,7 +83,7 @@
         let long_unassigned = result.services.iter().map(|service| service.coverage.long_unassigned);
         let unassigned_percent =
             |sample: CoverageSample| percent(sample.unassigned as f64, sample.in_service as f64);
-        table.row([
+        table.add_row([
             Value::from(result.phase.name()),
             Value::from(sample_at(start_sample).in_service),
             Value::from(sample_at(start_sample).unassigned),
@@ -128,7 +128,7 @@
             result.services.iter().filter(|service| unassigned(service) > 0).collect();
         services.sort_by_key(|service| (usize::MAX - unassigned(service), service.service));
         for service in services.iter().take(MAX_SERVICES_PER_PHASE) {
-            table.row([
+            table.add_row([
                 Value::from(result.phase.name()),
                 Value::from(service.service),
                 Value::from(service.coverage.samples[start_sample].in_service),
--- a/crates/fleet-bench/src/fleet/tables/roles.rs
+++ b/crates/fleet-bench/src/fleet/tables/roles.rs
@@ -28,10 +28,10 @@
     for result in results {
         for role in roles.iter() {
             if let Some(row) = role_row(plan, topology, role, result) {
-                table.row(row);
+                table.add_row(row);
             }
         }
-        table.row(discovery_row(plan, topology, result));
+        table.add_row(discovery_row(plan, topology, result));
     }
     table
 }
--- a/crates/fleet-bench/src/fleet/tables/slow_start.rs
+++ b/crates/fleet-bench/src/fleet/tables/slow_start.rs
@@ -26,7 +26,7 @@
             let peak = quantile(&peaks, fraction);
             Value::from(peak.map(|peak| peak.budget_ratio))
         };
-        table.row([
+        table.add_row([
             Value::from(result.phase.name()),
             Value::from(peaks.len()),
             ratio(0.5),
--- a/crates/fleet-bench/src/fleet/tables/topology.rs
+++ b/crates/fleet-bench/src/fleet/tables/topology.rs
@@ -24,7 +24,7 @@
     ];
     let mut table = Table::new("The fleet", &["figure", "count"]);
     for (name, count) in rows {
-        table.row([Value::from(name), Value::from(count)]);
+        table.add_row([Value::from(name), Value::from(count)]);
     }
     table
 }
--- a/crates/fleet-bench/src/latency_overhead/tables.rs
+++ b/crates/fleet-bench/src/latency_overhead/tables.rs
@@ -59,11 +59,11 @@
     /// Adds the rows of one measurement.
     pub fn add(&mut self, listed: usize, load: LoadPlan, analysis: &Analysis) {
         let measurement = [listed.into(), load.rate.into(), load.changes.into()];
-        self.added.row(measurement.iter().cloned().chain(added_cells(analysis)));
+        self.added.add_row(measurement.iter().cloned().chain(added_cells(analysis)));
         for calls in [&analysis.direct, &analysis.proxied] {
             let measurement_and_route = || measurement.iter().cloned().chain([calls.route.name().into()]);
-            self.calls.row(measurement_and_route().chain(call_cells(calls)));
-            self.buckets.row(measurement_and_route().chain(bucket_cells(&calls.latencies)));
+            self.calls.add_row(measurement_and_route().chain(call_cells(calls)));
+            self.buckets.add_row(measurement_and_route().chain(bucket_cells(&calls.latencies)));
         }
     }
 
--- a/crates/fleet-bench/src/report.rs
+++ b/crates/fleet-bench/src/report.rs
@@ -84,7 +84,7 @@
     }
 
     /// Adds a row, with one value for each column.
-    pub fn row(&mut self, row: impl IntoIterator<Item = Value>) {
+    pub fn add_row(&mut self, row: impl IntoIterator<Item = Value>) {
         self.rows.push(row.into_iter().collect());
     }
 
--- a/crates/fleet-bench/src/rollout.rs
+++ b/crates/fleet-bench/src/rollout.rs
@@ -151,7 +151,7 @@
             return Err(Error::RejectedFiles { scenario, rejected: files.rejected, expected });
         }
         let row = self.row(scenario, &measurement, files, machine_stall_fraction)?;
-        self.table.row(row);
+        self.table.add_row(row);
         Ok(())
     }
 
--- a/crates/fleet-bench/src/slopes/tables.rs
+++ b/crates/fleet-bench/src/slopes/tables.rs
@@ -55,7 +55,7 @@
         for (measure, name) in MEASURES.iter().enumerate() {
             if let Some(fit) = LineFit::new(&axis.cases, measure) {
                 let head = [Value::from(axis.name), Value::from(*name)];
-                self.lines.row(head.into_iter().chain(fit.values()));
+                self.lines.add_row(head.into_iter().chain(fit.values()));
             }
         }
     }
@@ -66,12 +66,12 @@
             [Value::from(case.open_requests), Value::from(case.backends_used), Value::from(case.unserved)];
         let quartiles = case.measures.each_ref().map(|samples| Quartiles::of(samples));
         let medians = quartiles.map(|quartiles| Value::from(quartiles.median));
-        self.medians.row(head.clone().into_iter().chain(medians).chain(load));
+        self.medians.add_row(head.clone().into_iter().chain(medians).chain(load));
         let spreads = quartiles.map(|quartiles| Value::from(quartiles.third - quartiles.first));
-        self.spreads.row(head.clone().into_iter().chain(spreads));
+        self.spreads.add_row(head.clone().into_iter().chain(spreads));
         // On a shared machine, other load affects the lowest sample least.
         let minima = case.measures.each_ref().map(|samples| minimum(samples));
-        self.minima.row(head.into_iter().chain(minima.map(Value::from)));
+        self.minima.add_row(head.into_iter().chain(minima.map(Value::from)));
     }
 
     /// Returns the tables in the order of the report.
--- a/crates/fleet-bench/tests/command_line.rs
+++ b/crates/fleet-bench/tests/command_line.rs
@@ -41,8 +41,8 @@
 fn a_written_report_is_read_back_unchanged() {
     let mut report = Report::new("slopes", 7, &["a plan"]).unwrap();
     let mut table = Table::new("costs", &["event", "cost, us"]);
-    table.row([Value::from("call"), Value::from(1.25)]);
-    table.row([Value::from("none"), Value::from(f64::NAN)]);
+    table.add_row([Value::from("call"), Value::from(1.25)]);
+    table.add_row([Value::from("none"), Value::from(f64::NAN)]);
     report.tables.push(table);
     let file = tempfile::NamedTempFile::new().unwrap();
 
