--- a/crates/fleet-bench/src/lib.rs
+++ b/crates/fleet-bench/src/lib.rs
@@ -35,7 +35,7 @@
 //! layer. Network, backends and discovery are models: constant round-trip times by zone and region,
 //! exponential service times without queues, lognormal delays of endpoint updates. A *phase* injects
 //! faults: restarts and crashes of a day, the crash of a rack or a zone, a partition of a region, the
-//! restart of half of a service. No request of a proxy affects the responses of a backend, so that callers
+//! restart of half of a service. No call of a proxy affects the responses of a backend, so that callers
 //! are simulated independently and in parallel, and their observations are combined afterwards. The same
 //! seed gives the same results with any number of threads, except for processor times and memory. The
 //! command fails if a call gets no final response or more than one, if the response arrives after the
