--- a/crates/fleet-bench/src/slopes/measurement.rs
+++ b/crates/fleet-bench/src/slopes/measurement.rs
@@ -80,7 +80,7 @@
     let mut cases: Vec<CaseMeasurement> = Vec::new();
     for &case in &axis.cases {
         if !limit.is_reached() {
-            info!("warming up the case {} of the axis `{}`", case.value, axis.name);
+            info!("axis `{}`: warming up the case {}", axis.name, case.value);
             cases.push(CaseMeasurement::new(case, plan));
         }
     }
