--- a/crates/fleet-bench/src/control/cost.rs
+++ b/crates/fleet-bench/src/control/cost.rs
@@ -66,7 +66,7 @@
         rows.push((rate.to_string(), measure_window(group, rate, plan.window, notes)?));
     }
     for (name, costs) in rows {
-        table.row(group.group_cells().into_iter().chain([name.into()]).chain(costs.cells()));
+        table.add_row(group.group_cells().into_iter().chain([name.into()]).chain(costs.cells()));
     }
     Ok(())
 }
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Returns the costs at a change rate below that of `other`, by linear interpolation between `self`, the
-    /// costs without changes, and `other`.
+    /// Returns the costs at `rate` changes per second, by linear interpolation between `self`, which has the
+    /// costs without changes, and `other`, which has the costs at a higher rate.
     fn interpolate(&self, other: &Self, rate: f64) -> Self {
         let fraction = (rate / other.changes_per_second).min(1.0);
         let between = |idle: f64, other: f64| idle + fraction * (other - idle);
--- a/crates/fleet-bench/src/lib.rs
+++ b/crates/fleet-bench/src/lib.rs
@@ -35,7 +35,7 @@
 //! layer. Network, backends and discovery are models: constant round-trip times by zone and region,
 //! exponential service times without queues, lognormal delays of endpoint updates. A *phase* injects
 //! faults: restarts and crashes of a day, the crash of a rack or a zone, a partition of a region, the
-//! restart of half of a service. No request of a proxy affects the responses of a backend, so that callers
+//! restart of half of a service. No call of a proxy affects the responses of a backend, so that callers
 //! are simulated independently and in parallel, and their observations are combined afterwards. The same
 //! seed gives the same results with any number of threads, except for processor times and memory. The
 //! command fails if a call gets no final response or more than one, if the response arrives after the
@@ -43,12 +43,12 @@
 //!
 //! # `added`: the latency that a proxy adds
 //!
-//! The command sends an open-loop load through one real proxy, and direct calls at the same mean rate, to
-//! the same stub backends, which respond at once. The start times of the calls are sampled from a Poisson
-//! process in advance, and the latency of a call is measured from its scheduled start. The added latency at
-//! a percentile is the difference between the percentiles of the two routes. The verdict against the budget
-//! is inconclusive if the load generator was late or direct calls were slow, because the machine was too
-//! busy then.
+//! The command sends an open-loop load through one real proxy, and direct calls at the same mean rate, to the
+//! same stub backends, which respond at once. The start times of the calls are drawn from a Poisson process
+//! in advance, and the latency of a call is measured from its scheduled start. The added latency at a
+//! percentile is the difference between the percentiles of the two routes. The verdict against the budget is
+//! inconclusive if the load generator was late or direct calls were slow, because the machine was too busy
+//! then.
 //!
 //! # Example
 //!
