--- a/crates/balancer/src/decisions/balancer/attempts.rs
+++ b/crates/balancer/src/decisions/balancer/attempts.rs
@@ -4,7 +4,7 @@
 use crate::decisions::attempts::{self, Attempt, PermittedAttempt};
 use crate::decisions::calls::CallKey;
 use crate::decisions::decision_context::DecisionContext;
-use crate::decisions::placement::{Constraints, Placement, Placer};
+use crate::decisions::placement::{BackendPicker, Constraints, Placement};
 use crate::decisions::retransmission::retry_probability;
 use crate::decisions::scope::Scope;
 use crate::decisions::timer::Timer;
@@ -62,9 +62,9 @@
             traffic: &mut self.traffic,
             random: &mut self.random,
         };
-        let mut placer = Placer { backends: &mut self.backends, context: &mut context };
+        let mut picker = BackendPicker { backends: &mut self.backends, context: &mut context };
         let constraints = Constraints { scope, tried: &tried };
-        let Placement { backend, alternative } = placer.place(alternative, constraints)?;
+        let Placement { backend, alternative } = picker.place(alternative, constraints)?;
         if let Some(alternative) = alternative {
             self.calls[key].set_alternative(alternative);
         }
--- a/crates/balancer/src/decisions/placement.rs
+++ b/crates/balancer/src/decisions/placement.rs
@@ -40,14 +40,14 @@
 }
 
 /// Chooses the backend of an attempt.
-pub(super) struct Placer<'a, 'c> {
+pub(super) struct BackendPicker<'a, 'c> {
     /// The backends to choose from.
     pub backends: &'a mut Backends,
     /// The state of the balancer that the decision uses.
     pub context: &'a mut DecisionContext<'c>,
 }
 
-impl Placer<'_, '_> {
+impl BackendPicker<'_, '_> {
     /// Returns the `alternative` of an earlier attempt if it is usable. Otherwise samples two candidates
     /// and returns the one with less load. Returns `None` if there is no candidate.
     pub fn place(
--- a/crates/balancer/tests/concerns/placement.rs
+++ b/crates/balancer/tests/concerns/placement.rs
@@ -3,7 +3,7 @@
 use super::fixtures::endpoint;
 use crate::decisions::backends::Backends;
 use crate::decisions::decision_context::DecisionContext;
-use crate::decisions::placement::{Constraints, Placement, Placer};
+use crate::decisions::placement::{BackendPicker, Constraints, Placement};
 use crate::decisions::scope::Scope;
 use crate::decisions::traffic::Traffic;
 use crate::interface::{Endpoint, Settings, Status, Tier, Time, ZoneId};
@@ -47,8 +47,8 @@
     ) -> Option<Placement> {
         let Self { settings, backends, traffic, random, .. } = self;
         let mut context = DecisionContext { now: PLACEMENT_TIME, settings, traffic, random };
-        let mut placer = Placer { backends, context: &mut context };
-        placer.place(alternative, Constraints { scope, tried })
+        let mut picker = BackendPicker { backends, context: &mut context };
+        picker.place(alternative, Constraints { scope, tried })
     }
 
     /// Returns the distinct backends of [`PLACEMENT_COUNT`] first attempts, in ascending order.
