--- a/crates/fleet-bench/src/lib.rs
+++ b/crates/fleet-bench/src/lib.rs
@@ -81,7 +81,7 @@
 pub mod backend;
 mod background_runtime;
 mod budget;
-pub mod control;
+pub mod control_plane;
 pub mod discovery;
 pub mod error;
 pub mod fleet;
--- a/crates/fleet-bench/src/main.rs
+++ b/crates/fleet-bench/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Parser, Subcommand};
 use fleet_bench::error::Error;
 use fleet_bench::report::Report;
-use fleet_bench::{control, fleet, latency_overhead, slopes};
+use fleet_bench::{control_plane, fleet, latency_overhead, slopes};
 use std::io::{self, ErrorKind, Write};
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -25,7 +25,7 @@
     /// Measures how the cost of the decision module grows with the size of a deployment
     Slopes(slopes::Args),
     /// Measures the cost of endpoint lists and settings with real proxies and a stub discovery server
-    Control(control::Args),
+    Control(control_plane::Args),
     /// Simulates a fleet of thousands of balancers with faults, on virtual time
     Fleet(fleet::Args),
     /// Measures the latency that the real proxy adds to a call
@@ -37,7 +37,7 @@
 fn run(cli: &Cli) -> Result<Report, Error> {
     let report = match &cli.command {
         Command::Slopes(args) => slopes::run(args),
-        Command::Control(args) => control::run(args),
+        Command::Control(args) => control_plane::run(args),
         Command::Fleet(args) => fleet::run(args),
         Command::LatencyOverhead(args) => latency_overhead::run(args),
     }?;
--- a/crates/fleet-bench/tests/earlier_files.rs
+++ b/crates/fleet-bench/tests/earlier_files.rs
@@ -6,7 +6,7 @@
 
 use failure::run_expecting_failure;
 use fleet_bench::report::Report;
-use fleet_bench::{control, fleet, latency_overhead, slopes};
+use fleet_bench::{control_plane, fleet, latency_overhead, slopes};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value, json};
@@ -113,7 +113,7 @@
         assert!(!report.tables.is_empty() && !report.notes.is_empty(), "{path:?}");
         match report.command.as_str() {
             "added" => assert_plan_is_read::<latency_overhead::Plan>(&report.arguments, &[]),
-            "control" => assert_plan_is_read::<control::Plan>(&report.arguments, &CONTROL_PARAMETERS),
+            "control" => assert_plan_is_read::<control_plane::Plan>(&report.arguments, &CONTROL_PARAMETERS),
             "fleet" => assert_plan_is_read::<fleet::Plan>(&report.arguments, &FLEET_PARAMETERS),
             "slopes" => assert_plan_is_read::<slopes::Plan>(&report.arguments, &SLOPES_PARAMETERS),
             other => panic!("{path:?}: {other}"),
@@ -139,7 +139,7 @@
     });
 
     assert_plan_is_read::<fleet::Plan>(&fleet_plan, &FLEET_PARAMETERS);
-    assert_plan_is_read::<control::Plan>(&control_plan, &CONTROL_PARAMETERS);
+    assert_plan_is_read::<control_plane::Plan>(&control_plan, &CONTROL_PARAMETERS);
     assert_plan_is_read::<slopes::Plan>(&slopes_plan, &SLOPES_PARAMETERS);
 }
 
