--- a/crates/fleet-bench/src/control_plane/group.rs
+++ b/crates/fleet-bench/src/control_plane/group.rs
@@ -7,9 +7,9 @@
 use crate::error::Error;
 use crate::instance::{Instance, InstanceList, create_instances};
 use crate::proxy::{ProxyConfig, ProxyOptions, ProxyProcess};
+use crate::random_values::derive_component_seed;
 use crate::report::Value;
 use crate::resource_usage::{MachineLoad, ProcessUsage};
-use crate::sampling::derive_seed;
 use crate::shutdown::ShutdownSignal;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -73,7 +73,7 @@
         // Nothing listens on these addresses: without requests no proxy connects to a backend.
         let instances = create_instances(address::allocate(AddressRole::Backend, size.listed));
         let group_number = (size.listed * GROUP_SEED_STRIDE + size.proxies) as u64;
-        let seed = derive_seed(plan_seed, group_number);
+        let seed = derive_component_seed(plan_seed, group_number);
         let discovery = Discovery::start(instances.clone(), size.proxies)?;
         let changes = ChangeGenerator::new(seed);
         let mut group = Self { size, shutdown, proxies: Vec::new(), discovery, changes };
--- a/crates/fleet-bench/src/control_plane/list_changes.rs
+++ b/crates/fleet-bench/src/control_plane/list_changes.rs
@@ -1,7 +1,7 @@
 //! Generates changes of an endpoint list in the proportions of the operators' fleet.
 
 use crate::discovery::{Change, Discovery};
-use crate::sampling::poisson_arrivals;
+use crate::random_values::poisson_arrivals;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
--- a/crates/fleet-bench/src/fleet/caller.rs
+++ b/crates/fleet-bench/src/fleet/caller.rs
@@ -69,8 +69,12 @@
     fn new(scenario: &'a Scenario<'a>, index: usize) -> Self {
         let context = &scenario.context;
         let machine = scenario.service().callers[index];
-        let seed =
-            random::derive_seed(&[context.plan.seed, CALLER_STREAM, context.phase as u64, machine as u64]);
+        let seed = random::derive_stream_seed(&[
+            context.plan.seed,
+            CALLER_STREAM,
+            context.phase as u64,
+            machine as u64,
+        ]);
         let environment = Environment::new(scenario, index, seed);
         let balancer = Balancer::new(0.0, seed, environment.settings());
         Self { seed, environment, balancer, actions: Vec::new() }
--- a/crates/fleet-bench/src/fleet/faults.rs
+++ b/crates/fleet-bench/src/fleet/faults.rs
@@ -106,7 +106,7 @@
     /// Draws the faults of a phase.
     #[must_use]
     pub fn new(phase: Phase, plan: &Plan, topology: &Topology) -> Self {
-        let rng = &mut SmallRng::seed_from_u64(random::derive_seed(&[plan.seed, 1, phase as u64]));
+        let rng = &mut SmallRng::seed_from_u64(random::derive_stream_seed(&[plan.seed, 1, phase as u64]));
         let outages = vec![None; topology.machines.len()];
         let mut faults = Self { outages, partition: None, simulated_services: topology.called_services() };
         match phase {
--- a/crates/fleet-bench/src/fleet/random.rs
+++ b/crates/fleet-bench/src/fleet/random.rs
@@ -6,7 +6,7 @@
 /// Derives the seed of a random stream from the numbers that identify the stream (`SplitMix64`). Different
 /// numbers give independent streams.
 #[must_use]
-pub fn derive_seed(stream: &[u64]) -> u64 {
+pub fn derive_stream_seed(stream: &[u64]) -> u64 {
     stream.iter().fold(0, |state, number| {
         let mut z = (state ^ number).wrapping_add(0x9e37_79b9_7f4a_7c15);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fleet-bench/src/fleet/topology.rs
+++ b/crates/fleet-bench/src/fleet/topology.rs
@@ -2,7 +2,7 @@
 
 use super::parameters::{LognormalTime, TimeRange};
 use super::plan::Plan;
-use super::random::{derive_seed, draw_normal};
+use super::random::{derive_stream_seed, draw_normal};
 use balancer::{BackendId, CellId, Endpoint, Status, Time, ZoneId};
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
@@ -66,7 +66,7 @@
     /// Creates a random fleet with the parameters of a plan.
     #[must_use]
     pub fn new(plan: &Plan) -> Self {
-        let rng = &mut SmallRng::seed_from_u64(derive_seed(&[plan.seed, 0]));
+        let rng = &mut SmallRng::seed_from_u64(derive_stream_seed(&[plan.seed, 0]));
         let sizes = compute_service_sizes(plan.backends, plan.services, plan.size_skew);
         let layers = draw_service_layers(plan.services, plan.depth, rng);
         let mut topology = Self {
--- a/crates/fleet-bench/src/latency_overhead/load.rs
+++ b/crates/fleet-bench/src/latency_overhead/load.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use crate::error::Error;
-use crate::sampling::poisson_arrivals;
+use crate::random_values::poisson_arrivals;
 use crate::shutdown::ShutdownSignal;
 use rand::Rng;
 use rand::rngs::SmallRng;
--- a/crates/fleet-bench/src/latency_overhead/test_bed.rs
+++ b/crates/fleet-bench/src/latency_overhead/test_bed.rs
@@ -8,8 +8,8 @@
 use crate::error::Error;
 use crate::instance::{InstanceList, create_instances};
 use crate::proxy::{ProxyConfig, ProxyOptions, ProxyProcess, RegistryMode};
+use crate::random_values::{derive_component_seed, poisson_arrivals};
 use crate::resource_usage::{MachineLoad, ProcessUsage};
-use crate::sampling::{derive_seed, poisson_arrivals};
 use crate::shutdown::ShutdownSignal;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -73,7 +73,7 @@
             },
         })?;
         proxy.wait_until_ready(shutdown)?;
-        let rng = SmallRng::seed_from_u64(derive_seed(seed, listed as u64));
+        let rng = SmallRng::seed_from_u64(derive_component_seed(seed, listed as u64));
         Ok(Self { shutdown, listed, rng, proxy, discovery, backends })
     }
 
--- a/crates/fleet-bench/tests/added.rs
+++ b/crates/fleet-bench/tests/added.rs
@@ -10,7 +10,7 @@
 use failure::run_expecting_failure;
 use fleet_bench::backend::Backends;
 use fleet_bench::latency_overhead::{LatencyObservation, Verdict};
-use fleet_bench::sampling::poisson_arrivals;
+use fleet_bench::random_values::poisson_arrivals;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use serde_json::{Map, Value};
