--- a/crates/balancer-proxy/examples/local_stand_ins.rs
+++ b/crates/balancer-proxy/examples/local_stand_ins.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// Address of discovery, as in `deploy/example/balancer-proxy.json`.
-const DISCOVERY: &str = "127.0.0.1:8500";
+const DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
 /// Address of the backend, which discovery lists.
-const BACKEND: &str = "127.0.0.1:7070";
+const BACKEND_ADDRESS: &str = "127.0.0.1:7070";
 /// Generation of the endpoint list, which never changes.
-const GENERATION: u64 = 1;
+const ENDPOINT_LIST_GENERATION: u64 = 1;
 /// Longest time that discovery waits before it responds to a watch.
 const MAX_WATCH_TIME: Duration = Duration::from_secs(60);
 
@@ -65,15 +65,15 @@
 /// Returns the response to a call of discovery. As the list never changes, a watch of the current generation
 /// waits for the time that the caller requests, and then returns no entries.
 fn endpoint_list(target: &str) -> String {
-    if query_value(target, "since") == Some(GENERATION) {
+    if query_value(target, "since") == Some(ENDPOINT_LIST_GENERATION) {
         let wait = Duration::from_millis(query_value(target, "timeout_ms").unwrap_or(0));
         thread::sleep(wait.min(MAX_WATCH_TIME));
-        return format!(r#"{{"generation":{GENERATION},"reset":false,"instances":[]}}"#);
+        return format!(r#"{{"generation":{ENDPOINT_LIST_GENERATION},"reset":false,"instances":[]}}"#);
     }
     let backend = format!(
-        r#"{{"instanceId":"local-1","hostPort":"{BACKEND}","zone":"east","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0}}"#
+        r#"{{"instanceId":"local-1","hostPort":"{BACKEND_ADDRESS}","zone":"east","cell":0,"lifecycle":"SERVING","weight":1.0,"startedAtMs":0}}"#
     );
-    format!(r#"{{"generation":{GENERATION},"reset":true,"instances":[{backend}]}}"#)
+    format!(r#"{{"generation":{ENDPOINT_LIST_GENERATION},"reset":true,"instances":[{backend}]}}"#)
 }
 
 fn serve_discovery(mut stream: BufReader<TcpStream>) -> io::Result<()> {
@@ -100,9 +100,9 @@
 }
 
 fn main() -> io::Result<()> {
-    let discovery = TcpListener::bind(DISCOVERY)?;
-    let backend = TcpListener::bind(BACKEND)?;
-    println!("discovery on {DISCOVERY}, backend on {BACKEND}");
+    let discovery = TcpListener::bind(DISCOVERY_ADDRESS)?;
+    let backend = TcpListener::bind(BACKEND_ADDRESS)?;
+    println!("discovery on {DISCOVERY_ADDRESS}, backend on {BACKEND_ADDRESS}");
     thread::spawn(move || serve(&discovery, serve_discovery));
     serve(&backend, serve_backend);
     Ok(())
--- a/crates/balancer-proxy/src/control/discovery/timing/tests.rs
+++ b/crates/balancer-proxy/src/control/discovery/timing/tests.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 /// Largest deviation that the rounding of durations may cause.
-const TOLERANCE: Duration = Duration::from_micros(1);
+const ROUNDING_TOLERANCE: Duration = Duration::from_micros(1);
 
 /// Returns the longest duration that jitter may produce from `duration`.
 fn longest_with_jitter(duration: Duration) -> Duration {
@@ -58,12 +58,18 @@
         let interval = next_interval();
 
         let expected = Duration::from_millis(expected_ms);
-        assert!(interval + TOLERANCE >= shortest_with_jitter(expected), "{expected_ms} ms: {interval:?}");
-        assert!(interval <= longest_with_jitter(expected) + TOLERANCE, "{expected_ms} ms: {interval:?}");
+        assert!(
+            interval + ROUNDING_TOLERANCE >= shortest_with_jitter(expected),
+            "{expected_ms} ms: {interval:?}"
+        );
+        assert!(
+            interval <= longest_with_jitter(expected) + ROUNDING_TOLERANCE,
+            "{expected_ms} ms: {interval:?}"
+        );
     }
     backoff.reset();
     let interval = backoff.next_call_at(call_start, &jitter) - call_start;
-    assert!(interval <= longest_with_jitter(MIN_BACKOFF) + TOLERANCE, "{interval:?}");
+    assert!(interval <= longest_with_jitter(MIN_BACKOFF) + ROUNDING_TOLERANCE, "{interval:?}");
 }
 
 #[test]
@@ -75,7 +81,7 @@
 
     let next_call = backoff.next_call_at(call_start, &jitter);
 
-    assert!(next_call + TOLERANCE >= failed_at + shortest_with_jitter(MIN_BACKOFF));
+    assert!(next_call + ROUNDING_TOLERANCE >= failed_at + shortest_with_jitter(MIN_BACKOFF));
 }
 
 #[test]
--- a/crates/balancer-proxy/src/downstream/connection_task/tests.rs
+++ b/crates/balancer-proxy/src/downstream/connection_task/tests.rs
@@ -28,9 +28,9 @@
 
 /// Number of connections. The tasks of the connections and of their senders all fit in one round of the
 /// runtime.
-const CONNECTIONS: usize = 16;
+const CONNECTION_COUNT: usize = 16;
 /// A request that the proxy responds to without a backend.
-const REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n";
+const READINESS_REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: p\r\n\r\n";
 /// Longer than any step takes, even on a busy machine.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -50,7 +50,12 @@
         let lifecycle = Rc::new(Lifecycle::new());
         lifecycle.start();
         let handler = Rc::new(RequestHandler::new(engine, lifecycle.clone(), Budget::new(1)));
-        Self { handler, lifecycle, connections: ConnectionTable::new(4 * CONNECTIONS), clients: Vec::new() }
+        Self {
+            handler,
+            lifecycle,
+            connections: ConnectionTable::new(4 * CONNECTION_COUNT),
+            clients: Vec::new(),
+        }
     }
 
     /// Starts the task of a new connection, and returns the client's end of the connection.
@@ -89,7 +94,7 @@
     if has_ended(&client) {
         return None;
     }
-    client.write_all(REQUEST).unwrap();
+    client.write_all(READINESS_REQUEST).unwrap();
     Some(client)
 }
 
@@ -111,7 +116,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut proxy = Proxy::start();
         let signal = watch::Sender::new(());
-        let senders: Vec<_> = (0..CONNECTIONS)
+        let senders: Vec<_> = (0..CONNECTION_COUNT)
             .map(|_| spawn_local(send_after(signal.subscribe(), proxy.connect(&listener))))
             .collect();
         tokio::time::sleep(Duration::from_millis(50)).await; // until all tasks wait
--- a/crates/balancer-settings/tests/translation.rs
+++ b/crates/balancer-settings/tests/translation.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 /// Index of the zone of the balancer in these tests.
-const ZONE: ZoneId = ZoneId(3);
+const BALANCER_ZONE: ZoneId = ZoneId(3);
 
 /// Returns settings in which every key has a value other than its default.
 fn complete_settings() -> Value {
@@ -42,7 +42,7 @@
         instance_count: 5,
         instance_index: 2,
         tier: Tier(1),
-        zone: ZONE,
+        zone: BALANCER_ZONE,
         cross_zone_cost: 0.0625,
         connections_have_cost: true,
         health_checks_for_load_reports: true,
@@ -64,7 +64,7 @@
 
 fn translate(settings: &Value) -> Settings {
     let raw: RawSettings = serde_json::from_value(settings.clone()).unwrap();
-    raw.into_settings(ZONE).unwrap()
+    raw.into_settings(BALANCER_ZONE).unwrap()
 }
 
 /// Returns the paths of all keys in `value`, each with `prefix`. The entries of a list of objects share the
@@ -115,7 +115,7 @@
     let translated = translate(&json!({"classes": []}));
 
     let expected = Settings {
-        zone: ZONE,
+        zone: BALANCER_ZONE,
         // Absent permissions are denied.
         cancellation_allowed: false,
         hedging_allowed: false,
@@ -210,7 +210,7 @@
         settings["classes"][1][key] = json!(-1.5);
         let raw: RawSettings = serde_json::from_value(settings).unwrap();
 
-        let error = raw.into_settings(ZONE).unwrap_err();
+        let error = raw.into_settings(BALANCER_ZONE).unwrap_err();
 
         let expected = format!("classes[1].{key}: expected a number not below 0, got '-1.5'");
         assert_eq!(error.to_string(), expected);
--- a/crates/balancer/tests/decisions/outlier_detection.rs
+++ b/crates/balancer/tests/decisions/outlier_detection.rs
@@ -5,7 +5,7 @@
 use balancer::{BackendId, Event, MaintenanceChange, Outcome, Settings};
 
 /// The backend that fails or never responds.
-const OUTLIER: BackendId = BackendId(1);
+const OUTLIER_BACKEND: BackendId = BackendId(1);
 
 /// Creates a balancer with two backends and a single attempt for each request.
 fn harness_with_one_attempt() -> BalancerHarness {
@@ -20,7 +20,7 @@
     for id in 0..200 {
         let sent = harness.send_request(id);
         harness.now += 0.02;
-        if sent.backend == OUTLIER {
+        if sent.backend == OUTLIER_BACKEND {
             sent_to_outlier += 1;
             harness.end_attempt(sent, Outcome::Error, 0.001);
         } else {
@@ -33,7 +33,7 @@
 
     let response_time = |id| 0.01 + 0.02 * (id % 3) as f64;
     let sent_after_recovery =
-        (0..50).filter(|id| harness.serve_request(1000 + id, response_time(*id)) == OUTLIER).count();
+        (0..50).filter(|id| harness.serve_request(1000 + id, response_time(*id)) == OUTLIER_BACKEND).count();
     assert!(sent_after_recovery > 10, "{sent_after_recovery}");
 }
 
@@ -48,7 +48,7 @@
     let mut sent_to_outlier = 0;
     for id in 1000..1040 {
         let sent = harness.send_request(id);
-        if sent.backend == OUTLIER {
+        if sent.backend == OUTLIER_BACKEND {
             sent_to_outlier += 1;
             harness.advance_to(harness.now + 1.1);
             harness.end_attempt(sent, Outcome::Timeout, 1.0);
--- a/crates/balancer/tests/replay/coverage.rs
+++ b/crates/balancer/tests/replay/coverage.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 /// All kinds of events, actions and outcomes of attempts. The scenarios have to contain each of them.
-const KINDS: [&str; 37] = [
+const OCCURRENCE_KINDS: [&str; 37] = [
     "Request",
     "BodyReceived",
     "BodyConsumed",
@@ -70,13 +70,14 @@
 
     /// Returns the kinds with fewer than `minimum` occurrences, with their numbers.
     pub fn rarer_than(&self, minimum: usize) -> Vec<String> {
-        let counts = KINDS.iter().map(|kind| (kind, self.occurrences.get(kind).copied().unwrap_or(0)));
+        let counts =
+            OCCURRENCE_KINDS.iter().map(|kind| (kind, self.occurrences.get(kind).copied().unwrap_or(0)));
         let rare = counts.filter(|(_, count)| *count < minimum);
         rare.map(|(kind, count)| format!("{kind}: {count}")).collect()
     }
 
     fn add(&mut self, kind: &'static str) {
-        assert!(KINDS.contains(&kind), "{kind} is missing from the list of kinds");
+        assert!(OCCURRENCE_KINDS.contains(&kind), "{kind} is missing from the list of kinds");
         *self.occurrences.entry(kind).or_default() += 1;
     }
 }
--- a/crates/fleet-bench/src/slopes/event_times.rs
+++ b/crates/fleet-bench/src/slopes/event_times.rs
@@ -25,7 +25,7 @@
 
 impl EventKind {
     /// Number of event kinds.
-    const COUNT: usize = 6;
+    const VARIANT_COUNT: usize = 6;
 }
 
 /// Number and total processor time of the events of one kind.
@@ -38,7 +38,7 @@
 /// The cost of a batch of simulated requests.
 #[derive(Clone, Debug, Default)]
 pub struct EventTimes {
-    costs: [EventCost; EventKind::COUNT],
+    costs: [EventCost; EventKind::VARIANT_COUNT],
     /// Number of requests that were rejected or failed.
     pub unserved: usize,
     /// Number of open requests at an arrival, summed over all arrivals.
--- a/crates/fleet-bench/src/slopes/measurement.rs
+++ b/crates/fleet-bench/src/slopes/measurement.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 /// Names and units of the measures of each case. The processor times come first.
-pub const MEASURES: [&str; 12] = [
+pub const MEASURE_NAMES: [&str; 12] = [
     "request, us",
     "response, us",
     "timer with retry, us",
@@ -22,7 +22,7 @@
     "loaded state, bytes",
 ];
 
-/// Number of processor times in [`MEASURES`].
+/// Number of processor times in [`MEASURE_NAMES`].
 const TIME_MEASURE_COUNT: usize = 10;
 
 /// The samples of one case.
@@ -30,9 +30,9 @@
 pub struct CaseSamples {
     /// Value of the case on the axis.
     pub value: usize,
-    /// Samples of each of the [`MEASURES`], one for each round. A sample is NaN if the round had no such
-    /// event.
-    pub measures: [Vec<f64>; MEASURES.len()],
+    /// Samples of each measure in [`MEASURE_NAMES`], one for each round. A sample is NaN if the round had no
+    /// such event.
+    pub measures: [Vec<f64>; MEASURE_NAMES.len()],
     /// Mean number of open requests in the last round.
     pub open_requests: f64,
     /// Number of backends that received an attempt in the last round.
--- a/crates/fleet-bench/src/slopes/tables.rs
+++ b/crates/fleet-bench/src/slopes/tables.rs
@@ -1,6 +1,6 @@
 //! The report tables of `fleet-bench slopes`.
 
-use super::measurement::{AxisSamples, CaseSamples, MEASURES};
+use super::measurement::{AxisSamples, CaseSamples, MEASURE_NAMES};
 use crate::report::{Table, Value};
 use crate::stats::{self, LinearFit, Point};
 
@@ -36,7 +36,7 @@
     /// Creates the tables without rows.
     #[must_use]
     pub fn new() -> Self {
-        let measures: Vec<&str> = ["axis", "value"].into_iter().chain(MEASURES).collect();
+        let measures: Vec<&str> = ["axis", "value"].into_iter().chain(MEASURE_NAMES).collect();
         let with_load: Vec<&str> =
             measures.iter().copied().chain(["open requests", "backends used", "unserved"]).collect();
         Self {
@@ -52,7 +52,7 @@
         for case in &axis.cases {
             self.add_case(axis.name, case);
         }
-        for (measure, name) in MEASURES.iter().enumerate() {
+        for (measure, name) in MEASURE_NAMES.iter().enumerate() {
             if let Some(fit) = LineFit::new(&axis.cases, measure) {
                 let head = [Value::from(axis.name), Value::from(*name)];
                 self.lines.add_row(head.into_iter().chain(fit.values()));
@@ -117,7 +117,7 @@
 }
 
 impl LineFit {
-    /// Fits the measure with this index in [`MEASURES`]. Returns `None` if there are too few cases.
+    /// Fits the measure with this index in [`MEASURE_NAMES`]. Returns `None` if there are too few cases.
     fn new(cases: &[CaseSamples], measure: usize) -> Option<Self> {
         let medians = fit(cases, |case| Some(Quartiles::of(&case.measures[measure]).median))?;
         let rounds = cases.iter().map(|case| case.measures[measure].len()).max().unwrap_or(0);
--- a/crates/simulator-adapter/src/wire/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/endpoint_list.rs
@@ -3,7 +3,7 @@
 
 use super::error::{Result, WireError};
 use super::names::ZoneIds;
-use super::values::{self, ABSENT};
+use super::values::{self, ABSENT_VALUE};
 use balancer::{BackendId, CellId, Endpoint, Status, Time};
 
 /// The number of endpoint lists, which are numbered from 0.
@@ -72,7 +72,7 @@
         id: BackendId(values::parse_integer("the backend id", id)?),
         cell: CellId(values::parse_integer("the cell id", cell)?),
         zone: zones.assign(zone),
-        weight: if weight == ABSENT {
+        weight: if weight == ABSENT_VALUE {
             DEFAULT_WEIGHT
         } else {
             values::parse_non_negative("the endpoint weight", weight)?
@@ -85,7 +85,7 @@
 /// Parses the start time of an endpoint, in seconds. Returns `None` if the time is 0 or absent, which means
 /// that the endpoint started long ago.
 fn parse_start_time(text: &str) -> Result<Option<Time>> {
-    if text == ABSENT {
+    if text == ABSENT_VALUE {
         return Ok(None);
     }
     let time = values::parse_number("the start time", text)?;
--- a/crates/simulator-adapter/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -5,7 +5,7 @@
 use super::error::{Result, WireError};
 use super::names::{InstanceNames, ZoneIds};
 use super::settings;
-use super::values::{self, ABSENT};
+use super::values::{self, ABSENT_VALUE};
 use balancer::{
     AttemptNumber, BackendId, EndedAttempt, Endpoint, Event, LoadReport, Request, Settings, Time, TimerToken,
 };
@@ -120,10 +120,10 @@
     let [id, write, key, timeout, retry, tenant, class, work] = values::split("QUERY", text)?;
     values::parse_flag("the write flag", write)?;
     let key = values::parse_ordering_key(key)?;
-    if retry != ABSENT {
+    if retry != ABSENT_VALUE {
         values::parse_flag("the retry flag", retry)?;
     }
-    if work != ABSENT {
+    if work != ABSENT_VALUE {
         values::parse_non_negative("the predicted work", work)?;
     }
     let names = instance.ok_or_else(|| WireError::UnexpectedLine {
@@ -181,7 +181,7 @@
 fn check_peer_message(text: &str) -> Result<()> {
     let [sender, message] = values::split("PEER", text)?;
     values::parse_integer::<u64>("the sender", sender)?;
-    if message != ABSENT && !message.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+    if message != ABSENT_VALUE && !message.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return Err(WireError::invalid_value("the peer message", "hex digits", message));
     }
     Ok(())
@@ -190,12 +190,12 @@
 /// Parses a load report. Values that the decision module does not use are skipped; negative values count
 /// as 0.
 fn parse_load_report(text: &str, instance: Option<&InstanceNames>) -> Result<Option<LoadReport>> {
-    if text == ABSENT {
+    if text == ABSENT_VALUE {
         return Ok(None);
     }
     let mut report = LoadReport::default();
     let fields = instance.map_or(&[][..], |names| &names.load_report_fields);
-    for (index, value) in text.split(',').enumerate().filter(|(_, value)| *value != ABSENT) {
+    for (index, value) in text.split(',').enumerate().filter(|(_, value)| *value != ABSENT_VALUE) {
         let value = values::parse_number("the load report", value)?.max(0.0);
         if fields.get(index).is_some_and(|field| field == SERVICE_TIME_FIELD) {
             report.service_time = Some(value / MILLISECONDS_PER_SECOND);
--- a/crates/simulator-adapter/src/wire/values.rs
+++ b/crates/simulator-adapter/src/wire/values.rs
@@ -6,7 +6,7 @@
 use std::str::FromStr;
 
 /// The text of an absent value.
-pub(super) const ABSENT: &str = "-";
+pub(super) const ABSENT_VALUE: &str = "-";
 /// The length of request ids and ordering keys, in hexadecimal digits.
 const ID_HEX_DIGITS: usize = 16;
 
@@ -64,7 +64,7 @@
 
 /// Parses the ordering key of a request, which may be absent.
 pub(super) fn parse_ordering_key(text: &str) -> Result<Option<u64>> {
-    if text == ABSENT {
+    if text == ABSENT_VALUE {
         return Ok(None);
     }
     let key = parse_hex_id(text)
