--- a/crates/balancer-proxy/src/upstream/request_body.rs
+++ b/crates/balancer-proxy/src/upstream/request_body.rs
@@ -31,7 +31,7 @@
     /// The number of bytes still to be received, if the length is known.
     remaining_bytes: Option<u64>,
     transfer_rate: TransferRateMonitor,
-    /// How the body ended, once the body is complete or cannot be completed any more.
+    /// The result at the end of the body. `None` until the body is complete or can no longer be completed.
     end: Option<Result<(), StreamError>>,
     /// Set once data after the buffered beginning has been forwarded.
     is_consumed: bool,
--- a/crates/balancer/src/decisions/overload.rs
+++ b/crates/balancer/src/decisions/overload.rs
@@ -22,11 +22,12 @@
 /// The number of calls in flight at each backend up to which there is no overload, even if the number is
 /// far above the expected one.
 ///
-/// Where there are few balancers and few backends, an expected number of four calls soon doubles when a
-/// backend stops, responses are invalid or a short burst arrives. The excess then lasts if load is shed,
+/// In a deployment with few balancers and few backends, an expected number of four calls soon doubles when a
+/// backend stops, responses are invalid or a short burst arrives. If load is shed then, the excess lasts,
 /// because rejected clients retry at once. A backend of the entry tier also has four to seven calls in
-/// flight that mostly wait for the tiers below, with responses as fast as expected. With a limit of 14, load
-/// is not shed in an overload. With the limit of 9, backends that cannot hold nine calls are not protected.
+/// flight that mostly wait for the tiers below, although its responses are as fast as expected. With a limit
+/// of 14, load is not shed in an overload. The limit of 9 does not protect backends that cannot hold nine
+/// calls.
 const MIN_CALLS_PER_BACKEND_FOR_OVERLOAD: f64 = 9.0;
 
 /// The load of a balancer at one moment.
--- a/crates/fleet-bench/src/random_values.rs
+++ b/crates/fleet-bench/src/random_values.rs
@@ -6,8 +6,8 @@
 /// Multiplier that separates the derived seeds of adjacent seeds of a run.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9;
 
-/// Derives the seed of a numbered component of a run from the seed of the run. The fleet
-/// simulation derives the seeds of its random streams with `fleet::random::derive_stream_seed`.
+/// Derives the seed of a numbered component of a run from the seed of the run. The fleet simulation derives
+/// the seeds of its random streams with `fleet::random::derive_stream_seed`.
 #[must_use]
 pub fn derive_component_seed(seed: u64, component_number: u64) -> u64 {
     seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(component_number)
